--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -77,7 +77,7 @@
 static bool _wgco_parse_controls(wgco_control* c, GError** error) {
     bool self_listed = false;
     if (c->discovers) {
-        return _wgco_discovery_seeds(c, c->settings, error);
+        return _wgco_discovery_set_seeds(c, c->settings, error);
     }
     for (int i = 0; c->settings->controls[i]; i++) {
         char** parts = g_strsplit(c->settings->controls[i], "@", 2);
@@ -171,7 +171,7 @@
 }
 
 /* Another identity answers at the address of a replica: the folder of the former one is lost. */
-static void _wgco_note_gone(wgco_control* c, const _wgco_peer_t* peer) {
+static void _wgco_record_lost_replicas(wgco_control* c, const _wgco_peer_t* peer) {
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < set->num; i++) {
         const wgr_replica* replica = &set->replicas[i];
@@ -201,7 +201,7 @@
         _wgco_router_up(c, link, peer);
         return;
     }
-    if (peer->role == WGW_ROLE_ENTRY && _wgco_discovery_is_word(c, link)) {
+    if (peer->role == WGW_ROLE_ENTRY && _wgco_discovery_is_announcement(c, link)) {
         return;
     }
     if (peer->role == WGW_ROLE_ENTRY) {
@@ -217,10 +217,10 @@
     if (known) {
         known->up = true;
         known->identity = peer->identity;
-        _wgco_note_gone(c, known);
+        _wgco_record_lost_replicas(c, known);
     } else {
         if (c->discovers) {
-            _wgco_discovery_learn(c, peer->name, peer->address);
+            _wgco_discovery_add_peer(c, peer->name, peer->address);
         }
         _wgco_redial(c, peer->name);
     }
@@ -229,7 +229,7 @@
 
 void _wgco_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     wgco_control* c = user_data;
-    if (_wgco_discovery_is_word(c, link)) {
+    if (_wgco_discovery_is_announcement(c, link)) {
         return; /* closed by this control, word was given */
     }
     _wgco_peer_t* known = _wgco_peer_of_link(c, link);
@@ -254,21 +254,21 @@
     bool router = peer && peer->role == WGW_ROLE_ROUTER;
     bool entry = peer && peer->role == WGW_ROLE_ENTRY;
     if (entry && frame->type == WGW_TYPE_ENTRY_STATE) {
-        _wgco_discovery_take_word(c, frame);
+        _wgco_discovery_receive_controls(c, frame);
         return;
     }
     if (control && frame->type == WGW_TYPE_QUORUM) {
-        _wgco_take_quorum(c, frame);
+        _wgco_receive_quorum(c, frame);
     } else if (entry && frame->type == WGW_TYPE_ENTRY_REPORT) {
-        _wgco_entry_take_report(c, link, frame);
+        _wgco_entry_receive_report(c, link, frame);
     } else if (entry && frame->type == WGW_TYPE_ORDER) {
-        _wgco_take_order(c, link, frame);
+        _wgco_receive_order(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_REPORT) {
-        _wgco_take_report(c, link, frame);
+        _wgco_receive_report(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_ROW_QUERY) {
-        _wgco_take_row_query(c, link, frame);
+        _wgco_receive_row_query(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_CLAIM_ASK) {
-        _wgco_take_claim(c, link, frame);
+        _wgco_receive_claim(c, link, frame);
     } else {
         wg_log(WG_EVENT_FRAME_BAD, "reason=type-not-for-this-role");
         wgn_close(c->net, link);
@@ -288,25 +288,25 @@
 }
 
 /* Entry hosts that wait at this follower go to the leader as soon as one is known. */
-static void _wgco_tell_leader(wgco_control* c) {
+static void _wgco_announce_leader(wgco_control* c) {
     const char* leader = _wgco_leader_address(c); /* "" too while only its identity is known */
-    if (strcmp(leader, c->leader_told) == 0) {
+    if (strcmp(leader, c->announced_leader) == 0) {
         return;
     }
-    wg_copy_name(c->leader_told, sizeof c->leader_told, leader);
+    wg_copy_name(c->announced_leader, sizeof c->announced_leader, leader);
     if (leader[0] && !c->leads) {
         _wgco_entry_redirect(c);
     }
 }
 
-static void _wgco_follow_leadership(wgco_control* c, wg_time now) {
+static void _wgco_update_leadership(wgco_control* c, wg_time now) {
     bool leads = wgr_leads(c->node, now);
     if (leads && !c->leads) {
         _wgco_lead_begin(c, now);
     } else if (!leads && c->leads) {
         _wgco_lead_end(c);
     }
-    _wgco_tell_leader(c);
+    _wgco_announce_leader(c);
 }
 
 static void _wgco_on_tick(evutil_socket_t fd, short what, void* user_data) {
@@ -323,12 +323,12 @@
         return;
     }
     _wgco_watch_tick(c, now);
-    _wgco_follow_leadership(c, now);
+    _wgco_update_leadership(c, now);
     _wgco_log_role(c, now);
     _wgco_discovery_tick(c, now);
     _wgco_dial_peers(c, now);
     if (c->leads) {
-        _wgco_watch_spare(c, now);
+        _wgco_watch_extend_deadlines(c, now);
         _wgco_add_new_controls(c, now);
         _wgco_routers_tick(c, now);
         _wgco_entry_tick(c, now);
@@ -352,9 +352,9 @@
     /* A leader that is alone has nobody to wait for. */
     bool leads = wgr_query_stats(c->node, wg_now()).role == WGR_ROLE_LEADER;
     if (leads) {
-        return !c->handing_over;
+        return !c->transferring_leadership;
     }
-    return !c->discovers || wgr_has_left(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MOST;
+    return !c->discovers || wgr_has_left(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MAX;
 }
 
 static void _wgco_on_stop(evutil_socket_t fd, short what, void* user_data) {
@@ -419,7 +419,7 @@
         event_base_loopbreak(c->base);
         return;
     }
-    c->handing_over = wgr_hand_over(c->node, wg_now());
+    c->transferring_leadership = wgr_hand_over(c->node, wg_now());
     if (c->discovers) {
         wgr_leave(c->node);
     }
@@ -430,10 +430,10 @@
 
 void wgco_reload(wgco_control* c, const wgco_settings* settings) {
     if (c->discovers && !c->observer) {
-        _wgco_discovery_seeds(c, settings, NULL);
+        _wgco_discovery_set_seeds(c, settings, NULL);
     }
 }
 
 bool wgco_failed(const wgco_control* c) {
-    return c->broken;
+    return c->unrecoverable;
 }
--- a/lib/control/wg_control_discovery.c
+++ b/lib/control/wg_control_discovery.c
@@ -9,14 +9,14 @@
 
 enum {
     /* How often one of the seeds is given word of this control. */
-    WG_WORD_GAP = 400 * WG_USEC_PER_MSEC
+    WG_ANNOUNCE_INTERVAL = 400 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
 /* "ip:port" of a seed as the fleet address of that host; its ip is its name. */
-static bool _wgco_seed(const wgco_control* c, const char* seed, char name[WG_NAME_MAX],
-                       char address[WG_ADDRESS_MAX]) {
+static bool _wgco_parse_seed(const wgco_control* c, const char* seed, char name[WG_NAME_MAX],
+                             char address[WG_ADDRESS_MAX]) {
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
     if (!wgn_split_address(seed, ip, &port) || !wg_copy_name(name, WG_NAME_MAX, ip)) {
@@ -50,7 +50,7 @@
 }
 
 /* A place in the list of peers: a free one, or that of one that is down and not in the set. */
-static _wgco_peer_t* _wgco_peer_place(wgco_control* c) {
+static _wgco_peer_t* _wgco_allocate_peer(wgco_control* c) {
     if (c->peers_num < _WGCO_PEERS_MAX) {
         return &c->peers[c->peers_num++];
     }
@@ -65,11 +65,11 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-void _wgco_discovery_learn(wgco_control* c, const char* name, const char* address) {
+void _wgco_discovery_add_peer(wgco_control* c, const char* name, const char* address) {
     if (strcmp(name, c->settings->name) == 0 || _wgco_find_peer(c, name)) {
         return;
     }
-    _wgco_peer_t* peer = _wgco_peer_place(c);
+    _wgco_peer_t* peer = _wgco_allocate_peer(c);
     if (peer) {
         *peer = (_wgco_peer_t){0};
         wg_copy_name(peer->name, sizeof peer->name, name);
@@ -77,30 +77,30 @@
     }
 }
 
-bool _wgco_discovery_seeds(wgco_control* c, const wgco_settings* settings, GError** error) {
-    c->word_seeds_num = 0;
+bool _wgco_discovery_set_seeds(wgco_control* c, const wgco_settings* settings, GError** error) {
+    c->announce_seeds_num = 0;
     for (int i = 0; settings->seeds[i]; i++) {
         char name[WG_NAME_MAX];
         char address[WG_ADDRESS_MAX];
-        if (!_wgco_seed(c, settings->seeds[i], name, address)) {
+        if (!_wgco_parse_seed(c, settings->seeds[i], name, address)) {
             g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "[control] seeds: \"%s\" is not ip:port",
                         settings->seeds[i]);
             return false;
         }
-        _wgco_discovery_learn(c, name, address);
-        if (c->word_seeds_num < WG_CONTROL_SEEDS_MAX) {
-            wg_copy_name(c->word_seeds[c->word_seeds_num++], WG_NAME_MAX, name);
+        _wgco_discovery_add_peer(c, name, address);
+        if (c->announce_seeds_num < WG_CONTROL_SEEDS_MAX) {
+            wg_copy_name(c->announce_seeds[c->announce_seeds_num++], WG_NAME_MAX, name);
         }
     }
     return true;
 }
 
-static bool _wgco_first_set(const wgco_control* c, wgr_set* set) {
+static bool _wgco_initial_set(const wgco_control* c, wgr_set* set) {
     bool self = false;
     *set = (wgr_set){0};
     for (int i = 0; c->settings->seeds[i] && set->num < WGR_REPLICAS_MAX; i++) {
         wgr_replica* replica = &set->replicas[set->num++];
-        _wgco_seed(c, c->settings->seeds[i], replica->name, replica->address);
+        _wgco_parse_seed(c, c->settings->seeds[i], replica->name, replica->address);
         replica->id = _wgco_seed_identity(replica->name);
         replica->voter = true;
         self = self || strcmp(replica->name, c->settings->name) == 0;
@@ -108,9 +108,9 @@
     return self;
 }
 
-bool _wgco_discovery_form(wgco_control* c, GError** error) {
+bool _wgco_discovery_bootstrap(wgco_control* c, GError** error) {
     wgr_set set;
-    if (strcmp(c->settings->first_start, "true") != 0 || !_wgco_first_set(c, &set)) {
+    if (strcmp(c->settings->first_start, "true") != 0 || !_wgco_initial_set(c, &set)) {
         return true;
     }
     uint64_t cluster = 0;
@@ -136,38 +136,38 @@
     return good;
 }
 
-/* A seed need not have a disk. Whoever starts anew knows only the seeds, so each control tells the
-   entry hosts there where it is, and learns of others from them. */
-static void _wgco_give_word(wgco_control* c, wg_time now) {
-    if (now < c->word_at || c->word_seeds_num == 0) {
+/* A seed need not have a disk. Whoever starts anew knows only the seeds, so each control
+   sends_state the entry hosts there where it is, and learns of others from them. */
+static void _wgco_announce_self(wgco_control* c, wg_time now) {
+    if (now < c->announce_at || c->announce_seeds_num == 0) {
         return;
     }
-    c->word_at = now + WG_WORD_GAP;
-    if (c->word_link.id) {
-        wgn_close(c->net, c->word_link);
-        c->word_link = (wgn_link){0};
+    c->announce_at = now + WG_ANNOUNCE_INTERVAL;
+    if (c->announce_link.id) {
+        wgn_close(c->net, c->announce_link);
+        c->announce_link = (wgn_link){0};
     }
-    const char* seed = c->word_seeds[c->word_next++ % c->word_seeds_num];
+    const char* seed = c->announce_seeds[c->announce_next++ % c->announce_seeds_num];
     const wgr_set* set = wgr_query_set(c->node);
     if (set->num > 0 && _wgco_in_set(c, seed)) {
         return; /* a replica answers for itself */
     }
     char address[WG_ADDRESS_MAX];
     g_snprintf(address, sizeof address, "%.40s:%d", seed, (int)c->settings->entry_port);
-    c->word_link = wgn_dial(c->net, address);
+    c->announce_link = wgn_dial(c->net, address);
 }
 
-bool _wgco_discovery_is_word(const wgco_control* c, wgn_link link) {
-    return c->word_link.id == link.id;
+bool _wgco_discovery_is_announcement(const wgco_control* c, wgn_link link) {
+    return c->announce_link.id == link.id;
 }
 
-void _wgco_discovery_take_word(wgco_control* c, const wgw_frame* frame) {
+void _wgco_discovery_receive_controls(wgco_control* c, const wgw_frame* frame) {
     Wgpb__EntryState* in = wgpb__entry_state__unpack(NULL, frame->size, frame->payload);
     for (size_t i = 0; in && i < in->n_controls; i++) {
         char ip[WG_ADDRESS_MAX];
         uint16_t port;
         if (wgn_split_address(in->controls[i], ip, &port)) {
-            _wgco_discovery_learn(c, ip, in->controls[i]);
+            _wgco_discovery_add_peer(c, ip, in->controls[i]);
         }
     }
     if (in) {
@@ -181,7 +181,7 @@
     }
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < set->num; i++) {
-        _wgco_discovery_learn(c, set->replicas[i].name, set->replicas[i].address);
+        _wgco_discovery_add_peer(c, set->replicas[i].name, set->replicas[i].address);
     }
-    _wgco_give_word(c, now);
+    _wgco_announce_self(c, now);
 }
--- a/lib/control/wg_control_document.c
+++ b/lib/control/wg_control_document.c
@@ -42,7 +42,7 @@
         _wgco_base_t* base = d->bases->pdata[i];
         g_clear_pointer(&base->difference, wgn_frame_unref);
     }
-    g_clear_pointer(&d->whole, wgn_frame_unref);
+    g_clear_pointer(&d->complete_frame, wgn_frame_unref);
     if (d->document) {
         _wgco_base_t* base = g_new0(_wgco_base_t, 1);
         base->version = d->version;
@@ -59,11 +59,11 @@
     return wgn_frame_pack(WGW_TYPE_CONFIGURATION, &message.base);
 }
 
-static wgn_frame* _wgco_documents_whole(_wgco_documents_t* d) {
-    if (!d->whole) {
-        d->whole = _wgco_documents_pack(d->version, d->packed, 0);
+static wgn_frame* _wgco_documents_complete(_wgco_documents_t* d) {
+    if (!d->complete_frame) {
+        d->complete_frame = _wgco_documents_pack(d->version, d->packed, 0);
     }
-    return d->whole;
+    return d->complete_frame;
 }
 
 static wgn_frame* _wgco_base_difference(const _wgco_documents_t* d, _wgco_base_t* base) {
@@ -83,7 +83,7 @@
 
 void _wgco_documents_clear(_wgco_documents_t* d) {
     g_clear_pointer(&d->bases, g_ptr_array_unref);
-    g_clear_pointer(&d->whole, wgn_frame_unref);
+    g_clear_pointer(&d->complete_frame, wgn_frame_unref);
     g_clear_pointer(&d->document, g_bytes_unref);
     g_clear_pointer(&d->packed, g_bytes_unref);
     d->version = 0;
@@ -116,7 +116,7 @@
             return _wgco_base_difference(d, base);
         }
     }
-    return _wgco_documents_whole(d);
+    return _wgco_documents_complete(d);
 }
 
 bool _wgco_documents_fill(const _wgco_documents_t* d, Wgpb__Configuration* out) {
--- a/lib/control/wg_control_entry.c
+++ b/lib/control/wg_control_entry.c
@@ -17,10 +17,10 @@
     WG_REPORT_MS_PER_ENTRY = 2, /* more entry hosts report less often */
     /* Between two pushes, for each host that is told: changes of one moment go out together. At 300
        hosts 30 ms, short beside the seconds within which a change has to be in force. */
-    WG_PUSH_GAP_PER_ENTRY = 100, /* microseconds */
-    /* A new leader tells of members only once all that are up could report to it. */
+    WG_PUSH_INTERVAL_PER_ENTRY = 100, /* microseconds */
+    /* A new leader sends_state of members only once all that are up could report to it. */
     WG_MEMBERS_SETTLE = 1500 * WG_USEC_PER_MSEC,
-    WG_MEMBER_GONE = 1500 * WG_USEC_PER_MSEC
+    WG_MEMBER_TIMEOUT = 1500 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers: entry hosts ------------------------------------------------------------------ */
@@ -32,7 +32,7 @@
     g_free(e);
 }
 
-static _wgco_entry_t* _wgco_entry_of(const wgco_control* c, wgn_link link) {
+static _wgco_entry_t* _wgco_find_entry(const wgco_control* c, wgn_link link) {
     return g_hash_table_lookup(c->entries, GUINT_TO_POINTER(link.id));
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-static void _wgco_forget_loads(wgco_control* c, _wgco_entry_t* e) {
+static void _wgco_remove_loads(wgco_control* c, _wgco_entry_t* e) {
     GHashTableIter iter;
     gpointer load;
     g_hash_table_iter_init(&iter, e->loads);
@@ -62,8 +62,8 @@
     g_hash_table_remove_all(e->loads);
 }
 
-static void _wgco_take_loads(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
-    _wgco_forget_loads(c, e);
+static void _wgco_replace_loads(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
+    _wgco_remove_loads(c, e);
     for (size_t i = 0; i < in->n_loads; i++) {
         gpointer key = GUINT_TO_POINTER(in->loads[i]->target);
         if (g_hash_table_contains(e->loads, key)) {
@@ -108,7 +108,7 @@
     usage->asked += (double)asked;
 }
 
-static void _wgco_take_usage(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
+static void _wgco_update_usage(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
     for (size_t i = 0; i < in->n_usage; i++) {
         const Wgpb__WorkspaceUsage* now = in->usage[i];
         uint64_t workspace = now->workspace;
@@ -128,11 +128,11 @@
 
 /* ---- helpers: members ---------------------------------------------------------------------- */
 
-static void _wgco_hear_member(wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static void _wgco_update_member(wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     if (!e->ready || e->leaving) {
         if (wg_roster_leave(c->roster, e->name)) {
             wg_log(WG_EVENT_MEMBER_LEAVING, "entry=%s", e->name);
-            _wgco_entry_push_soon(c);
+            _wgco_entry_schedule_push(c);
         }
         return;
     }
@@ -142,15 +142,15 @@
     wg_copy_name(host.data_centre, sizeof host.data_centre, e->data_centre);
     if (wg_roster_hear(c->roster, now, &host)) {
         wg_log(WG_EVENT_MEMBER_UP, "entry=%s", e->name);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
 
-static void _wgco_drop_silent_members(wgco_control* c, wg_time now) {
+static void _wgco_remove_unresponsive_members(wgco_control* c, wg_time now) {
     char name[WG_NAME_MAX];
-    while (wg_roster_drop_silent(c->roster, now, WG_MEMBER_GONE, name)) {
+    while (wg_roster_drop_silent(c->roster, now, WG_MEMBER_TIMEOUT, name)) {
         wg_log(WG_EVENT_MEMBER_GONE, "entry=%s", name);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
 
@@ -189,16 +189,16 @@
 
 /* Is the host to be told of members that it does not know? A list that is not whole yet would send
    callers away from hosts that are up. */
-static bool _wgco_tells_members(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static bool _wgco_sends_members(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     bool settling = now - c->led_since < WG_MEMBERS_SETTLE;
-    return e->roster_change != wg_roster_change(c->roster) && (!settling || e->knows_no_members);
+    return e->roster_change != wg_roster_change(c->roster) && (!settling || e->has_no_members);
 }
 
 static void _wgco_fill_members(wgco_control* c, const _wgco_entry_t* e, _wgco_state_t* s,
                                wg_time now) {
     s->message.members_num = (uint32_t)wg_roster_num(c->roster);
     s->message.members_change = e->roster_change;
-    if (!_wgco_tells_members(c, e, now)) {
+    if (!_wgco_sends_members(c, e, now)) {
         return;
     }
     s->roster = wg_roster_since(c->roster, e->roster_change);
@@ -294,7 +294,7 @@
 
 /* May the host be told what this replica has applied, though nobody leads as far as it knows? It is
    agreed on, but there may be newer. */
-static bool _wgco_stands_by(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static bool _wgco_serves_standby(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     return e->standby && !c->leads && wgr_query_stats(c->node, now).leader == 0;
 }
 
@@ -312,7 +312,7 @@
     if (!e->reported || !s.message.leads || with_loads) {
         _wgco_fill_controls(&s, wgr_query_set(c->node));
     }
-    s.message.standby = _wgco_stands_by(c, e, now);
+    s.message.standby = _wgco_serves_standby(c, e, now);
     if ((s.message.leads && e->reported) || s.message.standby) {
         s.message.configuration_version = c->documents.version;
         _wgco_fill_targets(c, e, &s, now);
@@ -340,19 +340,19 @@
 /* Send a state and note what the host has then. */
 static void _wgco_send_frame(wgco_control* c, _wgco_entry_t* e, wgn_frame* state, wg_time now) {
     bool leads = c->leads && wgr_leads(c->node, now) && e->reported;
-    bool tells = leads || _wgco_stands_by(c, e, now);
-    if (tells) {
+    bool sends_state = leads || _wgco_serves_standby(c, e, now);
+    if (sends_state) {
         _wgco_send_configuration(c, e);
     }
     if (!wgn_send_frame(c->net, e->link, state)) {
         return;
     }
     e->state_seq = c->state_seq;
-    if (tells) {
+    if (sends_state) {
         e->registry_change = wg_registry_change(c->registry);
         e->quarantine_change = wg_quarantine_change(c->quarantine);
     }
-    if (leads && _wgco_tells_members(c, e, now)) {
+    if (leads && _wgco_sends_members(c, e, now)) {
         e->roster_change = wg_roster_change(c->roster);
     }
 }
@@ -373,21 +373,21 @@
     uint64_t registry_change;
     uint64_t roster_change;
     uint64_t quarantine_change;
-    bool knows_no_members;
+    bool has_no_members;
 } _wgco_shared_t;
 
-static bool _wgco_lacks_the_same(const _wgco_shared_t* shared, const _wgco_entry_t* e) {
+static bool _wgco_can_share_state(const _wgco_shared_t* shared, const _wgco_entry_t* e) {
     return shared->state && shared->registry_change == e->registry_change &&
            shared->roster_change == e->roster_change &&
            shared->quarantine_change == e->quarantine_change &&
-           shared->knows_no_members == e->knows_no_members;
+           shared->has_no_members == e->has_no_members;
 }
 
-static bool _wgco_lacks_something(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static bool _wgco_is_outdated(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     return e->configuration_version < c->documents.version ||
            e->registry_change != wg_registry_change(c->registry) ||
            e->quarantine_change != wg_quarantine_change(c->quarantine) ||
-           _wgco_tells_members(c, e, now);
+           _wgco_sends_members(c, e, now);
 }
 
 /* Tell the entry hosts what they lack; `all`: also those that lack nothing, who leads. */
@@ -402,16 +402,16 @@
     g_hash_table_iter_init(&iter, c->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         _wgco_entry_t* e = value;
-        if (!e->reported || (!all && !_wgco_lacks_something(c, e, now))) {
+        if (!e->reported || (!all && !_wgco_is_outdated(c, e, now))) {
             continue;
         }
-        if (!_wgco_lacks_the_same(&shared, e)) {
+        if (!_wgco_can_share_state(&shared, e)) {
             wgn_frame_unref(shared.state);
             shared = (_wgco_shared_t){.state = _wgco_pack_entry_state(c, e, false, now),
                                       .registry_change = e->registry_change,
                                       .roster_change = e->roster_change,
                                       .quarantine_change = e->quarantine_change,
-                                      .knows_no_members = e->knows_no_members};
+                                      .has_no_members = e->has_no_members};
         }
         _wgco_send_frame(c, e, shared.state, now);
     }
@@ -419,7 +419,7 @@
 }
 
 static void _wgco_push_if_due(wgco_control* c, wg_time now) {
-    wg_time gap = WG_PUSH_GAP_PER_ENTRY * (wg_time)g_hash_table_size(c->entries);
+    wg_time gap = WG_PUSH_INTERVAL_PER_ENTRY * (wg_time)g_hash_table_size(c->entries);
     if (c->push_due && now >= c->pushed_at + gap) {
         _wgco_push(c, false);
     }
@@ -456,22 +456,22 @@
 }
 
 void _wgco_entry_down(wgco_control* c, wgn_link link) {
-    _wgco_entry_t* e = _wgco_entry_of(c, link);
+    _wgco_entry_t* e = _wgco_find_entry(c, link);
     if (e) {
-        _wgco_forget_loads(c, e);
+        _wgco_remove_loads(c, e);
         g_hash_table_remove(c->entries, GUINT_TO_POINTER(link.id));
     }
 }
 
-void _wgco_entry_take_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
-    _wgco_entry_t* e = _wgco_entry_of(c, link);
+void _wgco_entry_receive_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+    _wgco_entry_t* e = _wgco_find_entry(c, link);
     Wgpb__EntryReport* in =
         e ? wgpb__entry_report__unpack(NULL, frame->size, frame->payload) : NULL;
     if (!in) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=entry-report");
         return;
     }
-    e->knows_no_members = e->knows_no_members || (!e->reported && in->members_change == 0);
+    e->has_no_members = e->has_no_members || (!e->reported && in->members_change == 0);
     e->reported = true;
     if (in->state_seen == e->state_seq) { /* else something is on its way to it */
         e->configuration_version = in->configuration_version;
@@ -482,17 +482,17 @@
     e->ready = in->ready;
     e->standby = in->standby;
     e->leaving = in->leaving;
-    _wgco_take_loads(c, e, in);
-    _wgco_take_usage(c, e, in);
-    _wgco_quarantine_take_report(c, e, in);
+    _wgco_replace_loads(c, e, in);
+    _wgco_update_usage(c, e, in);
+    _wgco_quarantine_receive_report(c, e, in);
     if (c->leads) {
-        _wgco_hear_member(c, e, wg_now());
+        _wgco_update_member(c, e, wg_now());
     }
     wgpb__entry_report__free_unpacked(in, NULL);
     _wgco_answer_report(c, e);
 }
 
-void _wgco_entry_push_soon(wgco_control* c) {
+void _wgco_entry_schedule_push(wgco_control* c) {
     c->push_due = true;
 }
 
@@ -516,17 +516,17 @@
 }
 
 void _wgco_entry_tick(wgco_control* c, wg_time now) {
-    _wgco_drop_silent_members(c, now);
+    _wgco_remove_unresponsive_members(c, now);
     _wgco_quarantine_tick(c, now);
     _wgco_push_if_due(c, now);
-    const wg_target* silent =
+    const wg_target* unresponsive =
         wg_registry_silent(c->registry, now, c->settings->target_silent_ms * WG_USEC_PER_MSEC);
-    if (!silent) {
+    if (!unresponsive) {
         return;
     }
     Wgpb__Command command = WGPB__COMMAND__INIT;
     Wgpb__TargetRecord record;
-    wg_target copy = *silent;
+    wg_target copy = *unresponsive;
     copy.state = WG_TARGET_SILENT;
     wg_target_pack(&copy, now, &record);
     command.target = &record;
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -15,44 +15,46 @@
 enum {
     /* Elections that a former majority could hold without reaching the new term: years of them, at
        two a second. */
-    _WGCO_TERMS_APART = 1 << 30,
+    _WGCO_RECOVERY_TERM_GAP = 1 << 30,
     /* For the answer to leave before the pages close. */
-    _WGCO_FORM_DELAY = 100 * WG_USEC_PER_MSEC
+    _WGCO_RECOVERY_REOPEN_DELAY = 100 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-static bool _wgco_refuse_form(GError** error, const char* why, const char* names) {
+static bool _wgco_refuse_recovery(GError** error, const char* why, const char* names) {
     g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT, "%s%s", why, names);
     return false;
 }
 
 /* Could a majority of the voters come back, if those that are named as gone do not? */
-static bool _wgco_check_majority(const wgco_control* c, char** gone, GError** error) {
+static bool _wgco_check_majority(const wgco_control* c, char** lost, GError** error) {
     const wgr_set* set = wgr_query_set(c->node);
-    GString* back = g_string_new(NULL);
+    GString* returning_names = g_string_new(NULL);
     int voters = 0;
     int returning = 0;
     bool good = true;
     for (int i = 0; i < set->num && good; i++) {
         const wgr_replica* replica = &set->replicas[i];
         bool self = replica->id == wgs_query_content(c->store)->identity;
-        bool named = g_strv_contains((const char* const*)gone, replica->name);
+        bool named = g_strv_contains((const char* const*)lost, replica->name);
         if (!replica->voter) {
             continue;
         }
         voters++;
         if (named && (self || _wgco_is_up(c, replica))) {
-            good = _wgco_refuse_form(error, "named as gone, but up: ", replica->name);
+            good = _wgco_refuse_recovery(error, "named as gone, but up: ", replica->name);
         } else if (!named && !wgr_is_known_gone(c->node, replica->id)) {
             returning++;
-            g_string_append_printf(back, "%s%s", back->len ? "," : "", replica->name);
+            g_string_append_printf(returning_names, "%s%s", returning_names->len ? "," : "",
+                                   replica->name);
         }
     }
     if (good && returning > voters / 2) {
-        good = _wgco_refuse_form(error, "a majority may still come back: ", back->str);
+        good =
+            _wgco_refuse_recovery(error, "a majority may still come back: ", returning_names->str);
     }
-    g_string_free(back, TRUE);
+    g_string_free(returning_names, TRUE);
     return good;
 }
 
@@ -70,7 +72,7 @@
                              c->settings->fleet_address[0] ? c->settings->fleet_address
                                                            : c->settings->fleet_listen);
     WG_ASSERT(fits); /* they were taken at the start */
-    uint64_t term = stats.term + _WGCO_TERMS_APART;
+    uint64_t term = stats.term + _WGCO_RECOVERY_TERM_GAP;
     uint64_t cluster = wg_hash(&content->cluster, sizeof content->cluster, term) | 1;
     wgr_entry entry = {.index = stats.last_index + 1, .term = term, .kind = WGR_ENTRY_REPLICAS};
     entry.data = wgr_set_pack(&set);
@@ -82,32 +84,32 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-bool _wgco_form_anew(wgco_control* c, char** gone, GError** error) {
+bool _wgco_recover_set(wgco_control* c, char** lost, GError** error) {
     wgr_stats stats = wgr_query_stats(c->node, wg_now());
     if (stats.role == WGR_ROLE_LEADER || stats.leader != 0) {
-        return _wgco_refuse_form(error, "a replica leads", "");
+        return _wgco_refuse_recovery(error, "a replica leads", "");
     }
     if (stats.last_index == 0) {
-        return _wgco_refuse_form(error, "this replica holds nothing", "");
+        return _wgco_refuse_recovery(error, "this replica holds nothing", "");
     }
-    if (!_wgco_check_majority(c, gone, error)) {
+    if (!_wgco_check_majority(c, lost, error)) {
         return false;
     }
-    char* former = _wgco_describe_set(c);
-    char* names = g_strjoinv(",", gone);
+    char* previous_set = _wgco_describe_set(c);
+    char* names = g_strjoinv(",", lost);
     c->failed = true; /* this start is over: nothing more may be written by it */
     GError* failure = NULL;
     bool good = _wgco_store_new_set(c, &failure);
     wg_log(WG_EVENT_SET_FORMED_ANEW,
            "good=%d gone=%s last=%" G_GUINT64_FORMAT " commit=%" G_GUINT64_FORMAT
            " term=%" G_GUINT64_FORMAT " former: %s",
-           good, names, stats.last_index, stats.commit, stats.term, former);
+           good, names, stats.last_index, stats.commit, stats.term, previous_set);
     g_free(names);
-    g_free(former);
+    g_free(previous_set);
     if (!good) {
         g_propagate_error(error, failure);
     }
-    struct timeval delay = {.tv_usec = _WGCO_FORM_DELAY};
-    event_add(c->disk_event, &delay);
+    struct timeval delay = {.tv_usec = _WGCO_RECOVERY_REOPEN_DELAY};
+    event_add(c->reopen_event, &delay);
     return good;
 }
--- a/lib/control/wg_control_http.c
+++ b/lib/control/wg_control_http.c
@@ -13,10 +13,10 @@
 static bool _wgco_is_operator(wgco_control* c, struct evhttp_request* request) {
     const char* key = wgh_bearer(request);
     uint8_t given[WG_KEY_HASH_SIZE];
-    uint8_t right[WG_KEY_HASH_SIZE];
+    uint8_t expected[WG_KEY_HASH_SIZE];
     wg_key_hash(key ? key : "", given);
-    wg_key_hash(c->settings->operator_key, right);
-    if (key && wgw_proof_equal(given, right)) {
+    wg_key_hash(c->settings->operator_key, expected);
+    if (key && wgw_proof_equal(given, expected)) {
         return true;
     }
     wgh_reply_error(request, &(wgh_error){.status = 401,
@@ -37,7 +37,7 @@
                                           .more = more});
 }
 
-static void _wgco_refuse_bad(struct evhttp_request* request, const char* message) {
+static void _wgco_refuse_bad_request(struct evhttp_request* request, const char* message) {
     wgh_reply_error(request, &(wgh_error){.status = 400,
                                           .code = "bad_request",
                                           .verdict = WG_VERDICT_NOT_RUN,
@@ -100,7 +100,7 @@
     g_free(format);
 }
 
-static void _wgco_forget_request(struct evhttp_connection* connection, void* user_data) {
+static void _wgco_detach_request(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgco_waiter_t* waiter = user_data;
     wgh_request_lost(waiter->request);
@@ -165,7 +165,7 @@
     command.edit = &edit;
     _wgco_waiter_t* waiter = g_new0(_wgco_waiter_t, 1);
     waiter->request = request;
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgco_forget_request,
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgco_detach_request,
                                   waiter);
     if (!_wgco_propose(c, &command.base, waiter)) {
         evhttp_connection_set_closecb(evhttp_request_get_connection(request), NULL, NULL);
@@ -188,7 +188,7 @@
         rows = _wgco_read_rows(json_object_get(json, "rows"), message, sizeof message);
     }
     if (!rows) {
-        _wgco_refuse_bad(request, message);
+        _wgco_refuse_bad_request(request, message);
     } else if (!_wgco_leads_now(c)) {
         _wgco_refuse_not_leader(c, request);
     } else {
@@ -238,11 +238,11 @@
 /* ---- replicas ------------------------------------------------------------------------------ */
 
 /* For a replica that is left: without a leader, so this one decides. */
-static void _wgco_post_form_anew(wgco_control* c, struct evhttp_request* request,
-                                 const char* names) {
-    char** gone = g_strsplit(names, ",", -1);
+static void _wgco_post_recover_set(wgco_control* c, struct evhttp_request* request,
+                                   const char* names) {
+    char** lost = g_strsplit(names, ",", -1);
     GError* error = NULL;
-    if (_wgco_form_anew(c, gone, &error)) {
+    if (_wgco_recover_set(c, lost, &error)) {
         json_t* done = json_object();
         json_object_set_new(done, "outcome", json_string("formed"));
         wgh_reply_json(request, 200, done);
@@ -253,7 +253,7 @@
                                               .message = error->message});
         g_error_free(error);
     }
-    g_strfreev(gone);
+    g_strfreev(lost);
 }
 
 static void _wgco_post_replica(wgco_control* c, struct evhttp_request* request) {
@@ -263,14 +263,14 @@
     const char* name = json_string_value(json_object_get(json, "name"));
     GError* error = NULL;
     bool good = false;
-    const char* gone = json_string_value(json_object_get(json, "gone"));
-    if (action && gone && strcmp(action, "form-anew") == 0) {
-        _wgco_post_form_anew(c, request, gone);
+    const char* lost_names = json_string_value(json_object_get(json, "gone"));
+    if (action && lost_names && strcmp(action, "form-anew") == 0) {
+        _wgco_post_recover_set(c, request, lost_names);
         json_decref(json);
         return;
     }
     if (!json || !action || !name) {
-        _wgco_refuse_bad(request, message[0] ? message : "want action and name");
+        _wgco_refuse_bad_request(request, message[0] ? message : "want action and name");
         json_decref(json);
         return;
     }
@@ -354,7 +354,7 @@
         int at = -1;
         for (const wgt_row* row; (row = wgt_next(c->table, WGT_KIND_WORKSPACE, &at));) {
             uint64_t served = wgf_query_served(c->share, service->id, row->id);
-            if (served == 0 || json_array_size(list) >= _WGCO_SHARES_DUMPED) {
+            if (served == 0 || json_array_size(list) >= _WGCO_DUMP_SHARES_MAX) {
                 continue;
             }
             json_array_append_new(list, json_pack("{s:s,s:s,s:I,s:I}", "service", service->name,
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -12,11 +12,11 @@
     _WGCO_PEERS_MAX = 16,
     _WGCO_ROWS_PER_REPLY = WGT_EDIT_ROWS_MAX + 1,
     _WGCO_FAIRS_MAX = 2048,
-    _WGCO_SHARES_DUMPED = 200,
+    _WGCO_DUMP_SHARES_MAX = 200,
     /* Longest planned stop of a control: two elections of the default waits; at the shortest grace
        time in use (8 s) nobody has to kill it. */
-    _WGCO_STOP_MOST = 3 * WG_USEC_PER_SEC,
-    _WGCO_PLAN_AT_LEAST = 200 * WG_USEC_PER_MSEC /* time between plans when nothing changes */
+    _WGCO_STOP_MAX = 3 * WG_USEC_PER_SEC,
+    _WGCO_PLAN_INTERVAL_MAX = 200 * WG_USEC_PER_MSEC /* time between plans when nothing changes */
 };
 
 /* Another control, as the settings name it. */
@@ -37,7 +37,7 @@
     char name[WG_NAME_MAX];
     uint64_t incarnation;
     wgf_router share;
-    bool reported;
+    bool table_synced;
     bool all_rows;
     uint64_t seq;
     uint64_t report_seq;
@@ -67,7 +67,7 @@
     uint64_t roster_change;         /* the same */
     uint64_t quarantine_change;     /* the same */
     uint64_t state_seq;             /* of the last state that was sent to it */
-    bool knows_no_members;          /* as it came to this leader: any list is better than none */
+    bool has_no_members;            /* as it came to this leader: any list is better than none */
     bool reported;
     bool ready;
     bool standby; /* it takes what a replica without a leader holds */
@@ -92,11 +92,11 @@
 
 /* The newest configuration and those before it (wg_control_document.c). */
 typedef struct {
-    uint64_t version; /* 0: none yet */
-    GBytes* document; /* NULL: none yet */
-    GBytes* packed;   /* the same, as it stands in log and snapshot */
-    wgn_frame* whole; /* for hosts that hold no base; NULL until one needs it */
-    GPtrArray* bases; /* _wgco_base_t*, newest first */
+    uint64_t version;          /* 0: none yet */
+    GBytes* document;          /* NULL: none yet */
+    GBytes* packed;            /* the same, as it stands in log and snapshot */
+    wgn_frame* complete_frame; /* for hosts that hold no base; NULL until one needs it */
+    GPtrArray* bases;          /* _wgco_base_t*, newest first */
 } _wgco_documents_t;
 
 /* Tokens that the fleet served a workspace lately, halved every WG_USAGE_HALF_LIFE. */
@@ -127,12 +127,12 @@
     wgr_role role_logged;
     bool pumping;
     bool failed;          /* something could not be written: this start of the replica is over */
-    bool broken;          /* and the process has to end */
+    bool unrecoverable;   /* and the process has to end */
     wg_time suspended_at; /* since when the disk takes no writes; 0: it does */
-    struct event* disk_event; /* then: the next try */
+    struct event* reopen_event; /* then: the next try */
     bool stopping;
     wg_time stop_at;
-    bool handing_over; /* to a successor, in a planned stop */
+    bool transferring_leadership; /* to a successor, in a planned stop */
 
     /* entry hosts that serve routes (wg_control_entry.c) */
     _wgco_documents_t documents;
@@ -149,12 +149,12 @@
     GHashTable* usage;       /* hash of a workspace -> _wgco_usage_t* */
     wg_time usage_at;
     wg_time led_since;
-    char leader_told[WG_ADDRESS_MAX]; /* address that entry hosts were last told; "" none */
-    wgn_link word_link;               /* to the entry host at a seed */
-    int word_next;                    /* seed whose turn it is */
-    wg_time word_at;
-    char word_seeds[WG_CONTROL_SEEDS_MAX][WG_NAME_MAX]; /* ips */
-    int word_seeds_num;
+    char announced_leader[WG_ADDRESS_MAX]; /* address that entry hosts were last told; "" none */
+    wgn_link announce_link;                /* to the entry host at a seed */
+    int announce_next;                     /* seed whose turn it is */
+    wg_time announce_at;
+    char announce_seeds[WG_CONTROL_SEEDS_MAX][WG_NAME_MAX]; /* ips */
+    int announce_seeds_num;
     bool discovers; /* other controls are found through seeds */
     bool observer;  /* has no data folder: does nothing, never votes */
 
@@ -168,7 +168,7 @@
     wg_time planned_at;
 
     /* what is told of trouble that lasts (wg_control_watch.c) */
-    wg_pulse pulse;
+    wg_pulse loop_lag;
     wg_absence leaderless;
 
     /* counters */
@@ -191,7 +191,7 @@
 /* operators (wg_control_form.c) */
 /* Go on alone, without the voters of these names, NULL at the end; the replica opens its folder
    again a moment later. False with the reason when a majority may still come back. */
-bool _wgco_form_anew(wgco_control* c, char** gone, GError** error);
+bool _wgco_recover_set(wgco_control* c, char** lost, GError** error);
 
 /* links (wg_control.c) */
 void _wgco_on_up(wgn_link link, const wgn_peer* peer, void* user_data);
@@ -200,7 +200,7 @@
 
 /* replication (wg_control_log.c) */
 void _wgco_pump(wgco_control* c);
-void _wgco_take_quorum(wgco_control* c, const wgw_frame* frame);
+void _wgco_receive_quorum(wgco_control* c, const wgw_frame* frame);
 bool _wgco_propose(wgco_control* c, const ProtobufCMessage* command, _wgco_waiter_t* waiter);
 void _wgco_fail_waiters(wgco_control* c);
 bool _wgco_load_state(wgco_control* c, GBytes* state);
@@ -212,9 +212,9 @@
 void _wgco_lead_end(wgco_control* c);
 void _wgco_router_up(wgco_control* c, wgn_link link, const wgn_peer* peer);
 void _wgco_router_down(wgco_control* c, wgn_link link);
-void _wgco_take_report(wgco_control* c, wgn_link link, const wgw_frame* frame);
-void _wgco_take_row_query(wgco_control* c, wgn_link link, const wgw_frame* frame);
-void _wgco_take_claim(wgco_control* c, wgn_link link, const wgw_frame* frame);
+void _wgco_receive_report(wgco_control* c, wgn_link link, const wgw_frame* frame);
+void _wgco_receive_row_query(wgco_control* c, wgn_link link, const wgw_frame* frame);
+void _wgco_receive_claim(wgco_control* c, wgn_link link, const wgw_frame* frame);
 void _wgco_answer_claim(wgco_control* c, wgn_link link, uint64_t ticket, wgk_outcome outcome,
                         const Wgpb__ClaimEnd* end);
 void _wgco_table_changed(wgco_control* c, uint64_t before);
@@ -226,18 +226,18 @@
 void _wgco_entry_shutdown(wgco_control* c);
 void _wgco_entry_up(wgco_control* c, wgn_link link, const wgn_peer* peer);
 void _wgco_entry_down(wgco_control* c, wgn_link link);
-void _wgco_entry_take_report(wgco_control* c, wgn_link link, const wgw_frame* frame);
+void _wgco_entry_receive_report(wgco_control* c, wgn_link link, const wgw_frame* frame);
 void _wgco_entry_lead_begin(wgco_control* c, wg_time now);
 void _wgco_entry_lead_end(wgco_control* c);
 void _wgco_entry_tick(wgco_control* c, wg_time now);
 /* Something changed: entry hosts are told with the next push. */
-void _wgco_entry_push_soon(wgco_control* c);
+void _wgco_entry_schedule_push(wgco_control* c);
 /* As a follower: tell every entry host here where the leader is. */
 void _wgco_entry_redirect(wgco_control* c);
 
 /* orders of entry hosts, and what became of them (wg_control_orders.c) */
-void _wgco_take_order(wgco_control* c, wgn_link link, const wgw_frame* frame);
-void _wgco_order_answer(wgco_control* c, const _wgco_waiter_t* waiter, bool agreed);
+void _wgco_receive_order(wgco_control* c, wgn_link link, const wgw_frame* frame);
+void _wgco_complete_order(wgco_control* c, const _wgco_waiter_t* waiter, bool committed);
 void _wgco_apply_configuration(wgco_control* c, const Wgpb__Configuration* in);
 void _wgco_apply_target(wgco_control* c, const Wgpb__TargetRecord* in);
 void _wgco_apply_evacuation(wgco_control* c, const Wgpb__Evacuation* in);
@@ -245,8 +245,8 @@
 /* requests that end targets (wg_control_quarantine.c) */
 void _wgco_quarantine_setup(wgco_control* c);
 void _wgco_quarantine_shutdown(wgco_control* c);
-void _wgco_quarantine_take_report(wgco_control* c, const _wgco_entry_t* e,
-                                  const Wgpb__EntryReport* in);
+void _wgco_quarantine_receive_report(wgco_control* c, const _wgco_entry_t* e,
+                                     const Wgpb__EntryReport* in);
 /* As leader: propose what is due to begin or to end. */
 void _wgco_quarantine_tick(wgco_control* c, wg_time now);
 void _wgco_apply_quarantine(wgco_control* c, const Wgpb__Quarantine* in);
@@ -265,23 +265,23 @@
 bool _wgco_documents_fill(const _wgco_documents_t* d, Wgpb__Configuration* out);
 
 /* discovery of other controls (wg_control_discovery.c) */
-bool _wgco_discovery_seeds(wgco_control* c, const wgco_settings* settings, GError** error);
+bool _wgco_discovery_set_seeds(wgco_control* c, const wgco_settings* settings, GError** error);
 /* On the first start of a fleet, the seeds form the first set of replicas, each for itself. */
-bool _wgco_discovery_form(wgco_control* c, GError** error);
+bool _wgco_discovery_bootstrap(wgco_control* c, GError** error);
 /* A control that connected, or that stands in the set, is one to be dialled. */
-void _wgco_discovery_learn(wgco_control* c, const char* name, const char* address);
+void _wgco_discovery_add_peer(wgco_control* c, const char* name, const char* address);
 /* Know the replicas of the set; give the entry hosts at the seeds word of this control. */
 void _wgco_discovery_tick(wgco_control* c, wg_time now);
 /* Is this a link on which word is given to a seed? */
-bool _wgco_discovery_is_word(const wgco_control* c, wgn_link link);
-/* An entry host tells of the controls that it knows. */
-void _wgco_discovery_take_word(wgco_control* c, const wgw_frame* frame);
+bool _wgco_discovery_is_announcement(const wgco_control* c, wgn_link link);
+/* An entry host sends_state of the controls that it knows. */
+void _wgco_discovery_receive_controls(wgco_control* c, const wgw_frame* frame);
 
 /* what this control sees of itself and of the set (wg_control_watch.c) */
 /* A line when the loop turned late, or when nobody has led for a while. */
 void _wgco_watch_tick(wgco_control* c, wg_time now);
-/* A leader that stood still before this tick has heard nobody meanwhile. */
-void _wgco_watch_spare(wgco_control* c, wg_time now);
+/* A leader that stalled still before this tick has heard nobody meanwhile. */
+void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now);
 /* The set as a log line's detail: voters, learners, and those whose link is down; the caller frees
    it. */
 bool _wgco_is_up(const wgco_control* c, const wgr_replica* replica);
--- a/lib/control/wg_control_log.c
+++ b/lib/control/wg_control_log.c
@@ -158,7 +158,7 @@
 
 /* ---- helpers: applying --------------------------------------------------------------------- */
 
-static _wgco_waiter_t* _wgco_take_waiter(wgco_control* c, uint64_t index) {
+static _wgco_waiter_t* _wgco_pop_waiter(wgco_control* c, uint64_t index) {
     _wgco_waiter_t* waiter = g_queue_peek_head(&c->waiters);
     if (!waiter || waiter->index != index) {
         return NULL;
@@ -231,7 +231,7 @@
         _wgco_apply_quarantine(c, command->quarantine);
     }
     if (waiter && waiter->order) {
-        _wgco_order_answer(c, waiter, true);
+        _wgco_complete_order(c, waiter, true);
     }
     wgpb__command__free_unpacked(command, NULL);
 }
@@ -240,14 +240,14 @@
     WG_ASSERT(entry->index == c->applied + 1);
     c->applied = entry->index;
     c->applied_term = entry->term;
-    _wgco_waiter_t* waiter = _wgco_take_waiter(c, entry->index);
+    _wgco_waiter_t* waiter = _wgco_pop_waiter(c, entry->index);
     if (waiter && waiter->term != entry->term) {
         /* Another leader's entry stands where ours was to be: ours may still be accepted. */
         if (waiter->request) {
             _wgco_answer_unknown(waiter->request);
         }
         if (waiter->order) {
-            _wgco_order_answer(c, waiter, false);
+            _wgco_complete_order(c, waiter, false);
         }
         g_free(waiter);
         waiter = NULL;
@@ -335,7 +335,7 @@
     c->pumping = false;
 }
 
-void _wgco_take_quorum(wgco_control* c, const wgw_frame* frame) {
+void _wgco_receive_quorum(wgco_control* c, const wgw_frame* frame) {
     Wgpb__Quorum* in = wgpb__quorum__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=quorum-message");
@@ -374,7 +374,7 @@
             _wgco_answer_unknown(waiter->request);
         }
         if (waiter->order) {
-            _wgco_order_answer(c, waiter, false);
+            _wgco_complete_order(c, waiter, false);
         }
         g_free(waiter);
     }
--- a/lib/control/wg_control_orders.c
+++ b/lib/control/wg_control_orders.c
@@ -18,7 +18,7 @@
     wgn_send(c->net, link, WGW_TYPE_ORDER_ANSWER, &answer.base);
 }
 
-static void _wgco_answer_read(wgco_control* c, wgn_link link, uint64_t ticket) {
+static void _wgco_answer_configuration(wgco_control* c, wgn_link link, uint64_t ticket) {
     Wgpb__Configuration configuration;
     if (!_wgco_documents_fill(&c->documents, &configuration)) {
         _wgco_answer_order(c, link, ticket, WG_ORDER_NOTHING);
@@ -59,12 +59,12 @@
 }
 
 static void _wgco_order_target(wgco_control* c, wgn_link link, const Wgpb__Order* in) {
-    wg_target heard;
-    if (!wg_target_unpack(in->target, wg_now(), &heard)) {
+    wg_target update;
+    if (!wg_target_unpack(in->target, wg_now(), &update)) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
         return;
     }
-    if (wg_registry_hear(c->registry, wg_now(), &heard) != WG_HEARD_CHANGE) {
+    if (wg_registry_hear(c->registry, wg_now(), &update) != WG_HEARD_CHANGE) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_DONE);
         return;
     }
@@ -102,7 +102,7 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-void _wgco_take_order(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+void _wgco_receive_order(wgco_control* c, wgn_link link, const wgw_frame* frame) {
     Wgpb__Order* in = wgpb__order__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=order");
@@ -111,7 +111,7 @@
     if (!c->leads || !wgr_leads(c->node, wg_now())) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_NOT_LEADER);
     } else if (in->read_configuration) {
-        _wgco_answer_read(c, link, in->ticket);
+        _wgco_answer_configuration(c, link, in->ticket);
     } else if (in->configuration) {
         _wgco_order_configuration(c, link, in);
     } else if (in->target) {
@@ -126,12 +126,13 @@
     wgpb__order__free_unpacked(in, NULL);
 }
 
-void _wgco_order_answer(wgco_control* c, const _wgco_waiter_t* waiter, bool agreed) {
-    _wgco_answer_order(c, waiter->link, waiter->ticket, agreed ? WG_ORDER_DONE : WG_ORDER_UNKNOWN);
+void _wgco_complete_order(wgco_control* c, const _wgco_waiter_t* waiter, bool committed) {
+    _wgco_answer_order(c, waiter->link, waiter->ticket,
+                       committed ? WG_ORDER_DONE : WG_ORDER_UNKNOWN);
 }
 
 /* On which replicas it stands is known to the leader only, and not while a snapshot is read. */
-static void _wgco_log_agreed(const wgco_control* c) {
+static void _wgco_log_configuration(const wgco_control* c) {
     char* holders = c->node && c->leads ? _wgco_describe_holders(c, c->applied) : g_strdup("-");
     wg_log(WG_EVENT_CONFIGURATION_AGREED,
            "version=%" G_GUINT64_FORMAT " index=%" G_GUINT64_FORMAT " term=%" G_GUINT64_FORMAT
@@ -144,8 +145,8 @@
 void _wgco_apply_configuration(wgco_control* c, const Wgpb__Configuration* in) {
     GError* error = NULL;
     if (_wgco_documents_apply(&c->documents, in, &error)) {
-        _wgco_log_agreed(c);
-        _wgco_entry_push_soon(c);
+        _wgco_log_configuration(c);
+        _wgco_entry_schedule_push(c);
     } else if (error) {
         wg_log(WG_EVENT_CONFIGURATION_REFUSED, "version=%" G_GUINT64_FORMAT " %s", in->version,
                error->message);
@@ -166,7 +167,7 @@
                " cold_ms=%" G_GUINT64_FORMAT,
                record.id, record.address, record.state, record.sequence,
                in->cold_us / WG_USEC_PER_MSEC);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
 
@@ -177,6 +178,6 @@
     if (wg_registry_evacuate(c->registry, wg_now(), &evacuation)) {
         wg_log(WG_EVENT_EVACUATION_AGREED, "data_centre=%s begins=%d cold_ms=%" G_GUINT64_FORMAT,
                in->data_centre, in->begins, in->cold_us / WG_USEC_PER_MSEC);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -15,7 +15,7 @@
     _WGCO_SUSPECTS_MAX = 4096,
     /* Before the same is proposed again: longer than an entry of the log takes (0.1 s on slow
        disks). */
-    _WGCO_QUARANTINE_ASK_GAP = 500 * WG_USEC_PER_MSEC
+    _WGCO_QUARANTINE_PROPOSE_INTERVAL = 500 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers: evidence --------------------------------------------------------------------- */
@@ -27,17 +27,17 @@
            wg_copy_name(crash->path, sizeof crash->path, in->path);
 }
 
-static void _wgco_take_crash(wgco_control* c, const _wgco_entry_t* e, const Wgpb__Crash* in,
-                             wg_time now) {
+static void _wgco_receive_crash(wgco_control* c, const _wgco_entry_t* e, const Wgpb__Crash* in,
+                                wg_time now) {
     wg_crash crash;
     if (!_wgco_unpack_crash(in, &crash)) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=crash-evidence entry=%s", e->name);
         return;
     }
     const wg_suspect* before = wg_suspects_find(c->suspects, crash.fingerprint);
-    int ends = before ? before->targets_num : 0;
+    int targets_before = before ? before->targets_num : 0;
     const wg_suspect* suspect = wg_suspects_add(c->suspects, now, &crash);
-    if (suspect && ends > 0 && suspect->targets_num > ends) {
+    if (suspect && targets_before > 0 && suspect->targets_num > targets_before) {
         wg_log(WG_EVENT_SUSPECT_SEEN_AGAIN,
                "fingerprint=%016" G_GINT64_MODIFIER
                "x workspace=%s path=%s ends=%d target=%u early=%d entry=%s due=%d",
@@ -46,7 +46,7 @@
     }
 }
 
-static void _wgco_take_ended_well(wgco_control* c, uint64_t fingerprint, wg_time now) {
+static void _wgco_receive_ended_well(wgco_control* c, uint64_t fingerprint, wg_time now) {
     wg_quarantined* entry = wg_quarantine_find(c->quarantine, fingerprint);
     wg_suspects_clear(c->suspects, now, fingerprint);
     if (entry) {
@@ -73,17 +73,17 @@
     _wgco_propose_quarantine(c, &change);
 }
 
-static bool _wgco_was_asked(wg_time asked_at, wg_time now) {
-    return asked_at && now - asked_at < _WGCO_QUARANTINE_ASK_GAP;
+static bool _wgco_was_proposed(wg_time asked_at, wg_time now) {
+    return asked_at && now - asked_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
 }
 
 /* A suspect whose quarantine is due and not asked for; NULL: none. */
-static wg_suspect* _wgco_next_due(const wgco_control* c, wg_time now) {
+static wg_suspect* _wgco_next_to_begin(const wgco_control* c, wg_time now) {
     GPtrArray* list = wg_suspects_list(c->suspects);
     wg_suspect* due = NULL;
     for (guint i = 0; i < list->len && !due; i++) {
         wg_suspect* suspect = list->pdata[i];
-        if (wg_suspect_is_due(suspect) && !_wgco_was_asked(suspect->asked_at, now) &&
+        if (wg_suspect_is_due(suspect) && !_wgco_was_proposed(suspect->asked_at, now) &&
             !wg_quarantine_holds(c->quarantine, suspect->fingerprint)) {
             due = suspect;
         }
@@ -100,11 +100,11 @@
 }
 
 /* An entry whose end is due and not asked for; NULL: none. */
-static wg_quarantined* _wgco_next_over(const wgco_control* c, wg_time now) {
+static wg_quarantined* _wgco_next_to_end(const wgco_control* c, wg_time now) {
     wg_quarantined* entry;
     for (int i = 0; (entry = wg_quarantine_at(c->quarantine, i)); i++) {
-        bool over = entry->ended_well || now >= entry->until;
-        if (over && !_wgco_was_asked(entry->asked_at, now)) {
+        bool due = entry->ended_well || now >= entry->until;
+        if (due && !_wgco_was_proposed(entry->asked_at, now)) {
             return entry;
         }
     }
@@ -114,16 +114,16 @@
 /* What is proposed may be applied before the call returns, which changes both lists: they are
    looked through anew for each. */
 static void _wgco_propose_due(wgco_control* c, wg_time now) {
-    wg_suspect* due;
-    wg_quarantined* over;
-    while ((due = _wgco_next_due(c, now))) {
-        due->asked_at = now;
-        _wgco_begin_quarantine(c, due, now);
+    wg_suspect* beginning;
+    wg_quarantined* ending;
+    while ((beginning = _wgco_next_to_begin(c, now))) {
+        beginning->asked_at = now;
+        _wgco_begin_quarantine(c, beginning, now);
     }
-    while ((over = _wgco_next_over(c, now))) {
-        over->asked_at = now;
-        _wgco_end_quarantine(c, over->fingerprint,
-                             over->ended_well ? WG_QUARANTINE_END_WELL : WG_QUARANTINE_END_TIME);
+    while ((ending = _wgco_next_to_end(c, now))) {
+        ending->asked_at = now;
+        _wgco_end_quarantine(c, ending->fingerprint,
+                             ending->ended_well ? WG_QUARANTINE_END_WELL : WG_QUARANTINE_END_TIME);
     }
 }
 
@@ -139,14 +139,14 @@
     g_clear_pointer(&c->suspects, wg_suspects_shutdown);
 }
 
-void _wgco_quarantine_take_report(wgco_control* c, const _wgco_entry_t* e,
-                                  const Wgpb__EntryReport* in) {
+void _wgco_quarantine_receive_report(wgco_control* c, const _wgco_entry_t* e,
+                                     const Wgpb__EntryReport* in) {
     wg_time now = wg_now();
     for (size_t i = 0; i < in->n_crashes; i++) {
-        _wgco_take_crash(c, e, in->crashes[i], now);
+        _wgco_receive_crash(c, e, in->crashes[i], now);
     }
     for (size_t i = 0; i < in->n_ended_well; i++) {
-        _wgco_take_ended_well(c, in->ended_well[i], now);
+        _wgco_receive_ended_well(c, in->ended_well[i], now);
     }
     if (c->leads && (in->n_crashes > 0 || in->n_ended_well > 0)) {
         _wgco_propose_due(c, now);
@@ -154,7 +154,7 @@
 }
 
 void _wgco_quarantine_tick(wgco_control* c, wg_time now) {
-    if (now - c->quarantine_at < _WGCO_QUARANTINE_ASK_GAP) {
+    if (now - c->quarantine_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL) {
         return;
     }
     c->quarantine_at = now;
@@ -187,7 +187,7 @@
                "fingerprint=%016" G_GINT64_MODIFIER "x workspace=%s path=%s", dropped.fingerprint,
                dropped.workspace, dropped.path);
     }
-    _wgco_entry_push_soon(c);
+    _wgco_entry_schedule_push(c);
 }
 
 json_t* _wgco_quarantine_dump(const wgco_control* c) {
--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -6,7 +6,7 @@
 
 /* ---- helpers: sessions --------------------------------------------------------------------- */
 
-static _wgco_session_t* _wgco_session(wgco_control* c, wgn_link link) {
+static _wgco_session_t* _wgco_find_session(wgco_control* c, wgn_link link) {
     for (int i = 0; i < _WGCO_ROUTERS_MAX; i++) {
         if (c->sessions[i].live && c->sessions[i].link.id == link.id) {
             return &c->sessions[i];
@@ -15,7 +15,7 @@
     return NULL;
 }
 
-static void _wgco_session_share(wgco_control* c, _wgco_session_t* s, wg_time now) {
+static void _wgco_session_join_share(wgco_control* c, _wgco_session_t* s, wg_time now) {
     const wgn_peer* peer = wgn_query_peer(c->net, s->link);
     s->share = wgf_router_up(c->share, now, s->name, s->incarnation, peer ? peer->data_centre : "");
 }
@@ -95,7 +95,7 @@
         s->table_version = 0;
         num = wgt_changes(c->table, 0, scratch->changed, _WGCO_ROWS_PER_REPLY, &more);
     }
-    bool first_fill = !s->all_rows && !s->reported;
+    bool first_fill = !s->all_rows && !s->table_synced;
     reply->rows = scratch->row_list;
     for (int i = 0; i < num; i++) {
         const wgt_row* row = scratch->changed[i];
@@ -109,7 +109,7 @@
     }
     if (!more) {
         s->table_version = wgt_version(c->table);
-        s->reported = true;
+        s->table_synced = true;
     }
     reply->more_rows = more;
     reply->table_version = s->table_version;
@@ -216,15 +216,15 @@
 
 /* ---- helpers: reports ---------------------------------------------------------------------- */
 
-static void _wgco_hear_member(wgco_control* c, const _wgco_session_t* s, bool leaving,
-                              wg_time now) {
+static void _wgco_update_member(wgco_control* c, const _wgco_session_t* s, bool leaving,
+                                wg_time now) {
     const wgn_peer* peer = wgn_query_peer(c->net, s->link);
-    wgm_member heard = {.incarnation = s->incarnation,
-                        .state = leaving ? WGM_STATE_LEAVING : WGM_STATE_UP};
-    wg_copy_name(heard.name, sizeof heard.name, s->name);
-    wg_copy_name(heard.address, sizeof heard.address, peer->address);
-    wg_copy_name(heard.data_centre, sizeof heard.data_centre, peer->data_centre);
-    wgm_event event = wgm_heard(c->members, now, &heard);
+    wgm_member update = {.incarnation = s->incarnation,
+                         .state = leaving ? WGM_STATE_LEAVING : WGM_STATE_UP};
+    wg_copy_name(update.name, sizeof update.name, s->name);
+    wg_copy_name(update.address, sizeof update.address, peer->address);
+    wg_copy_name(update.data_centre, sizeof update.data_centre, peer->data_centre);
+    wgm_event event = wgm_heard(c->members, now, &update);
     if (event == WGM_EVENT_UP || event == WGM_EVENT_RESTARTED) {
         wg_log(WG_EVENT_MEMBER_UP, "router=%s", s->name);
     } else if (event == WGM_EVENT_LEAVING) {
@@ -289,7 +289,7 @@
     for (int i = 0; i < _WGCO_ROUTERS_MAX; i++) {
         _wgco_session_t* s = &c->sessions[i];
         if (s->live) {
-            _wgco_session_share(c, s, now);
+            _wgco_session_join_share(c, s, now);
             s->report_seq = 0;
             s->member_version = 0;
             /* It reported to a follower; let it know whom it talks to now. */
@@ -347,12 +347,12 @@
 }
 
 void _wgco_routers_tick(wgco_control* c, wg_time now) {
-    const wgm_member* gone;
-    while ((gone = wgm_tick(c->members, now))) {
-        wg_log(WG_EVENT_MEMBER_GONE, "router=%s", gone->name);
+    const wgm_member* removed;
+    while ((removed = wgm_tick(c->members, now))) {
+        wg_log(WG_EVENT_MEMBER_GONE, "router=%s", removed->name);
     }
     /* Leases also end when nobody reports anything new. */
-    if (now - c->planned_at >= _WGCO_PLAN_AT_LEAST) {
+    if (now - c->planned_at >= _WGCO_PLAN_INTERVAL_MAX) {
         _wgco_schedule_plan(c);
     }
 }
@@ -368,7 +368,7 @@
         *s = (_wgco_session_t){.live = true, .link = link, .incarnation = peer->incarnation};
         wg_copy_name(s->name, sizeof s->name, peer->name);
         if (c->leads) {
-            _wgco_session_share(c, s, wg_now());
+            _wgco_session_join_share(c, s, wg_now());
         }
         return;
     }
@@ -376,14 +376,14 @@
 }
 
 void _wgco_router_down(wgco_control* c, wgn_link link) {
-    _wgco_session_t* s = _wgco_session(c, link);
+    _wgco_session_t* s = _wgco_find_session(c, link);
     if (s) {
         s->live = false; /* its leases run on until their term ends */
     }
 }
 
-void _wgco_take_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
-    _wgco_session_t* s = _wgco_session(c, link);
+void _wgco_receive_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+    _wgco_session_t* s = _wgco_find_session(c, link);
     Wgpb__Report* in = s ? wgpb__report__unpack(NULL, frame->size, frame->payload) : NULL;
     if (!in) {
         return;
@@ -396,7 +396,7 @@
     s->all_rows = in->all_rows;
     if (first || in->full) {
         s->table_version = in->table_version;
-        s->reported = in->table_version > 0;
+        s->table_synced = in->table_version > 0;
         s->member_version = 0;
     }
     if (c->leads) {
@@ -405,7 +405,7 @@
             s->report_seq = 0;
         } else {
             _wgco_merge_report(c, s, in, now);
-            _wgco_hear_member(c, s, in->leaving, now);
+            _wgco_update_member(c, s, in->leaving, now);
             if (in->full || in->n_accounts > 0 || in->n_held > 0) {
                 _wgco_schedule_plan(c);
             }
@@ -415,7 +415,7 @@
     _wgco_send_reply(c, s, true);
 }
 
-void _wgco_take_row_query(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+void _wgco_receive_row_query(wgco_control* c, wgn_link link, const wgw_frame* frame) {
     Wgpb__RowQuery* in = wgpb__row_query__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         return;
@@ -447,7 +447,7 @@
     wgn_send(c->net, link, WGW_TYPE_CLAIM_ANSWER, &answer.base);
 }
 
-void _wgco_take_claim(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+void _wgco_receive_claim(wgco_control* c, wgn_link link, const wgw_frame* frame) {
     Wgpb__ClaimAsk* in = wgpb__claim_ask__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         return;
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -14,7 +14,7 @@
     _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* a larger set could not be agreed on */
     /* Between two tries to write: short beside what a change may take to be acknowledged (seconds),
        long beside a try (a few system calls). */
-    WG_DISK_RETRY = 200 * WG_USEC_PER_MSEC
+    WG_DISK_RETRY_INTERVAL = 200 * WG_USEC_PER_MSEC
 };
 
 static uint64_t _wgco_random(void) {
@@ -57,7 +57,7 @@
 }
 
 /* With a fixed list of controls an operator decides who takes whose place. */
-static wg_time _wgco_gone_after(const wgco_control* c) {
+static wg_time _wgco_replica_timeout(const wgco_control* c) {
     const wgco_settings* s = c->settings;
     int64_t gone_ms = MAX(s->replica_gone_ms, s->election_max_ms);
     return c->discovers ? gone_ms * WG_USEC_PER_MSEC : 0;
@@ -94,7 +94,7 @@
                                     .election_min = s->election_min_ms * WG_USEC_PER_MSEC,
                                     .election_max = s->election_max_ms * WG_USEC_PER_MSEC,
                                     .heartbeat = s->heartbeat_ms * WG_USEC_PER_MSEC,
-                                    .gone_after = _wgco_gone_after(c),
+                                    .gone_after = _wgco_replica_timeout(c),
                                     .losses = (int)CLAMP(s->losses, 1, _WGCO_LOSSES_MAX),
                                     .log_keep = (int)s->log_keep},
                         error);
@@ -136,7 +136,7 @@
 static bool _wgco_open(wgco_control* c, GError** error) {
     _wgco_entry_setup(c);
     _wgco_quarantine_setup(c);
-    return (!c->discovers || _wgco_discovery_form(c, error)) && _wgco_open_state(c, error) &&
+    return (!c->discovers || _wgco_discovery_bootstrap(c, error)) && _wgco_open_state(c, error) &&
            _wgco_open_links(c, error);
 }
 
@@ -157,18 +157,18 @@
         c->peers[i].link = (wgn_link){0};
         c->peers[i].up = false;
     }
-    c->word_link = (wgn_link){0};
+    c->announce_link = (wgn_link){0};
     c->role_logged = WGR_ROLE_DEFAULT;
-    c->leader_told[0] = 0;
+    c->announced_leader[0] = 0;
     c->failed = false;
 }
 
-static void _wgco_retry_later(wgco_control* c) {
-    struct timeval wait = {.tv_usec = WG_DISK_RETRY};
-    event_add(c->disk_event, &wait);
+static void _wgco_schedule_reopen(wgco_control* c) {
+    struct timeval wait = {.tv_usec = WG_DISK_RETRY_INTERVAL};
+    event_add(c->reopen_event, &wait);
 }
 
-static void _wgco_on_disk(evutil_socket_t fd, short what, void* user_data) {
+static void _wgco_on_reopen(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     wgco_control* c = user_data;
@@ -189,10 +189,10 @@
     }
     if (!g_error_matches(error, WG_ERROR, WG_ERROR_DISK)) {
         wg_log(WG_EVENT_STORE_FAILED, "%s", error->message);
-        c->broken = true;
+        c->unrecoverable = true;
         event_base_loopbreak(c->base);
     } else {
-        _wgco_retry_later(c);
+        _wgco_schedule_reopen(c);
     }
     g_error_free(error);
 }
@@ -205,7 +205,7 @@
 
 bool _wgco_start(wgco_control* c, GError** error) {
     GError* failure = NULL;
-    c->disk_event = evtimer_new(c->base, _wgco_on_disk, c);
+    c->reopen_event = evtimer_new(c->base, _wgco_on_reopen, c);
     if (_wgco_open(c, &failure)) {
         return true;
     }
@@ -216,15 +216,15 @@
     _wgco_close(c);
     _wgco_suspend(c, failure);
     g_error_free(failure);
-    _wgco_retry_later(c);
+    _wgco_schedule_reopen(c);
     return true;
 }
 
 void _wgco_end(wgco_control* c) {
     _wgco_close(c);
-    if (c->disk_event) {
-        event_free(c->disk_event);
-        c->disk_event = NULL;
+    if (c->reopen_event) {
+        event_free(c->reopen_event);
+        c->reopen_event = NULL;
     }
 }
 
@@ -236,11 +236,12 @@
     if (g_error_matches(error, WG_ERROR, WG_ERROR_DISK)) {
         struct timeval at_once = {0};
         _wgco_suspend(c, error);
-        event_add(c->disk_event, &at_once); /* from the loop: a link's callback may be under way */
+        event_add(c->reopen_event,
+                  &at_once); /* from the loop: a link's callback may be under way */
     } else {
         wg_log(WG_EVENT_STORE_FAILED, "%s", error->message);
         c->failed = true;
-        c->broken = true;
+        c->unrecoverable = true;
         event_base_loopbreak(c->base);
     }
     g_error_free(error);
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -86,7 +86,7 @@
     }
 }
 
-static void _wgco_tell_missing_leader(wgco_control* c, wg_time now) {
+static void _wgco_log_missing_leader(wgco_control* c, wg_time now) {
     wgr_stats stats = wgr_query_stats(c->node, now);
     bool own = stats.role == WGR_ROLE_LEADER;
     bool present = own ? wgr_leads(c->node, now) : stats.leader != 0;
@@ -141,26 +141,26 @@
 
 /* Counted as silence, time in which nobody listened would end targets, entry hosts and routers that
    were there all the time, before what they sent meanwhile is read. */
-void _wgco_watch_spare(wgco_control* c, wg_time now) {
+void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now) {
     enum {
-        STOOD_STILL = 300 * WG_USEC_PER_MSEC /* three reports of an entry host */
+        STALL_MIN = 300 * WG_USEC_PER_MSEC /* three reports of an entry host */
     };
-    wg_time stood = c->pulse.last;
-    if (stood > STOOD_STILL) {
-        wg_registry_spare(c->registry, now, stood);
-        wg_roster_spare(c->roster, now, stood);
-        wgm_spare(c->members, now, stood);
+    wg_time stalled = c->loop_lag.last;
+    if (stalled > STALL_MIN) {
+        wg_registry_spare(c->registry, now, stalled);
+        wg_roster_spare(c->roster, now, stalled);
+        wgm_spare(c->members, now, stalled);
     }
 }
 
 void _wgco_watch_tick(wgco_control* c, wg_time now) {
-    wg_time late;
+    wg_time lag;
     wg_time period = c->settings->tick_ms * WG_USEC_PER_MSEC;
-    if (wg_pulse_beat(&c->pulse, now, period, &late)) {
+    if (wg_pulse_beat(&c->loop_lag, now, period, &lag)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " leads=%d entries=%u",
-               late / WG_USEC_PER_MSEC, c->leads, g_hash_table_size(c->entries));
+               lag / WG_USEC_PER_MSEC, c->leads, g_hash_table_size(c->entries));
     }
-    _wgco_tell_missing_leader(c, now);
+    _wgco_log_missing_leader(c, now);
 }
 
 void _wgco_watch_metrics(const wgco_control* c, GString* out) {
@@ -174,5 +174,5 @@
                            "walnutgate_leaderless_seconds %.3f\n",
                            voters, _wgco_voters_up(c), set->num - voters,
                            (double)wg_absence_length(&c->leaderless, wg_now()) / WG_USEC_PER_SEC);
-    wg_hist_print(&c->pulse.late, "walnutgate_loop_late_seconds", "", 1e6, out);
+    wg_hist_print(&c->loop_lag.late, "walnutgate_loop_late_seconds", "", 1e6, out);
 }
--- a/lib/document/wg_document.c
+++ b/lib/document/wg_document.c
@@ -15,11 +15,11 @@
 
 /* log2 of a window that reaches from the end of the document to the start of its base. */
 static int wg_document_window(size_t size, size_t base_size) {
-    int log = WG_DOCUMENT_WINDOW_MIN;
-    while (log < WG_DOCUMENT_WINDOW_MAX && ((size_t)1 << log) < size + base_size) {
-        log++;
+    int window_log = WG_DOCUMENT_WINDOW_MIN;
+    while (window_log < WG_DOCUMENT_WINDOW_MAX && ((size_t)1 << window_log) < size + base_size) {
+        window_log++;
     }
-    return log;
+    return window_log;
 }
 
 static GBytes* wg_document_error(GError** error, const char* why) {
@@ -42,34 +42,35 @@
         ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog, window);
         ZSTD_CCtx_refPrefix(context, base_data, base_size);
     }
-    size_t most = ZSTD_compressBound(size);
-    void* packed = g_malloc(most);
-    size_t packed_size = ZSTD_compress2(context, packed, most, data, size);
+    size_t packed_max = ZSTD_compressBound(size);
+    void* packed = g_malloc(packed_max);
+    size_t packed_size = ZSTD_compress2(context, packed, packed_max, data, size);
     ZSTD_freeCCtx(context);
     WG_ASSERT(!ZSTD_isError(packed_size)); /* there is room for the worst case */
     return g_bytes_new_take(g_realloc(packed, MAX(packed_size, 1)), packed_size);
 }
 
 GBytes* wg_document_unpack(const void* packed, size_t size, GBytes* base, GError** error) {
-    unsigned long long whole = ZSTD_getFrameContentSize(packed, size);
-    if (whole == ZSTD_CONTENTSIZE_UNKNOWN || whole == ZSTD_CONTENTSIZE_ERROR) {
+    unsigned long long content_size = ZSTD_getFrameContentSize(packed, size);
+    if (content_size == ZSTD_CONTENTSIZE_UNKNOWN || content_size == ZSTD_CONTENTSIZE_ERROR) {
         return wg_document_error(error, "the head is damaged");
     }
-    if (whole > WG_DOCUMENT_MAX) {
+    if (content_size > WG_DOCUMENT_MAX) {
         return wg_document_error(error, "it is too large");
     }
     gsize base_size = 0;
     const void* base_data = base ? g_bytes_get_data(base, &base_size) : NULL;
     ZSTD_DCtx* context = ZSTD_createDCtx();
     ZSTD_DCtx_refPrefix(context, base_data, base_size);
-    void* document = g_malloc(MAX(whole, 1));
-    size_t got = ZSTD_decompressDCtx(context, document, whole, packed, size);
+    void* document = g_malloc(MAX(content_size, 1));
+    size_t unpacked_size = ZSTD_decompressDCtx(context, document, content_size, packed, size);
     ZSTD_freeDCtx(context);
-    if (ZSTD_isError(got) || got != whole) {
+    if (ZSTD_isError(unpacked_size) || unpacked_size != content_size) {
         g_free(document);
-        return wg_document_error(error, ZSTD_isError(got) ? ZSTD_getErrorName(got) : "it is cut");
+        return wg_document_error(
+            error, ZSTD_isError(unpacked_size) ? ZSTD_getErrorName(unpacked_size) : "it is cut");
     }
-    return g_bytes_new_take(document, whole);
+    return g_bytes_new_take(document, content_size);
 }
 
 GBytes* wg_document_read(const Wgpb__Configuration* message, GBytes* base, GError** error) {
