--- a/lib/claim/wg_claim.c
+++ b/lib/claim/wg_claim.c
@@ -7,12 +7,12 @@
 
 typedef struct {
     Wgpb__ClaimRecord* record;
-    GList* order; /* its link in the order of age */
+    GList* order; /* node in wgk_claims.order */
 } _wgk_claim_t;
 
 struct wgk_claims {
     wgk_desc desc;
-    GHashTable* by_key; /* _wgk_claim_t* in itself */
+    GHashTable* by_key; /* set of _wgk_claim_t* */
     GQueue order;       /* oldest first */
     uint64_t now_seconds;
     wgk_stats stats;
@@ -40,7 +40,7 @@
     g_free(claim);
 }
 
-/* A deep copy, through the wire form. */
+/* Deep copy by packing and unpacking. */
 static Wgpb__ClaimRecord* _wgk_copy(Wgpb__Claim* claim, Wgpb__ClaimEnd* end) {
     Wgpb__ClaimRecord record = WGPB__CLAIM_RECORD__INIT;
     record.claim = claim;
@@ -115,7 +115,7 @@
 
 wgk_outcome wgk_claim(wgk_claims* c, const Wgpb__Claim* claim, const Wgpb__ClaimEnd** end) {
     *end = NULL;
-    /* Leaders' clocks differ; only the greatest counts, so that age never falls. */
+    /* Leaders' clocks differ; keep the maximum so that time never goes backwards. */
     c->now_seconds = MAX(c->now_seconds, claim->now_seconds);
     _wgk_expire(c);
     _wgk_claim_t* known = _wgk_find(c, claim->workspace, claim->key);
--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -1,4 +1,4 @@
-/* wg_control.c -- set-up, links, tick and planned stop; see wg_control.h */
+/* wg_control.c -- setup, links, tick and planned stop; see wg_control.h */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -45,9 +45,9 @@
     _NUMBER("timing", router_gone_ms, "3000", 500, 600000, "ms",
             "silence after which a router counts as gone"),
     _NUMBER("timing", plan_ms, "5", 1, 1000, "ms", "shortest time between two capacity plans"),
-    /* Longer than a link that went silent takes to be closed and dialled again (0.6 s + 0.3 s with
-       the deployed waits, which take 1 s here), and than the longest election wait; short beside
-       the 4 s that a newcomer has until the next loss has to be borne, also when leaders change. */
+    /* Longer than closing and redialling an unresponsive link takes and than the longest
+       election wait, so that a transient link failure replaces no replica; short enough to
+       restore redundancy before the next loss. */
     _NUMBER(
         "timing", replica_gone_ms, "1600", 500, 3600000, "ms",
         "with seeds: silence after which a replica gives way to a newcomer, or is taken out when "
@@ -65,8 +65,8 @@
             "that the process may take; bounds what waits on links; 0: not told"),
     _NUMBER("state", claims_max, "65536", 16, 1000000, "claims", "run-once claims kept at most"),
     _NUMBER("state", claim_keep_s, "86400", 1, 31536000, "s", "how long a claim is kept"),
-    /* Short beside the time after which somebody looks at the request and its caller, long beside
-       the gaps of a caller that repeats it; each end of it may cost two or three targets more. */
+    /* Longer than the gaps between a caller's retries, shorter than an operator's investigation;
+       each expiry may cost a few more targets. */
     _NUMBER("state", quarantine_s, "600", 1, 604800, "s",
             "how long a request that ends targets is refused"),
 };
@@ -128,14 +128,14 @@
     }
 }
 
-/* A control that knows no cluster yet, or holds nothing, takes the one it is in touch with. */
+/* Adopts the peer's cluster if this control belongs to none or its store is blank. */
 static bool _wgco_join_cluster(wgco_control* c, const wgn_peer* peer) {
     uint64_t own = wgs_query_content(c->store)->cluster;
     if (peer->cluster == 0 || own == peer->cluster) {
         return true;
     }
     if (own != 0 && !wgs_is_blank(c->store)) {
-        return false; /* one that holds nothing goes where the others went */
+        return false; /* only a blank store may change its cluster */
     }
     GError* error = NULL;
     if (!wgs_save_cluster(c->store, peer->cluster, &error)) {
@@ -146,14 +146,15 @@
     return true;
 }
 
-/* As leader: a listed control whose name was never in the set is added without being asked. */
+/* On the leader: adds a listed control whose name is not in the set yet. */
 static void _wgco_add_new_controls(wgco_control* c, wg_time now) {
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < c->peers_num; i++) {
         const _wgco_peer_t* peer = &c->peers[i];
         bool known = !peer->up || peer->identity == 0;
         for (int j = 0; j < set->num && !known; j++) {
-            /* Found by itself, an emptied replica takes the place of its former self unasked. */
+            /* With discovery, a replica whose folder was emptied replaces its previous identity
+               without an operator's command. */
             known = c->discovers ? set->replicas[j].id == peer->identity
                                  : strcmp(set->replicas[j].name, peer->name) == 0;
         }
@@ -170,7 +171,7 @@
     }
 }
 
-/* Another identity answers at the address of a replica: the folder of the former one is lost. */
+/* If another identity answers under a replica's name, the data folder of the replica was lost. */
 static void _wgco_record_lost_replicas(wgco_control* c, const _wgco_peer_t* peer) {
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < set->num; i++) {
@@ -181,8 +182,8 @@
     }
 }
 
-/* A control has just reached this one: what was dialled to it before it was up may hang, as the
-   opening packet is sent again only after a second. */
+/* Redials a control that has just connected: a connection attempt made before it was up may hang
+   until its SYN is retransmitted after a second. */
 static void _wgco_redial(wgco_control* c, const char* name) {
     for (int i = 0; i < c->peers_num; i++) {
         _wgco_peer_t* peer = &c->peers[i];
@@ -230,7 +231,7 @@
 void _wgco_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     wgco_control* c = user_data;
     if (_wgco_discovery_is_announcement(c, link)) {
-        return; /* closed by this control, word was given */
+        return; /* an announcement, closed by this control once sent */
     }
     _wgco_peer_t* known = _wgco_peer_of_link(c, link);
     if (known) {
@@ -287,9 +288,10 @@
     }
 }
 
-/* Entry hosts that wait at this follower go to the leader as soon as one is known. */
+/* Sends entry hosts connected to this follower to the leader once its address is known. */
 static void _wgco_announce_leader(wgco_control* c) {
-    const char* leader = _wgco_leader_address(c); /* "" too while only its identity is known */
+    /* The address is empty while only the leader's identity is known. */
+    const char* leader = _wgco_leader_address(c);
     if (strcmp(leader, c->announced_leader) == 0) {
         return;
     }
@@ -315,7 +317,7 @@
     wgco_control* c = user_data;
     wg_time now = wg_now();
     if (!c->node) {
-        return; /* it waits for its disk */
+        return; /* waiting for the disk to accept writes */
     }
     wgr_tick(c->node, now);
     _wgco_pump(c);
@@ -342,14 +344,14 @@
     _wgco_plan(user_data);
 }
 
-/* A planned stop goes on until another control leads, and until this one is out of the set. Where
-   controls find each other, nobody knows whether it will come back; counted on as a voter it would
-   weigh beside a successor that is there already. */
+/* A planned stop lasts until another control leads and this one has left the set. With discovery
+   it may never come back, and a voter that stays away would weaken a set that already has its
+   replacement. */
 static bool _wgco_is_stop_over(const wgco_control* c) {
     if (!c->node) {
         return true;
     }
-    /* A leader that is alone has nobody to wait for. */
+    /* A leader without other replicas has nobody to transfer leadership to. */
     bool leads = wgr_query_stats(c->node, wg_now()).role == WGR_ROLE_LEADER;
     if (leads) {
         return !c->transferring_leadership;
--- a/lib/control/wg_control.h
+++ b/lib/control/wg_control.h
@@ -1,24 +1,26 @@
 #pragma once
 /*
-    wg_control.h -- a control: replicated state, the leader's work, and the operators' pages
+    wg_control.h -- a control: replicated state, the leader's duties and the operator endpoints
 
     WHAT IT DOES
-        Runs one replica of the log over the data folder, applies it to the table and the claims,
-   and while it leads: answers routers, plans capacity, and takes operators' edits.
+        Runs one replica of the log on a data folder and applies the log to the table, the claims,
+        the configuration and the registry. While it leads, it answers routers and entry hosts,
+        plans capacity and accepts operators' edits.
 
     FEATURES
-        - persists before it sends; while the disk takes no writes the replica stands aside, and
-          starts again from its folder once it does; damaged data ends the process
+        - persists before it sends; while the disk accepts no writes the replica suspends, and
+          reopens its folder once writes succeed; corrupt data ends the process
         - table leases: a router's copy is in force only while a leader with a majority renews it
-        - a control with an empty folder waits to be added; a listed name that was never in the set
-   is added by the leader, a known name with a new folder only by an operator's command
-        - operators' pages: table, edits, replicas, status, state dump, metrics, health
+        - a control with an empty folder waits to be added: the leader adds a listed name that is
+          new to the set; a known name with a new folder needs an operator's command
+        - with seeds instead of a list, controls find each other and replace lost replicas
+        - operator endpoints: table, edits, replicas, status, state dump, metrics, health
 
     USE
         1. wgi_load(path, wgco_keys, wgco_keys_num, &settings, &error);
         2. wgco_control* c = wgco_setup(&(wgco_desc){.base = base, .settings = &settings}, &error);
         3. event_base_dispatch(base);
-        4. wgco_stop(c) hands leadership over and leaves the loop when done; wgco_shutdown(c);
+        4. wgco_stop(c) transfers leadership and leaves the loop when done; wgco_shutdown(c);
 
     THE CALLER OWNS
         base and settings, for as long as the control lives.
@@ -77,21 +79,22 @@
 typedef struct {
     struct event_base* base;
     const wgco_settings* settings;
-    bool init; /* the folder is empty: begin a new cluster with this replica alone */
+    bool init; /* create a new cluster with this replica alone; the data folder is empty */
 } wgco_desc;
 
 typedef struct wgco_control wgco_control;
 
-/* NULL with the reason when the folder, the ports or the settings do not allow a start. */
+/* Returns NULL with an error if the data folder, the ports or the settings are unusable. */
 wgco_control* wgco_setup(const wgco_desc* desc, GError** error);
 void wgco_shutdown(wgco_control* control);
-/* Planned stop: hand over, then leave the loop. A second call leaves it at once. */
+/* Starts a planned stop: transfers leadership, then leaves the loop. A second call leaves the
+   loop at once. */
 void wgco_stop(wgco_control* control);
-/* Take over seeds that were not known before. */
+/* Applies the seeds of `settings`; ignored with a fixed list of controls. */
 void wgco_reload(wgco_control* control, const wgco_settings* settings);
-/* State dump; the caller releases it. */
+/* Returns a state dump that the caller releases. */
 json_t* wgco_dump(wgco_control* control);
-/* Create a data folder for a new cluster; the folder must be empty. */
+/* Creates a data folder for a new cluster; false with WG_ERROR_CONFLICT if the folder is in use. */
 bool wgco_init_folder(const wgco_settings* settings, GError** error);
-/* True when the loop was left because the data folder cannot be used. */
+/* True if the loop was left because the data folder cannot be used. */
 bool wgco_failed(const wgco_control* control);
--- a/lib/control/wg_control_discovery.c
+++ b/lib/control/wg_control_discovery.c
@@ -1,20 +1,20 @@
-/* wg_control_discovery.c -- controls that find each other through seeds, and replace lost ones
+/* wg_control_discovery.c -- discovery of controls through seeds, and replacement of lost replicas
 
-   The first set of replicas is the seeds of the first start: every seed with a disk derives the
-   same set and the same identities from the same list, so that no negotiation is needed. Whoever
-   comes later has an identity of its own and is added by the leader, one change at a time. */
+   On the first start, every seed with a disk derives the same initial replica set and the same
+   identities from the list of seeds, so no negotiation is needed. Controls that join later have
+   random identities and are added by the leader, one membership change at a time. */
 #include "wg_control_internal.h"
 
 #include <string.h>
 
 enum {
-    /* How often one of the seeds is given word of this control. */
+    /* Interval between announcements of this control; each goes to one seed. */
     WG_ANNOUNCE_INTERVAL = 400 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-/* "ip:port" of a seed as the fleet address of that host; its ip is its name. */
+/* Converts a seed's "ip:port" to that host's name (the IP) and fleet address. */
 static bool _wgco_parse_seed(const wgco_control* c, const char* seed, char name[WG_NAME_MAX],
                              char address[WG_ADDRESS_MAX]) {
     char ip[WG_ADDRESS_MAX];
@@ -49,7 +49,7 @@
     return false;
 }
 
-/* A place in the list of peers: a free one, or that of one that is down and not in the set. */
+/* Returns an unused peer entry, or reuses that of a peer that is down and not in the set. */
 static _wgco_peer_t* _wgco_allocate_peer(wgco_control* c) {
     if (c->peers_num < _WGCO_PEERS_MAX) {
         return &c->peers[c->peers_num++];
@@ -136,8 +136,9 @@
     return good;
 }
 
-/* A seed need not have a disk. Whoever starts anew knows only the seeds, so each control
-   sends_state the entry hosts there where it is, and learns of others from them. */
+/* A seed need not have a data folder, and a control that starts knows only the seeds. Each
+   control therefore announces its address to the entry hosts on the seeds and gets the addresses
+   of other controls from them. */
 static void _wgco_announce_self(wgco_control* c, wg_time now) {
     if (now < c->announce_at || c->announce_seeds_num == 0) {
         return;
@@ -150,7 +151,7 @@
     const char* seed = c->announce_seeds[c->announce_next++ % c->announce_seeds_num];
     const wgr_set* set = wgr_query_set(c->node);
     if (set->num > 0 && _wgco_in_set(c, seed)) {
-        return; /* a replica answers for itself */
+        return; /* a seed that is a replica is dialled directly */
     }
     char address[WG_ADDRESS_MAX];
     g_snprintf(address, sizeof address, "%.40s:%d", seed, (int)c->settings->entry_port);
--- a/lib/control/wg_control_document.c
+++ b/lib/control/wg_control_document.c
@@ -1,16 +1,17 @@
-/* wg_control_document.c -- the newest configuration, and what changed since the ones before it
+/* wg_control_document.c -- the newest configuration, and the differences from previous ones
 
-   A host in touch holds the configuration that it was sent last, so a push carries what changed
-   since. Ten hosts or three hundred: each difference is made once, and its bytes are shared. */
+   A connected host holds the configuration last sent to it, so a push carries only the
+   difference. Each difference is packed once and shared by all hosts that need it. */
 #include "wg_document.h"
 
 #include "wg_control_internal.h"
 
 enum {
-    /* Configurations kept as bases. Hosts in touch need one or two; one that comes back after some
-       changes is told what changed too, instead of the whole. */
+    /* Previous configurations kept as bases. Connected hosts need one or two; the others let a
+       host that reconnects after a few changes receive a difference instead of the complete
+       document. */
     _WGCO_BASES_MAX = 6,
-    _WGCO_BASES_SIZE = 2 << 20 /* bytes of them together; the newest is kept whatever its size */
+    _WGCO_BASES_SIZE = 2 << 20 /* total bytes of the bases; the newest is kept at any size */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
@@ -36,7 +37,7 @@
     g_ptr_array_set_size(bases, (gint)keep);
 }
 
-/* The newest one becomes a base; differences to it are of no use any more. */
+/* Turns the current document into a base and drops the frames that lead to it. */
 static void _wgco_documents_retire(_wgco_documents_t* d) {
     for (guint i = 0; i < d->bases->len; i++) {
         _wgco_base_t* base = d->bases->pdata[i];
--- a/lib/control/wg_control_entry.c
+++ b/lib/control/wg_control_entry.c
@@ -1,11 +1,12 @@
-/* wg_control_entry.c -- the leader's work for entry hosts that serve routes
+/* wg_control_entry.c -- the leader's state for entry hosts
 
-   Configurations and changes of targets are agreed on in the replicated log and pushed to every
-   entry host soon after they are applied. Loads, usage and the list of entry hosts are the leader's
-   own, put together again from their reports by each new leader.
+   Configurations and target changes are committed in the replicated log and pushed to every entry
+   host once applied. Loads, usage and the roster of entry hosts are not replicated: each new leader
+   rebuilds them from the hosts' reports.
 
-   A host is told what changed since what it has. What was sent on a link counts as had: links keep
-   the order, and a host that cannot use what came leaves the link and comes back. */
+   A host receives the changes since the versions it holds. Whatever was sent on a link counts as
+   held: links preserve order, and a host that cannot apply a message closes the link and
+   reconnects. */
 #include "wg_control_internal.h"
 #include "wg_usage.h"
 
@@ -14,11 +15,11 @@
 
 enum {
     WG_REPORT_MS_MIN = 100,
-    WG_REPORT_MS_PER_ENTRY = 2, /* more entry hosts report less often */
-    /* Between two pushes, for each host that is told: changes of one moment go out together. At 300
-       hosts 30 ms, short beside the seconds within which a change has to be in force. */
+    WG_REPORT_MS_PER_ENTRY = 2, /* scales the report interval with the number of entry hosts */
+    /* Interval between pushes per connected entry host, so that changes made together are sent
+       together. */
     WG_PUSH_INTERVAL_PER_ENTRY = 100, /* microseconds */
-    /* A new leader sends_state of members only once all that are up could report to it. */
+    /* Time for running hosts to report to a new leader before it distributes the roster. */
     WG_MEMBERS_SETTLE = 1500 * WG_USEC_PER_MSEC,
     WG_MEMBER_TIMEOUT = 1500 * WG_USEC_PER_MSEC
 };
@@ -67,7 +68,7 @@
     for (size_t i = 0; i < in->n_loads; i++) {
         gpointer key = GUINT_TO_POINTER(in->loads[i]->target);
         if (g_hash_table_contains(e->loads, key)) {
-            continue; /* named twice: the first one counts */
+            continue; /* duplicate target: the first one counts */
         }
         Wgpb__TargetLoad* load = g_new(Wgpb__TargetLoad, 1);
         wgpb__target_load__init(load);
@@ -114,7 +115,7 @@
         uint64_t workspace = now->workspace;
         _wgco_reported_t* before = g_hash_table_lookup(e->usage, &workspace);
         if (!before) {
-            /* What it served before it came to this leader is past. */
+            /* The first report to this leader is the baseline. */
             before = g_new0(_wgco_reported_t, 1);
             before->workspace = workspace;
             g_hash_table_insert(e->usage, &before->workspace, before);
@@ -156,7 +157,7 @@
 
 /* ---- helpers: states ----------------------------------------------------------------------- */
 
-/* Everything that an EntryState points to; freed as one after it was sent. */
+/* Everything an EntryState message points to; freed together after sending. */
 typedef struct {
     Wgpb__EntryState message;
     GPtrArray* targets; /* wg_target*, borrowed */
@@ -187,8 +188,8 @@
     s->message.n_evacuated = evacuated->len;
 }
 
-/* Is the host to be told of members that it does not know? A list that is not whole yet would send
-   callers away from hosts that are up. */
+/* True if the host should receive roster changes. An incomplete roster would turn callers away
+   from hosts that are up, so it is withheld while a new leader waits for reports. */
 static bool _wgco_sends_members(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     bool settling = now - c->led_since < WG_MEMBERS_SETTLE;
     return e->roster_change != wg_roster_change(c->roster) && (!settling || e->has_no_members);
@@ -218,7 +219,7 @@
     s->message.members_change = s->roster.change;
 }
 
-/* Loads of all others: what the host itself reported is taken off. */
+/* Fills in the loads of all other hosts: the totals less the host's own report. */
 static void _wgco_fill_loads(wgco_control* c, const _wgco_entry_t* e, _wgco_state_t* s) {
     guint num = g_hash_table_size(c->load_totals);
     s->loads = g_new(Wgpb__TargetLoad, num + 1);
@@ -292,13 +293,13 @@
     }
 }
 
-/* May the host be told what this replica has applied, though nobody leads as far as it knows? It is
-   agreed on, but there may be newer. */
+/* True if a replica without a known leader may send its applied state to the host. That state is
+   committed but may be outdated. */
 static bool _wgco_serves_standby(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     return e->standby && !c->leads && wgr_query_stats(c->node, now).leader == 0;
 }
 
-/* The state that `e` lacks, packed. */
+/* Packs the state that `e` lacks. */
 static wgn_frame* _wgco_pack_entry_state(wgco_control* c, const _wgco_entry_t* e, bool with_loads,
                                          wg_time now) {
     _wgco_state_t s = {0};
@@ -337,7 +338,7 @@
     }
 }
 
-/* Send a state and note what the host has then. */
+/* Sends a state and records what the host then holds. */
 static void _wgco_send_frame(wgco_control* c, _wgco_entry_t* e, wgn_frame* state, wg_time now) {
     bool leads = c->leads && wgr_leads(c->node, now) && e->reported;
     bool sends_state = leads || _wgco_serves_standby(c, e, now);
@@ -367,9 +368,9 @@
 
 /* ---- helpers: pushes ----------------------------------------------------------------------- */
 
-/* A state that was packed for one host, for others that lack the same. */
+/* A state packed for one host and shared with others that hold the same versions. */
 typedef struct {
-    wgn_frame* state; /* NULL: none yet */
+    wgn_frame* state; /* NULL: not packed yet */
     uint64_t registry_change;
     uint64_t roster_change;
     uint64_t quarantine_change;
@@ -390,7 +391,8 @@
            _wgco_sends_members(c, e, now);
 }
 
-/* Tell the entry hosts what they lack; `all`: also those that lack nothing, who leads. */
+/* Sends each entry host the state it lacks; with `all`, also notifies up-to-date hosts of the
+   leader. */
 static void _wgco_push(wgco_control* c, bool all) {
     wg_time now = wg_now();
     _wgco_shared_t shared = {0};
@@ -473,7 +475,7 @@
     }
     e->has_no_members = e->has_no_members || (!e->reported && in->members_change == 0);
     e->reported = true;
-    if (in->state_seen == e->state_seq) { /* else something is on its way to it */
+    if (in->state_seen == e->state_seq) { /* otherwise a newer state is in transit */
         e->configuration_version = in->configuration_version;
         e->registry_change = in->registry_change;
         e->roster_change = in->members_change;
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -1,22 +1,22 @@
-/* wg_control_form.c -- an operator forms the set of replicas anew from the one that is left
+/* wg_control_form.c -- forced recovery of the replica set by an operator
 
-   When more disks are lost than the set bears, no leader can be elected again, for good. The
-   operator names the replicas that never come back; the one with the newest log then goes on alone,
-   as another cluster, and others join it empty.
+   After more disks are lost than the set tolerates, no leader can be elected. The operator names
+   the replicas that will not come back; the replica with the newest log then continues alone as a
+   new cluster, and others join it with empty data folders.
 
-   It is refused while a majority of the set could still come back: a second set beside that one
-   could acknowledge what the first one does not know. If replicas that were named as gone come back
-   all the same they are kept out twice: links between clusters are refused, and the new set's terms
-   begin so far above theirs that entry hosts do not follow them. */
+   Recovery is refused while a majority of the set may still come back, because two sets could
+   then acknowledge conflicting changes. If replicas named as lost do come back, two things keep
+   them out: links between clusters are refused, and the recovered set's terms are so much higher
+   that entry hosts do not follow the previous set. */
 #include "wg_control_internal.h"
 
 #include <string.h>
 
 enum {
-    /* Elections that a former majority could hold without reaching the new term: years of them, at
-       two a second. */
+    /* Term increase of the recovered set; the previous set cannot hold this many elections in
+       years. */
     _WGCO_RECOVERY_TERM_GAP = 1 << 30,
-    /* For the answer to leave before the pages close. */
+    /* Time for the HTTP response to be sent before the endpoints close. */
     _WGCO_RECOVERY_REOPEN_DELAY = 100 * WG_USEC_PER_MSEC
 };
 
@@ -27,7 +27,7 @@
     return false;
 }
 
-/* Could a majority of the voters come back, if those that are named as gone do not? */
+/* Fails if a majority of the voters may come back, or if a replica named as lost is up. */
 static bool _wgco_check_majority(const wgco_control* c, char** lost, GError** error) {
     const wgr_set* set = wgr_query_set(c->node);
     GString* returning_names = g_string_new(NULL);
@@ -58,8 +58,8 @@
     return good;
 }
 
-/* A cluster of its own and a term beyond those of the former one first: were power lost after that,
-   the former set still stands in the log and the command can be given again. */
+/* Stores the new cluster and the higher term before the new set. If power is lost in between,
+   the log still holds the previous set and the command can be repeated. */
 static bool _wgco_store_new_set(wgco_control* c, GError** error) {
     wgr_stats stats = wgr_query_stats(c->node, wg_now());
     const wgs_content* content = wgs_query_content(c->store);
@@ -71,7 +71,7 @@
                 wg_copy_name(self->address, sizeof self->address,
                              c->settings->fleet_address[0] ? c->settings->fleet_address
                                                            : c->settings->fleet_listen);
-    WG_ASSERT(fits); /* they were taken at the start */
+    WG_ASSERT(fits); /* checked at startup */
     uint64_t term = stats.term + _WGCO_RECOVERY_TERM_GAP;
     uint64_t cluster = wg_hash(&content->cluster, sizeof content->cluster, term) | 1;
     wgr_entry entry = {.index = stats.last_index + 1, .term = term, .kind = WGR_ENTRY_REPLICAS};
@@ -97,7 +97,7 @@
     }
     char* previous_set = _wgco_describe_set(c);
     char* names = g_strjoinv(",", lost);
-    c->failed = true; /* this start is over: nothing more may be written by it */
+    c->failed = true; /* this run of the replica may write nothing more */
     GError* failure = NULL;
     bool good = _wgco_store_new_set(c, &failure);
     wg_log(WG_EVENT_SET_FORMED_ANEW,
--- a/lib/control/wg_control_http.c
+++ b/lib/control/wg_control_http.c
@@ -1,4 +1,4 @@
-/* wg_control_http.c -- operators' pages of a control */
+/* wg_control_http.c -- operator endpoints of a control */
 #include "wg_control_internal.h"
 
 #include <event2/buffer.h>
@@ -107,7 +107,7 @@
     waiter->request = NULL;
 }
 
-/* Read the rows of an edit; the version of each is its base version. */
+/* Parses the rows of an edit; each row's version becomes its base version. */
 static GArray* _wgco_read_rows(const json_t* list, char* message, size_t size) {
     GArray* rows = g_array_new(FALSE, TRUE, sizeof(wgt_edit_row));
     size_t i;
@@ -210,7 +210,8 @@
     json_object_set_new(json, "resent", json_boolean(result->resent));
     json_object_set_new(json, "reason", json_string(result->reason));
     if (result->outcome == WGT_OUTCOME_CONFLICT) {
-        /* The reason names kind and row in quotes; show how that row stands now. */
+        /* The reason starts with the row's kind and quoted name; include that row's current
+           state. */
         char** words = g_strsplit(result->reason, " ", 3);
         char* name = g_strdup(words[0] && words[1] ? words[1] : "");
         g_strdelimit(name, "\"", ' ');
@@ -237,7 +238,7 @@
 
 /* ---- replicas ------------------------------------------------------------------------------ */
 
-/* For a replica that is left: without a leader, so this one decides. */
+/* Handled by this replica itself, as there is no leader. */
 static void _wgco_post_recover_set(wgco_control* c, struct evhttp_request* request,
                                    const char* names) {
     char** lost = g_strsplit(names, ",", -1);
@@ -345,8 +346,8 @@
     return list;
 }
 
-/* What each workspace took of each service since this leader began; the first ones where there are
-   many. */
+/* Cost served per workspace and service since this leader began, up to _WGCO_DUMP_SHARES_MAX
+   entries. */
 static json_t* _wgco_dump_shares(wgco_control* c) {
     json_t* list = json_array();
     int service_at = -1;
@@ -443,7 +444,7 @@
     g_string_free(out, TRUE);
 }
 
-/* Ready: part of a set, and some leader is known. */
+/* Ready if a leader is known and no stop has begun. */
 static void _wgco_get_ready(wgco_control* c, struct evhttp_request* request) {
     wgr_stats q = wgr_query_stats(c->node, wg_now());
     bool ready = q.leader != 0 && !c->stopping;
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -13,21 +13,21 @@
     _WGCO_ROWS_PER_REPLY = WGT_EDIT_ROWS_MAX + 1,
     _WGCO_FAIRS_MAX = 2048,
     _WGCO_DUMP_SHARES_MAX = 200,
-    /* Longest planned stop of a control: two elections of the default waits; at the shortest grace
-       time in use (8 s) nobody has to kill it. */
+    /* Longest planned stop: time for two elections, and below the shortest grace period before a
+       supervisor kills the process. */
     _WGCO_STOP_MAX = 3 * WG_USEC_PER_SEC,
     _WGCO_PLAN_INTERVAL_MAX = 200 * WG_USEC_PER_MSEC /* time between plans when nothing changes */
 };
 
-/* Another control, as the settings name it. */
+/* Another control, as named in the settings or discovered. */
 typedef struct {
     char name[WG_NAME_MAX];
     char address[WG_ADDRESS_MAX];
-    wgn_link link; /* dialled by us */
+    wgn_link link; /* dialled by this control */
     bool up;
-    uint64_t identity; /* 0 unknown */
+    uint64_t identity; /* 0: unknown */
     wg_time dial_at;
-    wg_time down_at; /* when it was last in touch; 0: never */
+    wg_time down_at; /* when the link last went down; 0: never */
 } _wgco_peer_t;
 
 /* A router's link to this control. */
@@ -46,60 +46,61 @@
     uint64_t member_version;
 } _wgco_session_t;
 
-/* Somebody who waits for an entry of the log. */
+/* A client that waits for a log entry to be applied. */
 typedef struct {
     uint64_t index;
     uint64_t term;
-    struct evhttp_request* request; /* an operator's edit; NULL when the operator left */
-    wgn_link link;                  /* a router's claim */
+    struct evhttp_request* request; /* an operator's edit; NULL once disconnected */
+    wgn_link link;                  /* router or entry host to answer */
     uint64_t ticket;
-    bool order; /* of an entry host, not a claim */
+    bool order; /* an entry host's order, not a claim */
 } _wgco_waiter_t;
 
-/* A link of an entry host, and what it last said. */
+/* An entry host's link and its last report. */
 typedef struct {
     wgn_link link;
     char name[WG_NAME_MAX];
     char address[WG_ADDRESS_MAX]; /* where callers connect */
     char data_centre[WG_NAME_MAX];
-    uint64_t configuration_version; /* that it has, or will have once it reads what was sent */
-    uint64_t registry_change;       /* the same */
-    uint64_t roster_change;         /* the same */
-    uint64_t quarantine_change;     /* the same */
-    uint64_t state_seq;             /* of the last state that was sent to it */
-    bool has_no_members;            /* as it came to this leader: any list is better than none */
+    /* Versions that the host holds, including what was sent on the link. */
+    uint64_t configuration_version;
+    uint64_t registry_change;
+    uint64_t roster_change;
+    uint64_t quarantine_change;
+    uint64_t state_seq;  /* last state sent to the host */
+    bool has_no_members; /* connected without a roster, so even an incomplete one is sent */
     bool reported;
     bool ready;
-    bool standby; /* it takes what a replica without a leader holds */
+    bool standby; /* accepts the state of a replica that knows no leader */
     bool leaving;
     GHashTable* loads; /* target number -> Wgpb__TargetLoad* */
     GHashTable* usage; /* hash of a workspace -> _wgco_reported_t* */
 } _wgco_entry_t;
 
-/* Totals of a workspace as an entry host last reported them. */
+/* Cumulative usage of a workspace as last reported by an entry host. */
 typedef struct {
     uint64_t workspace;
     uint64_t tokens;
     uint64_t asked;
 } _wgco_reported_t;
 
-/* A configuration that hosts may still hold, as the base of a difference. */
+/* A previous configuration that hosts may still hold. */
 typedef struct {
     uint64_t version;
     GBytes* document;
-    wgn_frame* difference; /* to the newest one; NULL until a host needs it */
+    wgn_frame* difference; /* from this configuration to the newest one; NULL until needed */
 } _wgco_base_t;
 
-/* The newest configuration and those before it (wg_control_document.c). */
+/* The newest configuration and its predecessors (wg_control_document.c). */
 typedef struct {
-    uint64_t version;          /* 0: none yet */
-    GBytes* document;          /* NULL: none yet */
-    GBytes* packed;            /* the same, as it stands in log and snapshot */
-    wgn_frame* complete_frame; /* for hosts that hold no base; NULL until one needs it */
+    uint64_t version; /* 0: none yet */
+    GBytes* document; /* NULL: none yet */
+    GBytes* packed;   /* the document in packed form, as stored in the log and in snapshots */
+    wgn_frame* complete_frame; /* for hosts without a known base; NULL until needed */
     GPtrArray* bases;          /* _wgco_base_t*, newest first */
 } _wgco_documents_t;
 
-/* Tokens that the fleet served a workspace lately, halved every WG_USAGE_HALF_LIFE. */
+/* Recent usage of a workspace in the fleet, with a half-life of WG_USAGE_HALF_LIFE. */
 typedef struct {
     uint64_t workspace;
     double tokens;
@@ -121,42 +122,42 @@
     wgk_claims* claims;
     _wgco_peer_t peers[_WGCO_PEERS_MAX];
     int peers_num;
-    GQueue waiters; /* _wgco_waiter_t*, by index */
+    GQueue waiters; /* _wgco_waiter_t*, in index order */
     uint64_t applied;
     uint64_t applied_term;
     wgr_role role_logged;
     bool pumping;
-    bool failed;          /* something could not be written: this start of the replica is over */
-    bool unrecoverable;   /* and the process has to end */
-    wg_time suspended_at; /* since when the disk takes no writes; 0: it does */
-    struct event* reopen_event; /* then: the next try */
+    bool failed;                /* this run of the replica may write nothing more */
+    bool unrecoverable;         /* the data folder cannot be used; the process has to end */
+    wg_time suspended_at;       /* when the disk stopped accepting writes; 0: it accepts them */
+    struct event* reopen_event; /* opens the data folder again after a failure */
     bool stopping;
     wg_time stop_at;
-    bool transferring_leadership; /* to a successor, in a planned stop */
+    bool transferring_leadership; /* during a planned stop */
 
     /* entry hosts that serve routes (wg_control_entry.c) */
     _wgco_documents_t documents;
     wg_registry* registry;
-    wg_quarantine* quarantine; /* wg_control_quarantine.c */
-    wg_suspects* suspects;     /* as entry hosts told them */
-    wg_time quarantine_at;     /* when what is due was last looked for */
+    wg_quarantine* quarantine; /* replicated (wg_control_quarantine.c) */
+    wg_suspects* suspects;     /* crash evidence reported by entry hosts */
+    wg_time quarantine_at;     /* when due quarantines were last looked for */
     wg_roster* roster;
     GHashTable* entries; /* link id -> _wgco_entry_t* */
-    uint64_t state_seq;  /* of the last state that was sent to any */
-    bool push_due;       /* something changed that entry hosts are not told yet */
+    uint64_t state_seq;  /* sequence number of the last state sent to any entry host */
+    bool push_due;       /* some entry hosts lack a change */
     wg_time pushed_at;
     GHashTable* load_totals; /* target number -> Wgpb__TargetLoad* */
     GHashTable* usage;       /* hash of a workspace -> _wgco_usage_t* */
     wg_time usage_at;
     wg_time led_since;
-    char announced_leader[WG_ADDRESS_MAX]; /* address that entry hosts were last told; "" none */
-    wgn_link announce_link;                /* to the entry host at a seed */
-    int announce_next;                     /* seed whose turn it is */
+    char announced_leader[WG_ADDRESS_MAX]; /* leader address last sent to entry hosts; "": none */
+    wgn_link announce_link;                /* to the entry host on a seed */
+    int announce_next;                     /* index of the next seed to contact */
     wg_time announce_at;
-    char announce_seeds[WG_CONTROL_SEEDS_MAX][WG_NAME_MAX]; /* ips */
+    char announce_seeds[WG_CONTROL_SEEDS_MAX][WG_NAME_MAX]; /* IP addresses */
     int announce_seeds_num;
-    bool discovers; /* other controls are found through seeds */
-    bool observer;  /* has no data folder: does nothing, never votes */
+    bool discovers; /* finds other controls through seeds */
+    bool observer;  /* has no data folder: serves nothing and never votes */
 
     /* while this control leads */
     bool leads;
@@ -167,7 +168,7 @@
     wg_time plan_cost;
     wg_time planned_at;
 
-    /* what is told of trouble that lasts (wg_control_watch.c) */
+    /* self-monitoring (wg_control_watch.c) */
     wg_pulse loop_lag;
     wg_absence leaderless;
 
@@ -180,17 +181,19 @@
     wg_time started_at;
 };
 
-/* start and pause (wg_control_start.c) */
-/* Open the data folder and take part. A disk that takes no writes now is waited for; false with the
-   reason when waiting would not help. */
+/* start, suspend and reopen (wg_control_start.c) */
+/* Opens the data folder and joins the replica set. If the disk accepts no writes now, it is
+   retried in the background and the call succeeds; false with an error if retrying would not
+   help. */
 bool _wgco_start(wgco_control* c, GError** error);
 void _wgco_end(wgco_control* c);
-/* Something could not be stored; takes over `error`. */
+/* Handles a failed write to the data folder; takes ownership of `error`. */
 void _wgco_storage_failed(wgco_control* c, GError* error);
 
-/* operators (wg_control_form.c) */
-/* Go on alone, without the voters of these names, NULL at the end; the replica opens its folder
-   again a moment later. False with the reason when a majority may still come back. */
+/* forced recovery (wg_control_form.c) */
+/* Recovers the replica set with this replica as its only member. `lost` names the voters that
+   will not come back, NULL-terminated. The data folder is reopened shortly afterwards. False
+   with an error if a majority may still come back. */
 bool _wgco_recover_set(wgco_control* c, char** lost, GError** error);
 
 /* links (wg_control.c) */
@@ -230,68 +233,68 @@
 void _wgco_entry_lead_begin(wgco_control* c, wg_time now);
 void _wgco_entry_lead_end(wgco_control* c);
 void _wgco_entry_tick(wgco_control* c, wg_time now);
-/* Something changed: entry hosts are told with the next push. */
+/* Schedules a push of changes to the entry hosts that lack them. */
 void _wgco_entry_schedule_push(wgco_control* c);
-/* As a follower: tell every entry host here where the leader is. */
+/* On a follower: sends the leader's address to all entry hosts that have reported. */
 void _wgco_entry_redirect(wgco_control* c);
 
-/* orders of entry hosts, and what became of them (wg_control_orders.c) */
+/* orders forwarded by entry hosts (wg_control_orders.c) */
 void _wgco_receive_order(wgco_control* c, wgn_link link, const wgw_frame* frame);
 void _wgco_complete_order(wgco_control* c, const _wgco_waiter_t* waiter, bool committed);
 void _wgco_apply_configuration(wgco_control* c, const Wgpb__Configuration* in);
 void _wgco_apply_target(wgco_control* c, const Wgpb__TargetRecord* in);
 void _wgco_apply_evacuation(wgco_control* c, const Wgpb__Evacuation* in);
 
-/* requests that end targets (wg_control_quarantine.c) */
+/* quarantine of requests that crash targets (wg_control_quarantine.c) */
 void _wgco_quarantine_setup(wgco_control* c);
 void _wgco_quarantine_shutdown(wgco_control* c);
 void _wgco_quarantine_receive_report(wgco_control* c, const _wgco_entry_t* e,
                                      const Wgpb__EntryReport* in);
-/* As leader: propose what is due to begin or to end. */
+/* On the leader: proposes quarantines that are due to begin or to end. */
 void _wgco_quarantine_tick(wgco_control* c, wg_time now);
 void _wgco_apply_quarantine(wgco_control* c, const Wgpb__Quarantine* in);
 json_t* _wgco_quarantine_dump(const wgco_control* c);
 void _wgco_quarantine_metrics(const wgco_control* c, GString* out);
 
-/* the configuration (wg_control_document.c) */
+/* configuration documents (wg_control_document.c) */
 void _wgco_documents_setup(_wgco_documents_t* d);
 void _wgco_documents_clear(_wgco_documents_t* d);
-/* Take a configuration over when it is newer. False: it is not, or its bytes are no document
-   (error set). */
+/* Adopts a newer configuration. False without an error if it is not newer; false with an error
+   if the document cannot be unpacked. */
 bool _wgco_documents_apply(_wgco_documents_t* d, const Wgpb__Configuration* in, GError** error);
-/* What a host with this version lacks, borrowed; NULL: nothing. */
+/* Returns the update that a host with `version` needs, borrowed; NULL if it is up to date. */
 wgn_frame* _wgco_documents_frame(_wgco_documents_t* d, uint64_t version);
-/* The newest one as a message that borrows its bytes; false: there is none. */
+/* Fills `out` with the newest configuration, borrowing its bytes; false if there is none. */
 bool _wgco_documents_fill(const _wgco_documents_t* d, Wgpb__Configuration* out);
 
 /* discovery of other controls (wg_control_discovery.c) */
 bool _wgco_discovery_set_seeds(wgco_control* c, const wgco_settings* settings, GError** error);
-/* On the first start of a fleet, the seeds form the first set of replicas, each for itself. */
+/* On a fleet's first start, each seed creates the same initial replica set in its own data
+   folder. */
 bool _wgco_discovery_bootstrap(wgco_control* c, GError** error);
-/* A control that connected, or that stands in the set, is one to be dialled. */
+/* Adds a control to the list of peers to dial, unless it is known already. */
 void _wgco_discovery_add_peer(wgco_control* c, const char* name, const char* address);
-/* Know the replicas of the set; give the entry hosts at the seeds word of this control. */
+/* Adds the replicas of the set as peers and announces this control to the seeds' entry hosts. */
 void _wgco_discovery_tick(wgco_control* c, wg_time now);
-/* Is this a link on which word is given to a seed? */
+/* True if `link` is the outgoing announcement to a seed's entry host. */
 bool _wgco_discovery_is_announcement(const wgco_control* c, wgn_link link);
-/* An entry host sends_state of the controls that it knows. */
+/* Adds the controls listed in an entry host's state as peers. */
 void _wgco_discovery_receive_controls(wgco_control* c, const wgw_frame* frame);
 
-/* what this control sees of itself and of the set (wg_control_watch.c) */
-/* A line when the loop turned late, or when nobody has led for a while. */
+/* self-monitoring (wg_control_watch.c) */
+/* Logs event-loop delays and leader outages. */
 void _wgco_watch_tick(wgco_control* c, wg_time now);
-/* A leader that stalled still before this tick has heard nobody meanwhile. */
+/* On the leader: extends liveness deadlines by the time for which this process stalled. */
 void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now);
-/* The set as a log line's detail: voters, learners, and those whose link is down; the caller frees
-   it. */
+/* True if `replica` is this control or has a live link to it. */
 bool _wgco_is_up(const wgco_control* c, const wgr_replica* replica);
+/* The set as log details: voters, learners and unreachable replicas; the caller frees the text. */
 char* _wgco_describe_set(const wgco_control* c);
-/* Names of the replicas that this leader knows to hold the log up to an index; the caller frees it.
- */
+/* Names of the replicas known to hold the log up to `index`; the caller frees the text. */
 char* _wgco_describe_holders(const wgco_control* c, uint64_t index);
 void _wgco_watch_metrics(const wgco_control* c, GString* out);
 
-/* operators (wg_control_http.c) */
+/* operator endpoints (wg_control_http.c) */
 bool _wgco_http_setup(wgco_control* c, GError** error);
 void _wgco_answer_edit(wgco_control* c, struct evhttp_request* request, const wgt_result* result);
 void _wgco_answer_unknown(struct evhttp_request* request);
--- a/lib/control/wg_control_log.c
+++ b/lib/control/wg_control_log.c
@@ -1,4 +1,4 @@
-/* wg_control_log.c -- persist, send and apply what the replicated log asks for */
+/* wg_control_log.c -- persists, sends and applies the output of the replicated log */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -242,7 +242,7 @@
     c->applied_term = entry->term;
     _wgco_waiter_t* waiter = _wgco_pop_waiter(c, entry->index);
     if (waiter && waiter->term != entry->term) {
-        /* Another leader's entry stands where ours was to be: ours may still be accepted. */
+        /* Another leader's entry has this index; the waiter's own entry may still be committed. */
         if (waiter->request) {
             _wgco_answer_unknown(waiter->request);
         }
@@ -296,8 +296,8 @@
     }
     GBytes* state = _wgco_pack_state(c);
     GError* error = NULL;
-    /* The set of the snapshot is that of the newest applied entry; a change that is still under way
-       is repeated from the log. */
+    /* The snapshot holds the set of the newest applied entry; a membership change in progress is
+       replayed from the log. */
     wgr_compact(c->node, c->applied, state);
     wgr_set set = *wgr_query_snapshot_set(c->node);
     if (!wgs_save_snapshot(c->store, c->applied, c->applied_term, &set, state, false, &error)) {
--- a/lib/control/wg_control_orders.c
+++ b/lib/control/wg_control_orders.c
@@ -1,7 +1,7 @@
-/* wg_control_orders.c -- orders that entry hosts pass on from operators and targets
+/* wg_control_orders.c -- orders forwarded by entry hosts from operators and targets
 
-   A configuration, an evacuation or a change of a target becomes an entry of the log and is
-   acknowledged once it is applied; a heartbeat that says nothing new is acknowledged at once. */
+   A configuration, an evacuation or a target change becomes a log entry and is acknowledged once
+   applied. A heartbeat without changes is acknowledged immediately. */
 #include "wg_document.h"
 
 #include "wg_control_internal.h"
@@ -77,8 +77,8 @@
     return text[0] && strlen(text) < WG_NAME_MAX;
 }
 
-/* Also what seems to hold already goes through the log: an earlier order of the other kind may be
-   on its way there. */
+/* An evacuation that already holds is proposed as well: an earlier opposite order may still be
+   uncommitted. */
 static void _wgco_order_evacuation(wgco_control* c, wgn_link link, const Wgpb__Order* in) {
     if (!_wgco_is_name(in->evacuation->data_centre)) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
@@ -89,7 +89,7 @@
     _wgco_propose_order(c, link, in->ticket, &command);
 }
 
-/* An operator lets a request through again. */
+/* An operator's order to end a quarantine. */
 static void _wgco_order_quarantine(wgco_control* c, wgn_link link, const Wgpb__Order* in) {
     if (in->quarantine->begins || in->quarantine->fingerprint == 0) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
@@ -131,7 +131,8 @@
                        committed ? WG_ORDER_DONE : WG_ORDER_UNKNOWN);
 }
 
-/* On which replicas it stands is known to the leader only, and not while a snapshot is read. */
+/* The replicas that hold the entry are known only on the leader, and not while a snapshot is
+   loaded. */
 static void _wgco_log_configuration(const wgco_control* c) {
     char* holders = c->node && c->leads ? _wgco_describe_holders(c, c->applied) : g_strdup("-");
     wg_log(WG_EVENT_CONFIGURATION_AGREED,
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -1,20 +1,19 @@
-/* wg_control_quarantine.c -- requests that end targets: evidence of all entry hosts, and what is
-   agreed on
-
-   Entry hosts tell which of their requests were under way at targets that ended. Evidence is the
-   leader's own, put together again from the hosts by each new leader; a quarantine is agreed on in
-   the replicated log, so that it outlives leaders and restarts, and goes to all hosts with the next
-   state. Charging targets alone does not do: each host that does not know the request sends it to
-   the next one, 40 targets in 10 s of test_crashing_request instead of four. */
+/* wg_control_quarantine.c -- quarantine of requests that crash targets
+
+   Entry hosts report the requests that were in flight at targets that ended. This evidence is
+   not replicated: each new leader collects it again from the hosts. A quarantine is committed in
+   the replicated log, so it survives leader changes and restarts, and reaches all hosts with the
+   next state. Hosts cannot contain such a request alone: each host that does not know it would
+   send it to another target. */
 #include "wg_control_internal.h"
 
 #include <string.h>
 
 enum {
-    /* A few requests of each workspace of a large fleet; 1.2 MB when full. */
+    /* A few requests per workspace of a large fleet. */
     _WGCO_SUSPECTS_MAX = 4096,
-    /* Before the same is proposed again: longer than an entry of the log takes (0.1 s on slow
-       disks). */
+    /* Time before a change is proposed again; longer than a log entry takes to commit on a slow
+       disk. */
     _WGCO_QUARANTINE_PROPOSE_INTERVAL = 500 * WG_USEC_PER_MSEC
 };
 
@@ -54,7 +53,7 @@
     }
 }
 
-/* ---- helpers: what to agree on ------------------------------------------------------------- */
+/* ---- helpers: proposals -------------------------------------------------------------------- */
 
 static void _wgco_propose_quarantine(wgco_control* c, const Wgpb__Quarantine* change) {
     Wgpb__Command command = WGPB__COMMAND__INIT;
@@ -77,7 +76,7 @@
     return asked_at && now - asked_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
 }
 
-/* A suspect whose quarantine is due and not asked for; NULL: none. */
+/* Returns a suspect whose quarantine is due and not proposed recently, or NULL. */
 static wg_suspect* _wgco_next_to_begin(const wgco_control* c, wg_time now) {
     GPtrArray* list = wg_suspects_list(c->suspects);
     wg_suspect* due = NULL;
@@ -99,7 +98,7 @@
     _wgco_propose_quarantine(c, &change);
 }
 
-/* An entry whose end is due and not asked for; NULL: none. */
+/* Returns an entry whose end is due and not proposed recently, or NULL. */
 static wg_quarantined* _wgco_next_to_end(const wgco_control* c, wg_time now) {
     wg_quarantined* entry;
     for (int i = 0; (entry = wg_quarantine_at(c->quarantine, i)); i++) {
@@ -111,8 +110,8 @@
     return NULL;
 }
 
-/* What is proposed may be applied before the call returns, which changes both lists: they are
-   looked through anew for each. */
+/* A proposal may be applied before the call returns, which changes both lists, so each search
+   starts over. */
 static void _wgco_propose_due(wgco_control* c, wg_time now) {
     wg_suspect* beginning;
     wg_quarantined* ending;
--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -1,5 +1,5 @@
-/* wg_control_routers.c -- the leader's answers to routers: table, members, fairness, slots, claims
- */
+/* wg_control_routers.c -- the leader's replies to routers: table, members, fairness, slots,
+   claims */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -20,7 +20,7 @@
     s->share = wgf_router_up(c->share, now, s->name, s->incarnation, peer ? peer->data_centre : "");
 }
 
-/* ---- helpers: configuration into the plan --------------------------------------------------- */
+/* ---- helpers: planner input ---------------------------------------------------------------- */
 
 static void _wgco_share_config(wgco_control* c) {
     wgf_config_begin(c->share);
@@ -55,7 +55,8 @@
 
 /* ---- helpers: replies ---------------------------------------------------------------------- */
 
-/* Everything a Reply points to; one at a time is enough on one thread. */
+/* Everything a Reply message points to; shared, as replies are built one at a time on one
+   thread. */
 typedef struct {
     Wgpb__Row rows[_WGCO_ROWS_PER_REPLY];
     Wgpb__Row* row_list[_WGCO_ROWS_PER_REPLY];
@@ -83,8 +84,8 @@
     return scratch;
 }
 
-/* Rows that the router lacks. A router that asks for rows one by one is not sent all workspaces at
-   its start, only those that change from then on. */
+/* Fills in the rows the router lacks. A router that fetches rows on demand gets no workspaces in
+   its first replies, only those that change later. */
 static void _wgco_fill_rows(wgco_control* c, _wgco_session_t* s, Wgpb__Reply* reply) {
     _wgco_reply_t* scratch = _wgco_scratch();
     bool more;
@@ -189,7 +190,7 @@
     }
 }
 
-/* Answer a report, or push what changed. Leadership is looked at with a fresh clock. */
+/* Answers a report or pushes changes. Leadership is checked against the current time. */
 static void _wgco_send_reply(wgco_control* c, _wgco_session_t* s, bool with_fairs) {
     Wgpb__Reply reply = WGPB__REPLY__INIT;
     wgr_stats stats = wgr_query_stats(c->node, wg_now());
@@ -266,7 +267,7 @@
         return;
     }
     c->plan_due = true;
-    /* A plan takes at most a twentieth of the time. */
+    /* Limits planning to 5 % of the time. */
     wg_time gap = MAX(c->settings->plan_ms * WG_USEC_PER_MSEC, 20 * c->plan_cost);
     struct timeval wait = {.tv_sec = gap / WG_USEC_PER_SEC, .tv_usec = gap % WG_USEC_PER_SEC};
     event_add(c->plan_event, &wait);
@@ -292,7 +293,8 @@
             _wgco_session_join_share(c, s, now);
             s->report_seq = 0;
             s->member_version = 0;
-            /* It reported to a follower; let it know whom it talks to now. */
+            /* The router has reported to a follower so far; notify it that this control leads
+               now. */
             _wgco_send_reply(c, s, false);
         }
     }
@@ -351,7 +353,7 @@
     while ((removed = wgm_tick(c->members, now))) {
         wg_log(WG_EVENT_MEMBER_GONE, "router=%s", removed->name);
     }
-    /* Leases also end when nobody reports anything new. */
+    /* Leases expire even without new reports. */
     if (now - c->planned_at >= _WGCO_PLAN_INTERVAL_MAX) {
         _wgco_schedule_plan(c);
     }
@@ -378,7 +380,7 @@
 void _wgco_router_down(wgco_control* c, wgn_link link) {
     _wgco_session_t* s = _wgco_find_session(c, link);
     if (s) {
-        s->live = false; /* its leases run on until their term ends */
+        s->live = false; /* its leases last until they expire */
     }
 }
 
@@ -400,7 +402,7 @@
         s->member_version = 0;
     }
     if (c->leads) {
-        /* The first report to a leader carries everything; others wait until it came. */
+        /* The first report to a leader has to be full; none is merged before it. */
         if (first && !in->full) {
             s->report_seq = 0;
         } else {
@@ -424,7 +426,7 @@
     Wgpb__Row row;
     wgt_row_scratch scratch;
     answer.ticket = in->ticket;
-    /* 0: not leading, ask again elsewhere; 1: found; 2: no such key */
+    /* outcome 0: not the leader, retry elsewhere; 1: found; 2: no such key */
     if (c->leads && wgr_leads(c->node, wg_now()) && in->key_hash.len == WG_KEY_HASH_SIZE) {
         const wgt_row* found = wgt_find_key(c->table, in->key_hash.data);
         answer.outcome = found ? 1 : 2;
@@ -460,7 +462,7 @@
     waiter->ticket = in->ticket;
     if (in->end && leads) {
         command.claim_end = in->end;
-        _wgco_propose(c, &command.base, waiter); /* unanswered, the router sends it again */
+        _wgco_propose(c, &command.base, waiter); /* if this fails, the router resends it */
         waiter = NULL;
     } else if (in->claim && leads && in->claim->key.len == WGK_KEY_SIZE) {
         in->claim->now_seconds = (uint64_t)(g_get_real_time() / WG_USEC_PER_SEC);
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -1,19 +1,17 @@
-/* wg_control_start.c -- the replica's start over its data folder, and its pause while the disk
-   takes no writes
+/* wg_control_start.c -- opening the data folder, and suspension while the disk accepts no writes
 
-   A replica that could not write something must not go on as if it had. It gives up what it holds
-   in memory, as if the process had ended, and starts again from the folder once writing works.
-   Until then it votes for nobody, acknowledges nothing and keeps no links, so the others go on
-   without it and entry hosts go to them. */
+   After a failed write a replica must not continue as if the data were stored. It discards its
+   state in memory, as if the process had ended, and starts again from the data folder once
+   writes succeed. Until then it neither votes nor acknowledges and keeps no links, so the other
+   replicas go on without it and entry hosts connect to them. */
 #include "wg_control_internal.h"
 
 #include <string.h>
 #include <sys/random.h>
 
 enum {
-    _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* a larger set could not be agreed on */
-    /* Between two tries to write: short beside what a change may take to be acknowledged (seconds),
-       long beside a try (a few system calls). */
+    _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* limited by the size of a replica set */
+    /* Interval between attempts to open the data folder; short compared with an acknowledgement. */
     WG_DISK_RETRY_INTERVAL = 200 * WG_USEC_PER_MSEC
 };
 
@@ -56,7 +54,7 @@
     return good;
 }
 
-/* With a fixed list of controls an operator decides who takes whose place. */
+/* 0 with a fixed list of controls, where an operator replaces replicas. */
 static wg_time _wgco_replica_timeout(const wgco_control* c) {
     const wgco_settings* s = c->settings;
     int64_t gone_ms = MAX(s->replica_gone_ms, s->election_max_ms);
@@ -132,7 +130,7 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-/* Everything that stands on the data folder. */
+/* Opens everything that depends on the data folder. */
 static bool _wgco_open(wgco_control* c, GError** error) {
     _wgco_entry_setup(c);
     _wgco_quarantine_setup(c);
@@ -180,7 +178,7 @@
     GError* error = NULL;
     if (_wgco_open(c, &error)) {
         if (c->suspended_at == 0) {
-            return; /* opened again for another reason */
+            return; /* reopened after a forced recovery */
         }
         wg_log(WG_EVENT_STORE_RESUMED, "after_ms=%" G_GINT64_FORMAT,
                (wg_now() - c->suspended_at) / WG_USEC_PER_MSEC);
@@ -236,8 +234,8 @@
     if (g_error_matches(error, WG_ERROR, WG_ERROR_DISK)) {
         struct timeval at_once = {0};
         _wgco_suspend(c, error);
-        event_add(c->reopen_event,
-                  &at_once); /* from the loop: a link's callback may be under way */
+        /* Deferred to the loop, as a link callback may be running. */
+        event_add(c->reopen_event, &at_once);
     } else {
         wg_log(WG_EVENT_STORE_FAILED, "%s", error->message);
         c->failed = true;
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -1,5 +1,5 @@
-/* wg_control_watch.c -- lines and figures about a control's own loop, the replica set, and a leader
-   that is missing */
+/* wg_control_watch.c -- logs and metrics about event-loop delays, the replica set and leader
+   outages */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -62,7 +62,7 @@
     }
 }
 
-/* Each voter and how it stands: up, down and for how long, or its disk known to be lost. */
+/* Lists each voter with its state: up, down and for how long, or disk lost. */
 static char* _wgco_describe_voters(const wgco_control* c, wg_time now) {
     const wgr_set* set = wgr_query_set(c->node);
     GString* list = g_string_new(NULL);
@@ -139,11 +139,11 @@
     return g_string_free(holders, FALSE);
 }
 
-/* Counted as silence, time in which nobody listened would end targets, entry hosts and routers that
-   were there all the time, before what they sent meanwhile is read. */
+/* Without this, the time of a stall would count as silence, and targets, entry hosts and routers
+   would be removed before the messages they sent meanwhile are read. */
 void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now) {
     enum {
-        STALL_MIN = 300 * WG_USEC_PER_MSEC /* three reports of an entry host */
+        STALL_MIN = 300 * WG_USEC_PER_MSEC /* three report intervals of an entry host */
     };
     wg_time stalled = c->loop_lag.last;
     if (stalled > STALL_MIN) {
--- a/lib/document/wg_document.c
+++ b/lib/document/wg_document.c
@@ -4,16 +4,14 @@
 #include <zstd.h>
 
 enum {
-    /* Of zstd, 1 to 22. At this one 192 KB whose every route is new take 0.2 to 0.7 ms to pack and
-       0.1 ms to unpack (one core, mean of 50). */
-    WG_DOCUMENT_LEVEL = 3,
-    WG_DOCUMENT_WINDOW_MIN = 17, /* log2 of bytes; smaller windows save no memory worth having */
-    WG_DOCUMENT_WINDOW_MAX = 25  /* holds a document of WG_DOCUMENT_MAX bytes and its base */
+    WG_DOCUMENT_LEVEL = 3,       /* zstd compression level, 1 to 22 */
+    WG_DOCUMENT_WINDOW_MIN = 17, /* log2 of bytes; smaller windows save little memory */
+    WG_DOCUMENT_WINDOW_MAX = 25  /* log2 of bytes; spans two documents of WG_DOCUMENT_MAX bytes */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-/* log2 of a window that reaches from the end of the document to the start of its base. */
+/* Returns log2 of a window that spans the document and its base. */
 static int wg_document_window(size_t size, size_t base_size) {
     int window_log = WG_DOCUMENT_WINDOW_MIN;
     while (window_log < WG_DOCUMENT_WINDOW_MAX && ((size_t)1 << window_log) < size + base_size) {
@@ -46,7 +44,7 @@
     void* packed = g_malloc(packed_max);
     size_t packed_size = ZSTD_compress2(context, packed, packed_max, data, size);
     ZSTD_freeCCtx(context);
-    WG_ASSERT(!ZSTD_isError(packed_size)); /* there is room for the worst case */
+    WG_ASSERT(!ZSTD_isError(packed_size)); /* packed_max is the worst case */
     return g_bytes_new_take(g_realloc(packed, MAX(packed_size, 1)), packed_size);
 }
 
