--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -10,24 +10,24 @@
 #define _TEXT(kind, group, field, def, help) WGI_TEXT(wgco_settings, kind, group, field, def, help)
 
 const wgi_key wgco_keys[] = {
-    _TEXT(TEXT, "control", name, NULL, "name of this control, one in the fleet"),
-    _TEXT(TEXT, "control", data_centre, "", "data centre it stands in"),
+    _TEXT(TEXT, "control", name, NULL, "name of this control, unique in the fleet"),
+    _TEXT(TEXT, "control", data_centre, "", "data centre of this control"),
     _TEXT(ADDRESS, "control", fleet_listen, NULL, "where fleet processes connect"),
     _TEXT(TEXT, "control", fleet_address, "",
           "ip:port at which other fleet processes reach fleet_listen; empty: the same"),
     _TEXT(ADDRESS, "control", operators_listen, "127.0.0.1:7200", "where operators connect"),
     _TEXT(TEXT, "control", data_folder, NULL,
-          "folder on a disk, of this control alone; empty: it never votes"),
-    _TEXT(LIST, "control", controls, "", "all controls as name@ip:port, this one too"),
+          "folder on disk used only by this control; empty: it never votes"),
+    _TEXT(LIST, "control", controls, "", "all controls as name@ip:port, including this one"),
     _TEXT(LIST, "control", seeds, "",
-          "instead of controls: ip:port of some of them; only the ip counts, with fleet_port"),
+          "instead of controls: ip:port of some controls; the port is replaced by fleet_port"),
     _NUMBER("control", fleet_port, "7100", 1, 65535, "", "with seeds: port of fleet_listen on all"),
     _NUMBER("control", entry_port, "7101", 1, 65535, "",
-            "with seeds: port where entry hosts take the word of controls"),
-    _NUMBER(
-        "control", losses, "1", 0, 1000, "",
-        "with seeds: controls that may be lost at one time, with their disks; twice as many and "
-        "one have to answer before one is taken out; counts as 1 to 3"),
+            "with seeds: port of entry hosts to which controls announce themselves"),
+    _NUMBER("control", losses, "1", 0, 1000, "",
+            "with seeds: controls that may be lost at once, including their disks; 2 * losses + 1 "
+            "have to "
+            "answer before one is removed; limited to 1..3"),
     _TEXT(TEXT, "control", first_start, "false",
           "with seeds: true when the whole fleet starts for the first time"),
     _TEXT(SECRET, "keys", fleet_key, NULL, "file with the key that all fleet processes share"),
@@ -40,35 +40,38 @@
     _NUMBER("timing", heartbeat_ms, "150", 10, 10000, "ms",
             "leader's heartbeat, at most a third of election_min_ms"),
     _NUMBER("timing", table_lease_ms, "4000", 500, 60000, "ms",
-            "how long a router's table stays in force without word; bounds 'in force everywhere'"),
-    _NUMBER("timing", slot_lease_ms, "2000", 200, 60000, "ms", "how long leased slots hold"),
+            "how long a router's table stays in force without contact; bounds the time until an "
+            "edit is "
+            "in force everywhere"),
+    _NUMBER("timing", slot_lease_ms, "2000", 200, 60000, "ms", "duration of a slot lease"),
     _NUMBER("timing", router_gone_ms, "3000", 500, 600000, "ms",
-            "silence after which a router counts as gone"),
+            "time without contact after which a router counts as failed"),
     _NUMBER("timing", plan_ms, "5", 1, 1000, "ms", "shortest time between two capacity plans"),
     /* Longer than closing and redialling an unresponsive link takes and than the longest
        election wait, so that a transient link failure replaces no replica; short enough to
        restore redundancy before the next loss. */
     _NUMBER(
         "timing", replica_gone_ms, "1600", 500, 3600000, "ms",
-        "with seeds: silence after which a replica gives way to a newcomer, or is taken out when "
-        "enough others answer; at least election_max_ms"),
+        "with seeds: time without contact after which a replica is replaced by a joining one, or "
+        "removed when enough others answer; at least election_max_ms"),
     _NUMBER("timing", target_silent_ms, "6000", 500, 600000, "ms",
-            "silence after which a target that registers itself gets no more work"),
-    _NUMBER("timing", tick_ms, "10", 1, 100, "ms", "how often timers are looked at"),
+            "time without contact after which a target that registers itself gets no more work"),
+    _NUMBER("timing", tick_ms, "10", 1, 100, "ms", "interval at which timers are checked"),
     _NUMBER("timing", link_silence_ms, "4000", 300, 60000, "ms",
-            "silence after which a link between fleet processes is closed"),
+            "time without traffic after which a link between fleet processes is closed"),
     _NUMBER("state", log_keep, "1000", 4, 1000000, "entries",
-            "log entries kept behind a snapshot for replicas that lag a little"),
+            "log entries kept behind a snapshot for lagging replicas"),
     _NUMBER("state", snapshot_entries, "1000", 10, 1000000, "entries",
             "log entries between two snapshots"),
     _NUMBER("limits", memory_mb, "0", 0, 1000000, "MB",
-            "that the process may take; bounds what waits on links; 0: not told"),
-    _NUMBER("state", claims_max, "65536", 16, 1000000, "claims", "run-once claims kept at most"),
+            "memory limit of the process; bounds data queued on links; 0: unknown"),
+    _NUMBER("state", claims_max, "65536", 16, 1000000, "claims",
+            "maximum number of run-once claims kept"),
     _NUMBER("state", claim_keep_s, "86400", 1, 31536000, "s", "how long a claim is kept"),
     /* Longer than the gaps between a caller's retries, shorter than an operator's investigation;
        each expiry may cost a few more targets. */
     _NUMBER("state", quarantine_s, "600", 1, 604800, "s",
-            "how long a request that ends targets is refused"),
+            "how long a request that crashes targets is refused"),
 };
 const int wgco_keys_num = G_N_ELEMENTS(wgco_keys);
 
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -43,7 +43,7 @@
         }
         voters++;
         if (named && (self || _wgco_is_up(c, replica))) {
-            good = _wgco_refuse_recovery(error, "named as gone, but up: ", replica->name);
+            good = _wgco_refuse_recovery(error, "named as lost, but up: ", replica->name);
         } else if (!named && !wgr_is_known_gone(c->node, replica->id)) {
             returning++;
             g_string_append_printf(returning_names, "%s%s", returning_names->len ? "," : "",
@@ -87,10 +87,10 @@
 bool _wgco_recover_set(wgco_control* c, char** lost, GError** error) {
     wgr_stats stats = wgr_query_stats(c->node, wg_now());
     if (stats.role == WGR_ROLE_LEADER || stats.leader != 0) {
-        return _wgco_refuse_recovery(error, "a replica leads", "");
+        return _wgco_refuse_recovery(error, "the replica set has a leader", "");
     }
     if (stats.last_index == 0) {
-        return _wgco_refuse_recovery(error, "this replica holds nothing", "");
+        return _wgco_refuse_recovery(error, "the log of this replica is empty", "");
     }
     if (!_wgco_check_majority(c, lost, error)) {
         return false;
--- a/lib/control/wg_control_http.c
+++ b/lib/control/wg_control_http.c
@@ -71,10 +71,12 @@
                             const char* kind_name) {
     wgt_kind kind = wgt_kind_parse(kind_name);
     if (kind == WGT_KIND_DEFAULT) {
-        wgh_reply_error(request, &(wgh_error){.status = 404,
-                                              .code = "unknown_table",
-                                              .verdict = WG_VERDICT_NOT_RUN,
-                                              .message = "want workspaces, services or targets"});
+        wgh_reply_error(
+            request,
+            &(wgh_error){.status = 404,
+                         .code = "unknown_table",
+                         .verdict = WG_VERDICT_NOT_RUN,
+                         .message = "unknown table; expected workspaces, services or targets"});
         return;
     }
     if (!_wgco_leads_now(c)) {
@@ -271,7 +273,7 @@
         return;
     }
     if (!json || !action || !name) {
-        _wgco_refuse_bad_request(request, message[0] ? message : "want action and name");
+        _wgco_refuse_bad_request(request, message[0] ? message : "action and name are required");
         json_decref(json);
         return;
     }
@@ -309,8 +311,8 @@
                                      .code = "replica",
                                      .verdict = WG_VERDICT_NOT_RUN,
                                      .message = error ? error->message
-                                                      : "no such control is up, or no such "
-                                                        "action (replace, remove)"});
+                                                      : "no such control is up, or unknown "
+                                                        "action (expected replace or remove)"});
     }
     g_clear_error(&error);
     json_decref(json);
@@ -485,7 +487,7 @@
         wgh_reply_error(request, &(wgh_error){.status = 404,
                                               .code = "unknown_page",
                                               .verdict = WG_VERDICT_NOT_RUN,
-                                              .message = "no such page"});
+                                              .message = "no such endpoint"});
     }
 }
 
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -111,7 +111,8 @@
                              s->fleet_address[0] ? s->fleet_address : s->fleet_listen) &&
                 wg_copy_name(self.data_centre, sizeof self.data_centre, s->data_centre);
     if (!fits) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "[control] a name is too long");
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
+                    "[control] name, fleet address or data_centre is too long");
         return false;
     }
     c->net = wgn_setup(&(wgn_desc){.base = c->base,
--- a/lib/document/wg_document.c
+++ b/lib/document/wg_document.c
@@ -51,10 +51,10 @@
 GBytes* wg_document_unpack(const void* packed, size_t size, GBytes* base, GError** error) {
     unsigned long long content_size = ZSTD_getFrameContentSize(packed, size);
     if (content_size == ZSTD_CONTENTSIZE_UNKNOWN || content_size == ZSTD_CONTENTSIZE_ERROR) {
-        return wg_document_error(error, "the head is damaged");
+        return wg_document_error(error, "the header is damaged");
     }
     if (content_size > WG_DOCUMENT_MAX) {
-        return wg_document_error(error, "it is too large");
+        return wg_document_error(error, "it exceeds the size limit");
     }
     gsize base_size = 0;
     const void* base_data = base ? g_bytes_get_data(base, &base_size) : NULL;
@@ -65,8 +65,9 @@
     ZSTD_freeDCtx(context);
     if (ZSTD_isError(unpacked_size) || unpacked_size != content_size) {
         g_free(document);
-        return wg_document_error(
-            error, ZSTD_isError(unpacked_size) ? ZSTD_getErrorName(unpacked_size) : "it is cut");
+        return wg_document_error(error, ZSTD_isError(unpacked_size)
+                                            ? ZSTD_getErrorName(unpacked_size)
+                                            : "it is truncated");
     }
     return g_bytes_new_take(document, content_size);
 }
