--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -11,7 +11,8 @@
 
 enum {
     _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* limited by the size of a replica set */
-    /* Interval between attempts to open the data folder; short compared with an acknowledgement. */
+    /* Interval between attempts to open the data folder; short compared with the time that a change
+       may take to be acknowledged. */
     WG_DISK_RETRY_INTERVAL = 200 * WG_USEC_PER_MSEC
 };
 
