--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -1,4 +1,4 @@
-/* wg_control.c -- set-up, links, tick and planned stop; see wg_control.h */
+/* wg_control.c -- setup, links, tick and planned stop; see wg_control.h */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -10,24 +10,24 @@
 #define _TEXT(kind, group, field, def, help) WGI_TEXT(wgco_settings, kind, group, field, def, help)
 
 const wgi_key wgco_keys[] = {
-    _TEXT(TEXT, "control", name, NULL, "name of this control, one in the fleet"),
-    _TEXT(TEXT, "control", data_centre, "", "data centre it stands in"),
+    _TEXT(TEXT, "control", name, NULL, "name of this control, unique in the fleet"),
+    _TEXT(TEXT, "control", data_centre, "", "data centre of this control"),
     _TEXT(ADDRESS, "control", fleet_listen, NULL, "where fleet processes connect"),
     _TEXT(TEXT, "control", fleet_address, "",
           "ip:port at which other fleet processes reach fleet_listen; empty: the same"),
     _TEXT(ADDRESS, "control", operators_listen, "127.0.0.1:7200", "where operators connect"),
     _TEXT(TEXT, "control", data_folder, NULL,
-          "folder on a disk, of this control alone; empty: it never votes"),
-    _TEXT(LIST, "control", controls, "", "all controls as name@ip:port, this one too"),
+          "folder on disk used only by this control; empty: it never votes"),
+    _TEXT(LIST, "control", controls, "", "all controls as name@ip:port, including this one"),
     _TEXT(LIST, "control", seeds, "",
-          "instead of controls: ip:port of some of them; only the ip counts, with fleet_port"),
+          "instead of controls: ip:port of some controls; the port is replaced by fleet_port"),
     _NUMBER("control", fleet_port, "7100", 1, 65535, "", "with seeds: port of fleet_listen on all"),
     _NUMBER("control", entry_port, "7101", 1, 65535, "",
-            "with seeds: port where entry hosts take the word of controls"),
-    _NUMBER(
-        "control", losses, "1", 0, 1000, "",
-        "with seeds: controls that may be lost at one time, with their disks; twice as many and "
-        "one have to answer before one is taken out; counts as 1 to 3"),
+            "with seeds: port of entry hosts to which controls announce themselves"),
+    _NUMBER("control", losses, "1", 0, 1000, "",
+            "with seeds: controls that may be lost at once, including their disks; 2 * losses + 1 "
+            "have to "
+            "answer before one is removed; limited to 1..3"),
     _TEXT(TEXT, "control", first_start, "false",
           "with seeds: true when the whole fleet starts for the first time"),
     _TEXT(SECRET, "keys", fleet_key, NULL, "file with the key that all fleet processes share"),
@@ -40,35 +40,38 @@
     _NUMBER("timing", heartbeat_ms, "150", 10, 10000, "ms",
             "leader's heartbeat, at most a third of election_min_ms"),
     _NUMBER("timing", table_lease_ms, "4000", 500, 60000, "ms",
-            "how long a router's table stays in force without word; bounds 'in force everywhere'"),
-    _NUMBER("timing", slot_lease_ms, "2000", 200, 60000, "ms", "how long leased slots hold"),
+            "how long a router's table stays in force without contact; bounds the time until an "
+            "edit is "
+            "in force everywhere"),
+    _NUMBER("timing", slot_lease_ms, "2000", 200, 60000, "ms", "duration of a slot lease"),
     _NUMBER("timing", router_gone_ms, "3000", 500, 600000, "ms",
-            "silence after which a router counts as gone"),
+            "time without contact after which a router counts as failed"),
     _NUMBER("timing", plan_ms, "5", 1, 1000, "ms", "shortest time between two capacity plans"),
-    /* Longer than a link that went silent takes to be closed and dialled again (0.6 s + 0.3 s with
-       the deployed waits, which take 1 s here), and than the longest election wait; short beside
-       the 4 s that a newcomer has until the next loss has to be borne, also when leaders change. */
+    /* Longer than closing and redialling an unresponsive link takes and than the longest
+       election wait, so that a transient link failure replaces no replica; short enough to
+       restore redundancy before the next loss. */
     _NUMBER(
         "timing", replica_gone_ms, "1600", 500, 3600000, "ms",
-        "with seeds: silence after which a replica gives way to a newcomer, or is taken out when "
-        "enough others answer; at least election_max_ms"),
+        "with seeds: time without contact after which a replica is replaced by a joining one, or "
+        "removed when enough others answer; at least election_max_ms"),
     _NUMBER("timing", target_silent_ms, "6000", 500, 600000, "ms",
-            "silence after which a target that registers itself gets no more work"),
-    _NUMBER("timing", tick_ms, "10", 1, 100, "ms", "how often timers are looked at"),
+            "time without contact after which a target that registers itself gets no more work"),
+    _NUMBER("timing", tick_ms, "10", 1, 100, "ms", "interval at which timers are checked"),
     _NUMBER("timing", link_silence_ms, "4000", 300, 60000, "ms",
-            "silence after which a link between fleet processes is closed"),
+            "time without traffic after which a link between fleet processes is closed"),
     _NUMBER("state", log_keep, "1000", 4, 1000000, "entries",
-            "log entries kept behind a snapshot for replicas that lag a little"),
+            "log entries kept behind a snapshot for lagging replicas"),
     _NUMBER("state", snapshot_entries, "1000", 10, 1000000, "entries",
             "log entries between two snapshots"),
     _NUMBER("limits", memory_mb, "0", 0, 1000000, "MB",
-            "that the process may take; bounds what waits on links; 0: not told"),
-    _NUMBER("state", claims_max, "65536", 16, 1000000, "claims", "run-once claims kept at most"),
+            "memory limit of the process; bounds data queued on links; 0: unknown"),
+    _NUMBER("state", claims_max, "65536", 16, 1000000, "claims",
+            "maximum number of run-once claims kept"),
     _NUMBER("state", claim_keep_s, "86400", 1, 31536000, "s", "how long a claim is kept"),
-    /* Short beside the time after which somebody looks at the request and its caller, long beside
-       the gaps of a caller that repeats it; each end of it may cost two or three targets more. */
+    /* Longer than the gaps between a caller's retries, shorter than an operator's investigation;
+       each expiry may cost a few more targets. */
     _NUMBER("state", quarantine_s, "600", 1, 604800, "s",
-            "how long a request that ends targets is refused"),
+            "how long a request that crashes targets is refused"),
 };
 const int wgco_keys_num = G_N_ELEMENTS(wgco_keys);
 
@@ -77,7 +80,7 @@
 static bool _wgco_parse_controls(wgco_control* c, GError** error) {
     bool self_listed = false;
     if (c->discovers) {
-        return _wgco_discovery_seeds(c, c->settings, error);
+        return _wgco_discovery_set_seeds(c, c->settings, error);
     }
     for (int i = 0; c->settings->controls[i]; i++) {
         char** parts = g_strsplit(c->settings->controls[i], "@", 2);
@@ -128,14 +131,14 @@
     }
 }
 
-/* A control that knows no cluster yet, or holds nothing, takes the one it is in touch with. */
+/* Adopts the peer's cluster if this control belongs to none or its store is blank. */
 static bool _wgco_join_cluster(wgco_control* c, const wgn_peer* peer) {
     uint64_t own = wgs_query_content(c->store)->cluster;
     if (peer->cluster == 0 || own == peer->cluster) {
         return true;
     }
     if (own != 0 && !wgs_is_blank(c->store)) {
-        return false; /* one that holds nothing goes where the others went */
+        return false; /* only a blank store may change its cluster */
     }
     GError* error = NULL;
     if (!wgs_save_cluster(c->store, peer->cluster, &error)) {
@@ -146,14 +149,15 @@
     return true;
 }
 
-/* As leader: a listed control whose name was never in the set is added without being asked. */
+/* On the leader: adds a listed control whose name is not in the set yet. */
 static void _wgco_add_new_controls(wgco_control* c, wg_time now) {
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < c->peers_num; i++) {
         const _wgco_peer_t* peer = &c->peers[i];
         bool known = !peer->up || peer->identity == 0;
         for (int j = 0; j < set->num && !known; j++) {
-            /* Found by itself, an emptied replica takes the place of its former self unasked. */
+            /* With discovery, a replica whose folder was emptied replaces its previous identity
+               without an operator's command. */
             known = c->discovers ? set->replicas[j].id == peer->identity
                                  : strcmp(set->replicas[j].name, peer->name) == 0;
         }
@@ -170,8 +174,8 @@
     }
 }
 
-/* Another identity answers at the address of a replica: the folder of the former one is lost. */
-static void _wgco_note_gone(wgco_control* c, const _wgco_peer_t* peer) {
+/* If another identity answers under a replica's name, the data folder of the replica was lost. */
+static void _wgco_record_lost_replicas(wgco_control* c, const _wgco_peer_t* peer) {
     const wgr_set* set = wgr_query_set(c->node);
     for (int i = 0; i < set->num; i++) {
         const wgr_replica* replica = &set->replicas[i];
@@ -181,8 +185,8 @@
     }
 }
 
-/* A control has just reached this one: what was dialled to it before it was up may hang, as the
-   opening packet is sent again only after a second. */
+/* Redials a control that has just connected: a connection attempt made before it was up may hang
+   until its SYN is retransmitted after a second. */
 static void _wgco_redial(wgco_control* c, const char* name) {
     for (int i = 0; i < c->peers_num; i++) {
         _wgco_peer_t* peer = &c->peers[i];
@@ -201,7 +205,7 @@
         _wgco_router_up(c, link, peer);
         return;
     }
-    if (peer->role == WGW_ROLE_ENTRY && _wgco_discovery_is_word(c, link)) {
+    if (peer->role == WGW_ROLE_ENTRY && _wgco_discovery_is_announcement(c, link)) {
         return;
     }
     if (peer->role == WGW_ROLE_ENTRY) {
@@ -217,10 +221,10 @@
     if (known) {
         known->up = true;
         known->identity = peer->identity;
-        _wgco_note_gone(c, known);
+        _wgco_record_lost_replicas(c, known);
     } else {
         if (c->discovers) {
-            _wgco_discovery_learn(c, peer->name, peer->address);
+            _wgco_discovery_add_peer(c, peer->name, peer->address);
         }
         _wgco_redial(c, peer->name);
     }
@@ -229,8 +233,8 @@
 
 void _wgco_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     wgco_control* c = user_data;
-    if (_wgco_discovery_is_word(c, link)) {
-        return; /* closed by this control, word was given */
+    if (_wgco_discovery_is_announcement(c, link)) {
+        return; /* an announcement, closed by this control once sent */
     }
     _wgco_peer_t* known = _wgco_peer_of_link(c, link);
     if (known) {
@@ -254,21 +258,21 @@
     bool router = peer && peer->role == WGW_ROLE_ROUTER;
     bool entry = peer && peer->role == WGW_ROLE_ENTRY;
     if (entry && frame->type == WGW_TYPE_ENTRY_STATE) {
-        _wgco_discovery_take_word(c, frame);
+        _wgco_discovery_receive_controls(c, frame);
         return;
     }
     if (control && frame->type == WGW_TYPE_QUORUM) {
-        _wgco_take_quorum(c, frame);
+        _wgco_receive_quorum(c, frame);
     } else if (entry && frame->type == WGW_TYPE_ENTRY_REPORT) {
-        _wgco_entry_take_report(c, link, frame);
+        _wgco_entry_receive_report(c, link, frame);
     } else if (entry && frame->type == WGW_TYPE_ORDER) {
-        _wgco_take_order(c, link, frame);
+        _wgco_receive_order(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_REPORT) {
-        _wgco_take_report(c, link, frame);
+        _wgco_receive_report(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_ROW_QUERY) {
-        _wgco_take_row_query(c, link, frame);
+        _wgco_receive_row_query(c, link, frame);
     } else if (router && frame->type == WGW_TYPE_CLAIM_ASK) {
-        _wgco_take_claim(c, link, frame);
+        _wgco_receive_claim(c, link, frame);
     } else {
         wg_log(WG_EVENT_FRAME_BAD, "reason=type-not-for-this-role");
         wgn_close(c->net, link);
@@ -287,26 +291,27 @@
     }
 }
 
-/* Entry hosts that wait at this follower go to the leader as soon as one is known. */
-static void _wgco_tell_leader(wgco_control* c) {
-    const char* leader = _wgco_leader_address(c); /* "" too while only its identity is known */
-    if (strcmp(leader, c->leader_told) == 0) {
+/* Sends entry hosts connected to this follower to the leader once its address is known. */
+static void _wgco_announce_leader(wgco_control* c) {
+    /* The address is empty while only the leader's identity is known. */
+    const char* leader = _wgco_leader_address(c);
+    if (strcmp(leader, c->announced_leader) == 0) {
         return;
     }
-    wg_copy_name(c->leader_told, sizeof c->leader_told, leader);
+    wg_copy_name(c->announced_leader, sizeof c->announced_leader, leader);
     if (leader[0] && !c->leads) {
         _wgco_entry_redirect(c);
     }
 }
 
-static void _wgco_follow_leadership(wgco_control* c, wg_time now) {
+static void _wgco_update_leadership(wgco_control* c, wg_time now) {
     bool leads = wgr_leads(c->node, now);
     if (leads && !c->leads) {
         _wgco_lead_begin(c, now);
     } else if (!leads && c->leads) {
         _wgco_lead_end(c);
     }
-    _wgco_tell_leader(c);
+    _wgco_announce_leader(c);
 }
 
 static void _wgco_on_tick(evutil_socket_t fd, short what, void* user_data) {
@@ -315,7 +320,7 @@
     wgco_control* c = user_data;
     wg_time now = wg_now();
     if (!c->node) {
-        return; /* it waits for its disk */
+        return; /* waiting for the disk to accept writes */
     }
     wgr_tick(c->node, now);
     _wgco_pump(c);
@@ -323,12 +328,12 @@
         return;
     }
     _wgco_watch_tick(c, now);
-    _wgco_follow_leadership(c, now);
+    _wgco_update_leadership(c, now);
     _wgco_log_role(c, now);
     _wgco_discovery_tick(c, now);
     _wgco_dial_peers(c, now);
     if (c->leads) {
-        _wgco_watch_spare(c, now);
+        _wgco_watch_extend_deadlines(c, now);
         _wgco_add_new_controls(c, now);
         _wgco_routers_tick(c, now);
         _wgco_entry_tick(c, now);
@@ -342,19 +347,19 @@
     _wgco_plan(user_data);
 }
 
-/* A planned stop goes on until another control leads, and until this one is out of the set. Where
-   controls find each other, nobody knows whether it will come back; counted on as a voter it would
-   weigh beside a successor that is there already. */
+/* A planned stop lasts until another control leads and this one has left the set. With discovery
+   it may never come back, and a voter that stays away would weaken a set that already has its
+   replacement. */
 static bool _wgco_is_stop_over(const wgco_control* c) {
     if (!c->node) {
         return true;
     }
-    /* A leader that is alone has nobody to wait for. */
+    /* A leader without other replicas has nobody to transfer leadership to. */
     bool leads = wgr_query_stats(c->node, wg_now()).role == WGR_ROLE_LEADER;
     if (leads) {
-        return !c->handing_over;
+        return !c->transferring_leadership;
     }
-    return !c->discovers || wgr_has_left(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MOST;
+    return !c->discovers || wgr_has_left(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MAX;
 }
 
 static void _wgco_on_stop(evutil_socket_t fd, short what, void* user_data) {
@@ -419,7 +424,7 @@
         event_base_loopbreak(c->base);
         return;
     }
-    c->handing_over = wgr_hand_over(c->node, wg_now());
+    c->transferring_leadership = wgr_hand_over(c->node, wg_now());
     if (c->discovers) {
         wgr_leave(c->node);
     }
@@ -430,10 +435,10 @@
 
 void wgco_reload(wgco_control* c, const wgco_settings* settings) {
     if (c->discovers && !c->observer) {
-        _wgco_discovery_seeds(c, settings, NULL);
+        _wgco_discovery_set_seeds(c, settings, NULL);
     }
 }
 
 bool wgco_failed(const wgco_control* c) {
-    return c->broken;
+    return c->unrecoverable;
 }
--- a/lib/control/wg_control_entry.c
+++ b/lib/control/wg_control_entry.c
@@ -1,11 +1,12 @@
-/* wg_control_entry.c -- the leader's work for entry hosts that serve routes
+/* wg_control_entry.c -- the leader's state for entry hosts
 
-   Configurations and changes of targets are agreed on in the replicated log and pushed to every
-   entry host soon after they are applied. Loads, usage and the list of entry hosts are the leader's
-   own, put together again from their reports by each new leader.
+   Configurations and target changes are committed in the replicated log and pushed to every entry
+   host once applied. Loads, usage and the roster of entry hosts are not replicated: each new leader
+   rebuilds them from the hosts' reports.
 
-   A host is told what changed since what it has. What was sent on a link counts as had: links keep
-   the order, and a host that cannot use what came leaves the link and comes back. */
+   A host receives the changes since the versions it holds. Whatever was sent on a link counts as
+   held: links preserve order, and a host that cannot apply a message closes the link and
+   reconnects. */
 #include "wg_control_internal.h"
 #include "wg_usage.h"
 
@@ -14,13 +15,13 @@
 
 enum {
     WG_REPORT_MS_MIN = 100,
-    WG_REPORT_MS_PER_ENTRY = 2, /* more entry hosts report less often */
-    /* Between two pushes, for each host that is told: changes of one moment go out together. At 300
-       hosts 30 ms, short beside the seconds within which a change has to be in force. */
-    WG_PUSH_GAP_PER_ENTRY = 100, /* microseconds */
-    /* A new leader tells of members only once all that are up could report to it. */
+    WG_REPORT_MS_PER_ENTRY = 2, /* scales the report interval with the number of entry hosts */
+    /* Interval between pushes per connected entry host, so that changes made together are sent
+       together. */
+    WG_PUSH_INTERVAL_PER_ENTRY = 100, /* microseconds */
+    /* Time for running hosts to report to a new leader before it distributes the roster. */
     WG_MEMBERS_SETTLE = 1500 * WG_USEC_PER_MSEC,
-    WG_MEMBER_GONE = 1500 * WG_USEC_PER_MSEC
+    WG_MEMBER_TIMEOUT = 1500 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers: entry hosts ------------------------------------------------------------------ */
@@ -32,7 +33,7 @@
     g_free(e);
 }
 
-static _wgco_entry_t* _wgco_entry_of(const wgco_control* c, wgn_link link) {
+static _wgco_entry_t* _wgco_find_entry(const wgco_control* c, wgn_link link) {
     return g_hash_table_lookup(c->entries, GUINT_TO_POINTER(link.id));
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-static void _wgco_forget_loads(wgco_control* c, _wgco_entry_t* e) {
+static void _wgco_remove_loads(wgco_control* c, _wgco_entry_t* e) {
     GHashTableIter iter;
     gpointer load;
     g_hash_table_iter_init(&iter, e->loads);
@@ -62,12 +63,12 @@
     g_hash_table_remove_all(e->loads);
 }
 
-static void _wgco_take_loads(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
-    _wgco_forget_loads(c, e);
+static void _wgco_replace_loads(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
+    _wgco_remove_loads(c, e);
     for (size_t i = 0; i < in->n_loads; i++) {
         gpointer key = GUINT_TO_POINTER(in->loads[i]->target);
         if (g_hash_table_contains(e->loads, key)) {
-            continue; /* named twice: the first one counts */
+            continue; /* duplicate target: the first one counts */
         }
         Wgpb__TargetLoad* load = g_new(Wgpb__TargetLoad, 1);
         wgpb__target_load__init(load);
@@ -108,13 +109,13 @@
     usage->asked += (double)asked;
 }
 
-static void _wgco_take_usage(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
+static void _wgco_update_usage(wgco_control* c, _wgco_entry_t* e, const Wgpb__EntryReport* in) {
     for (size_t i = 0; i < in->n_usage; i++) {
         const Wgpb__WorkspaceUsage* now = in->usage[i];
         uint64_t workspace = now->workspace;
         _wgco_reported_t* before = g_hash_table_lookup(e->usage, &workspace);
         if (!before) {
-            /* What it served before it came to this leader is past. */
+            /* The first report to this leader is the baseline. */
             before = g_new0(_wgco_reported_t, 1);
             before->workspace = workspace;
             g_hash_table_insert(e->usage, &before->workspace, before);
@@ -128,11 +129,11 @@
 
 /* ---- helpers: members ---------------------------------------------------------------------- */
 
-static void _wgco_hear_member(wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static void _wgco_update_member(wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     if (!e->ready || e->leaving) {
         if (wg_roster_leave(c->roster, e->name)) {
             wg_log(WG_EVENT_MEMBER_LEAVING, "entry=%s", e->name);
-            _wgco_entry_push_soon(c);
+            _wgco_entry_schedule_push(c);
         }
         return;
     }
@@ -142,21 +143,21 @@
     wg_copy_name(host.data_centre, sizeof host.data_centre, e->data_centre);
     if (wg_roster_hear(c->roster, now, &host)) {
         wg_log(WG_EVENT_MEMBER_UP, "entry=%s", e->name);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
 
-static void _wgco_drop_silent_members(wgco_control* c, wg_time now) {
+static void _wgco_remove_unresponsive_members(wgco_control* c, wg_time now) {
     char name[WG_NAME_MAX];
-    while (wg_roster_drop_silent(c->roster, now, WG_MEMBER_GONE, name)) {
+    while (wg_roster_drop_silent(c->roster, now, WG_MEMBER_TIMEOUT, name)) {
         wg_log(WG_EVENT_MEMBER_GONE, "entry=%s", name);
-        _wgco_entry_push_soon(c);
+        _wgco_entry_schedule_push(c);
     }
 }
 
 /* ---- helpers: states ----------------------------------------------------------------------- */
 
-/* Everything that an EntryState points to; freed as one after it was sent. */
+/* Everything an EntryState message points to; freed together after sending. */
 typedef struct {
     Wgpb__EntryState message;
     GPtrArray* targets; /* wg_target*, borrowed */
@@ -187,18 +188,18 @@
     s->message.n_evacuated = evacuated->len;
 }
 
-/* Is the host to be told of members that it does not know? A list that is not whole yet would send
-   callers away from hosts that are up. */
-static bool _wgco_tells_members(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+/* True if the host should receive roster changes. An incomplete roster would turn callers away
+   from hosts that are up, so it is withheld while a new leader waits for reports. */
+static bool _wgco_sends_members(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     bool settling = now - c->led_since < WG_MEMBERS_SETTLE;
-    return e->roster_change != wg_roster_change(c->roster) && (!settling || e->knows_no_members);
+    return e->roster_change != wg_roster_change(c->roster) && (!settling || e->has_no_members);
 }
 
 static void _wgco_fill_members(wgco_control* c, const _wgco_entry_t* e, _wgco_state_t* s,
                                wg_time now) {
     s->message.members_num = (uint32_t)wg_roster_num(c->roster);
     s->message.members_change = e->roster_change;
-    if (!_wgco_tells_members(c, e, now)) {
+    if (!_wgco_sends_members(c, e, now)) {
         return;
     }
     s->roster = wg_roster_since(c->roster, e->roster_change);
@@ -218,7 +219,7 @@
     s->message.members_change = s->roster.change;
 }
 
-/* Loads of all others: what the host itself reported is taken off. */
+/* Fills in the loads of all other hosts: the totals less the host's own report. */
 static void _wgco_fill_loads(wgco_control* c, const _wgco_entry_t* e, _wgco_state_t* s) {
     guint num = g_hash_table_size(c->load_totals);
     s->loads = g_new(Wgpb__TargetLoad, num + 1);
@@ -292,13 +293,13 @@
     }
 }
 
-/* May the host be told what this replica has applied, though nobody leads as far as it knows? It is
-   agreed on, but there may be newer. */
-static bool _wgco_stands_by(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+/* True if a replica without a known leader may send its applied state to the host. That state is
+   committed but may be outdated. */
+static bool _wgco_serves_standby(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     return e->standby && !c->leads && wgr_query_stats(c->node, now).leader == 0;
 }
 
-/* The state that `e` lacks, packed. */
+/* Packs the state that `e` lacks. */
 static wgn_frame* _wgco_pack_entry_state(wgco_control* c, const _wgco_entry_t* e, bool with_loads,
                                          wg_time now) {
     _wgco_state_t s = {0};
@@ -312,7 +313,7 @@
     if (!e->reported || !s.message.leads || with_loads) {
         _wgco_fill_controls(&s, wgr_query_set(c->node));
     }
-    s.message.standby = _wgco_stands_by(c, e, now);
+    s.message.standby = _wgco_serves_standby(c, e, now);
     if ((s.message.leads && e->reported) || s.message.standby) {
         s.message.configuration_version = c->documents.version;
         _wgco_fill_targets(c, e, &s, now);
@@ -337,22 +338,22 @@
     }
 }
 
-/* Send a state and note what the host has then. */
+/* Sends a state and records what the host then holds. */
 static void _wgco_send_frame(wgco_control* c, _wgco_entry_t* e, wgn_frame* state, wg_time now) {
     bool leads = c->leads && wgr_leads(c->node, now) && e->reported;
-    bool tells = leads || _wgco_stands_by(c, e, now);
-    if (tells) {
+    bool sends_state = leads || _wgco_serves_standby(c, e, now);
+    if (sends_state) {
         _wgco_send_configuration(c, e);
     }
     if (!wgn_send_frame(c->net, e->link, state)) {
         return;
     }
     e->state_seq = c->state_seq;
-    if (tells) {
+    if (sends_state) {
         e->registry_change = wg_registry_change(c->registry);
         e->quarantine_change = wg_quarantine_change(c->quarantine);
     }
-    if (leads && _wgco_tells_members(c, e, now)) {
+    if (leads && _wgco_sends_members(c, e, now)) {
         e->roster_change = wg_roster_change(c->roster);
     }
 }
@@ -367,30 +368,31 @@
 
 /* ---- helpers: pushes ----------------------------------------------------------------------- */
 
-/* A state that was packed for one host, for others that lack the same. */
+/* A state packed for one host and shared with others that hold the same versions. */
 typedef struct {
-    wgn_frame* state; /* NULL: none yet */
+    wgn_frame* state; /* NULL: not packed yet */
     uint64_t registry_change;
     uint64_t roster_change;
     uint64_t quarantine_change;
-    bool knows_no_members;
+    bool has_no_members;
 } _wgco_shared_t;
 
-static bool _wgco_lacks_the_same(const _wgco_shared_t* shared, const _wgco_entry_t* e) {
+static bool _wgco_can_share_state(const _wgco_shared_t* shared, const _wgco_entry_t* e) {
     return shared->state && shared->registry_change == e->registry_change &&
            shared->roster_change == e->roster_change &&
            shared->quarantine_change == e->quarantine_change &&
-           shared->knows_no_members == e->knows_no_members;
+           shared->has_no_members == e->has_no_members;
 }
 
-static bool _wgco_lacks_something(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
+static bool _wgco_is_outdated(const wgco_control* c, const _wgco_entry_t* e, wg_time now) {
     return e->configuration_version < c->documents.version ||
            e->registry_change != wg_registry_change(c->registry) ||
            e->quarantine_change != wg_quarantine_change(c->quarantine) ||
-           _wgco_tells_members(c, e, now);
+           _wgco_sends_members(c, e, now);
 }
 
-/* Tell the entry hosts what they lack; `all`: also those that lack nothing, who leads. */
+/* Sends each entry host the state it lacks; with `all`, also notifies up-to-date hosts of the
+   leader. */
 static void _wgco_push(wgco_control* c, bool all) {
     wg_time now = wg_now();
     _wgco_shared_t shared = {0};
@@ -402,16 +404,16 @@
     g_hash_table_iter_init(&iter, c->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         _wgco_entry_t* e = value;
-        if (!e->reported || (!all && !_wgco_lacks_something(c, e, now))) {
+        if (!e->reported || (!all && !_wgco_is_outdated(c, e, now))) {
             continue;
         }
-        if (!_wgco_lacks_the_same(&shared, e)) {
+        if (!_wgco_can_share_state(&shared, e)) {
             wgn_frame_unref(shared.state);
             shared = (_wgco_shared_t){.state = _wgco_pack_entry_state(c, e, false, now),
                                       .registry_change = e->registry_change,
                                       .roster_change = e->roster_change,
                                       .quarantine_change = e->quarantine_change,
-                                      .knows_no_members = e->knows_no_members};
+                                      .has_no_members = e->has_no_members};
         }
         _wgco_send_frame(c, e, shared.state, now);
     }
@@ -419,7 +421,7 @@
 }
 
 static void _wgco_push_if_due(wgco_control* c, wg_time now) {
-    wg_time gap = WG_PUSH_GAP_PER_ENTRY * (wg_time)g_hash_table_size(c->entries);
+    wg_time gap = WG_PUSH_INTERVAL_PER_ENTRY * (wg_time)g_hash_table_size(c->entries);
     if (c->push_due && now >= c->pushed_at + gap) {
         _wgco_push(c, false);
     }
@@ -456,24 +458,24 @@
 }
 
 void _wgco_entry_down(wgco_control* c, wgn_link link) {
-    _wgco_entry_t* e = _wgco_entry_of(c, link);
+    _wgco_entry_t* e = _wgco_find_entry(c, link);
     if (e) {
-        _wgco_forget_loads(c, e);
+        _wgco_remove_loads(c, e);
         g_hash_table_remove(c->entries, GUINT_TO_POINTER(link.id));
     }
 }
 
-void _wgco_entry_take_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
-    _wgco_entry_t* e = _wgco_entry_of(c, link);
+void _wgco_entry_receive_report(wgco_control* c, wgn_link link, const wgw_frame* frame) {
+    _wgco_entry_t* e = _wgco_find_entry(c, link);
     Wgpb__EntryReport* in =
         e ? wgpb__entry_report__unpack(NULL, frame->size, frame->payload) : NULL;
     if (!in) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=entry-report");
         return;
     }
-    e->knows_no_members = e->knows_no_members || (!e->reported && in->members_change == 0);
+    e->has_no_members = e->has_no_members || (!e->reported && in->members_change == 0);
     e->reported = true;
-    if (in->state_seen == e->state_seq) { /* else something is on its way to it */
+    if (in->state_seen == e->state_seq) { /* otherwise a newer state is in transit */
         e->configuration_version = in->configuration_version;
         e->registry_change = in->registry_change;
         e->roster_change = in->members_change;
@@ -482,17 +484,17 @@
     e->ready = in->ready;
     e->standby = in->standby;
     e->leaving = in->leaving;
-    _wgco_take_loads(c, e, in);
-    _wgco_take_usage(c, e, in);
-    _wgco_quarantine_take_report(c, e, in);
+    _wgco_replace_loads(c, e, in);
+    _wgco_update_usage(c, e, in);
+    _wgco_quarantine_receive_report(c, e, in);
     if (c->leads) {
-        _wgco_hear_member(c, e, wg_now());
+        _wgco_update_member(c, e, wg_now());
     }
     wgpb__entry_report__free_unpacked(in, NULL);
     _wgco_answer_report(c, e);
 }
 
-void _wgco_entry_push_soon(wgco_control* c) {
+void _wgco_entry_schedule_push(wgco_control* c) {
     c->push_due = true;
 }
 
@@ -516,17 +518,17 @@
 }
 
 void _wgco_entry_tick(wgco_control* c, wg_time now) {
-    _wgco_drop_silent_members(c, now);
+    _wgco_remove_unresponsive_members(c, now);
     _wgco_quarantine_tick(c, now);
     _wgco_push_if_due(c, now);
-    const wg_target* silent =
+    const wg_target* unresponsive =
         wg_registry_silent(c->registry, now, c->settings->target_silent_ms * WG_USEC_PER_MSEC);
-    if (!silent) {
+    if (!unresponsive) {
         return;
     }
     Wgpb__Command command = WGPB__COMMAND__INIT;
     Wgpb__TargetRecord record;
-    wg_target copy = *silent;
+    wg_target copy = *unresponsive;
     copy.state = WG_TARGET_SILENT;
     wg_target_pack(&copy, now, &record);
     command.target = &record;
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -1,20 +1,19 @@
-/* wg_control_start.c -- the replica's start over its data folder, and its pause while the disk
-   takes no writes
+/* wg_control_start.c -- opening the data folder, and suspension while the disk accepts no writes
 
-   A replica that could not write something must not go on as if it had. It gives up what it holds
-   in memory, as if the process had ended, and starts again from the folder once writing works.
-   Until then it votes for nobody, acknowledges nothing and keeps no links, so the others go on
-   without it and entry hosts go to them. */
+   After a failed write a replica must not continue as if the data were stored. It discards its
+   state in memory, as if the process had ended, and starts again from the data folder once
+   writes succeed. Until then it neither votes nor acknowledges and keeps no links, so the other
+   replicas go on without it and entry hosts connect to them. */
 #include "wg_control_internal.h"
 
 #include <string.h>
 #include <sys/random.h>
 
 enum {
-    _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* a larger set could not be agreed on */
-    /* Between two tries to write: short beside what a change may take to be acknowledged (seconds),
-       long beside a try (a few system calls). */
-    WG_DISK_RETRY = 200 * WG_USEC_PER_MSEC
+    _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* limited by the size of a replica set */
+    /* Interval between attempts to open the data folder; short compared with the time that a change
+       may take to be acknowledged. */
+    WG_DISK_RETRY_INTERVAL = 200 * WG_USEC_PER_MSEC
 };
 
 static uint64_t _wgco_random(void) {
@@ -56,8 +55,8 @@
     return good;
 }
 
-/* With a fixed list of controls an operator decides who takes whose place. */
-static wg_time _wgco_gone_after(const wgco_control* c) {
+/* 0 with a fixed list of controls, where an operator replaces replicas. */
+static wg_time _wgco_replica_timeout(const wgco_control* c) {
     const wgco_settings* s = c->settings;
     int64_t gone_ms = MAX(s->replica_gone_ms, s->election_max_ms);
     return c->discovers ? gone_ms * WG_USEC_PER_MSEC : 0;
@@ -94,7 +93,7 @@
                                     .election_min = s->election_min_ms * WG_USEC_PER_MSEC,
                                     .election_max = s->election_max_ms * WG_USEC_PER_MSEC,
                                     .heartbeat = s->heartbeat_ms * WG_USEC_PER_MSEC,
-                                    .gone_after = _wgco_gone_after(c),
+                                    .gone_after = _wgco_replica_timeout(c),
                                     .losses = (int)CLAMP(s->losses, 1, _WGCO_LOSSES_MAX),
                                     .log_keep = (int)s->log_keep},
                         error);
@@ -113,7 +112,8 @@
                              s->fleet_address[0] ? s->fleet_address : s->fleet_listen) &&
                 wg_copy_name(self.data_centre, sizeof self.data_centre, s->data_centre);
     if (!fits) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "[control] a name is too long");
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
+                    "[control] name, fleet address or data_centre is too long");
         return false;
     }
     c->net = wgn_setup(&(wgn_desc){.base = c->base,
@@ -132,11 +132,11 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-/* Everything that stands on the data folder. */
+/* Opens everything that depends on the data folder. */
 static bool _wgco_open(wgco_control* c, GError** error) {
     _wgco_entry_setup(c);
     _wgco_quarantine_setup(c);
-    return (!c->discovers || _wgco_discovery_form(c, error)) && _wgco_open_state(c, error) &&
+    return (!c->discovers || _wgco_discovery_bootstrap(c, error)) && _wgco_open_state(c, error) &&
            _wgco_open_links(c, error);
 }
 
@@ -157,18 +157,18 @@
         c->peers[i].link = (wgn_link){0};
         c->peers[i].up = false;
     }
-    c->word_link = (wgn_link){0};
+    c->announce_link = (wgn_link){0};
     c->role_logged = WGR_ROLE_DEFAULT;
-    c->leader_told[0] = 0;
+    c->announced_leader[0] = 0;
     c->failed = false;
 }
 
-static void _wgco_retry_later(wgco_control* c) {
-    struct timeval wait = {.tv_usec = WG_DISK_RETRY};
-    event_add(c->disk_event, &wait);
+static void _wgco_schedule_reopen(wgco_control* c) {
+    struct timeval wait = {.tv_usec = WG_DISK_RETRY_INTERVAL};
+    event_add(c->reopen_event, &wait);
 }
 
-static void _wgco_on_disk(evutil_socket_t fd, short what, void* user_data) {
+static void _wgco_on_reopen(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     wgco_control* c = user_data;
@@ -180,7 +180,7 @@
     GError* error = NULL;
     if (_wgco_open(c, &error)) {
         if (c->suspended_at == 0) {
-            return; /* opened again for another reason */
+            return; /* reopened after a forced recovery */
         }
         wg_log(WG_EVENT_STORE_RESUMED, "after_ms=%" G_GINT64_FORMAT,
                (wg_now() - c->suspended_at) / WG_USEC_PER_MSEC);
@@ -189,10 +189,10 @@
     }
     if (!g_error_matches(error, WG_ERROR, WG_ERROR_DISK)) {
         wg_log(WG_EVENT_STORE_FAILED, "%s", error->message);
-        c->broken = true;
+        c->unrecoverable = true;
         event_base_loopbreak(c->base);
     } else {
-        _wgco_retry_later(c);
+        _wgco_schedule_reopen(c);
     }
     g_error_free(error);
 }
@@ -205,7 +205,7 @@
 
 bool _wgco_start(wgco_control* c, GError** error) {
     GError* failure = NULL;
-    c->disk_event = evtimer_new(c->base, _wgco_on_disk, c);
+    c->reopen_event = evtimer_new(c->base, _wgco_on_reopen, c);
     if (_wgco_open(c, &failure)) {
         return true;
     }
@@ -216,15 +216,15 @@
     _wgco_close(c);
     _wgco_suspend(c, failure);
     g_error_free(failure);
-    _wgco_retry_later(c);
+    _wgco_schedule_reopen(c);
     return true;
 }
 
 void _wgco_end(wgco_control* c) {
     _wgco_close(c);
-    if (c->disk_event) {
-        event_free(c->disk_event);
-        c->disk_event = NULL;
+    if (c->reopen_event) {
+        event_free(c->reopen_event);
+        c->reopen_event = NULL;
     }
 }
 
@@ -236,11 +236,12 @@
     if (g_error_matches(error, WG_ERROR, WG_ERROR_DISK)) {
         struct timeval at_once = {0};
         _wgco_suspend(c, error);
-        event_add(c->disk_event, &at_once); /* from the loop: a link's callback may be under way */
+        /* Deferred to the loop, as a link callback may be running. */
+        event_add(c->reopen_event, &at_once);
     } else {
         wg_log(WG_EVENT_STORE_FAILED, "%s", error->message);
         c->failed = true;
-        c->broken = true;
+        c->unrecoverable = true;
         event_base_loopbreak(c->base);
     }
     g_error_free(error);
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -1,5 +1,5 @@
-/* wg_control_watch.c -- lines and figures about a control's own loop, the replica set, and a leader
-   that is missing */
+/* wg_control_watch.c -- logs and metrics about event-loop delays, the replica set and leader
+   outages */
 #include "wg_control_internal.h"
 
 #include <string.h>
@@ -62,7 +62,7 @@
     }
 }
 
-/* Each voter and how it stands: up, down and for how long, or its disk known to be lost. */
+/* Lists each voter with its state: up, down and for how long, or disk lost. */
 static char* _wgco_describe_voters(const wgco_control* c, wg_time now) {
     const wgr_set* set = wgr_query_set(c->node);
     GString* list = g_string_new(NULL);
@@ -86,7 +86,7 @@
     }
 }
 
-static void _wgco_tell_missing_leader(wgco_control* c, wg_time now) {
+static void _wgco_log_missing_leader(wgco_control* c, wg_time now) {
     wgr_stats stats = wgr_query_stats(c->node, now);
     bool own = stats.role == WGR_ROLE_LEADER;
     bool present = own ? wgr_leads(c->node, now) : stats.leader != 0;
@@ -139,28 +139,28 @@
     return g_string_free(holders, FALSE);
 }
 
-/* Counted as silence, time in which nobody listened would end targets, entry hosts and routers that
-   were there all the time, before what they sent meanwhile is read. */
-void _wgco_watch_spare(wgco_control* c, wg_time now) {
+/* Without this, the time of a stall would count as silence, and targets, entry hosts and routers
+   would be removed before the messages they sent meanwhile are read. */
+void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now) {
     enum {
-        STOOD_STILL = 300 * WG_USEC_PER_MSEC /* three reports of an entry host */
+        STALL_MIN = 300 * WG_USEC_PER_MSEC /* three report intervals of an entry host */
     };
-    wg_time stood = c->pulse.last;
-    if (stood > STOOD_STILL) {
-        wg_registry_spare(c->registry, now, stood);
-        wg_roster_spare(c->roster, now, stood);
-        wgm_spare(c->members, now, stood);
+    wg_time stalled = c->loop_lag.last;
+    if (stalled > STALL_MIN) {
+        wg_registry_spare(c->registry, now, stalled);
+        wg_roster_spare(c->roster, now, stalled);
+        wgm_spare(c->members, now, stalled);
     }
 }
 
 void _wgco_watch_tick(wgco_control* c, wg_time now) {
-    wg_time late;
+    wg_time lag;
     wg_time period = c->settings->tick_ms * WG_USEC_PER_MSEC;
-    if (wg_pulse_beat(&c->pulse, now, period, &late)) {
+    if (wg_pulse_beat(&c->loop_lag, now, period, &lag)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " leads=%d entries=%u",
-               late / WG_USEC_PER_MSEC, c->leads, g_hash_table_size(c->entries));
+               lag / WG_USEC_PER_MSEC, c->leads, g_hash_table_size(c->entries));
     }
-    _wgco_tell_missing_leader(c, now);
+    _wgco_log_missing_leader(c, now);
 }
 
 void _wgco_watch_metrics(const wgco_control* c, GString* out) {
@@ -174,5 +174,5 @@
                            "walnutgate_leaderless_seconds %.3f\n",
                            voters, _wgco_voters_up(c), set->num - voters,
                            (double)wg_absence_length(&c->leaderless, wg_now()) / WG_USEC_PER_SEC);
-    wg_hist_print(&c->pulse.late, "walnutgate_loop_late_seconds", "", 1e6, out);
+    wg_hist_print(&c->loop_lag.late, "walnutgate_loop_late_seconds", "", 1e6, out);
 }
--- a/lib/document/wg_document.c
+++ b/lib/document/wg_document.c
@@ -4,22 +4,20 @@
 #include <zstd.h>
 
 enum {
-    /* Of zstd, 1 to 22. At this one 192 KB whose every route is new take 0.2 to 0.7 ms to pack and
-       0.1 ms to unpack (one core, mean of 50). */
-    WG_DOCUMENT_LEVEL = 3,
-    WG_DOCUMENT_WINDOW_MIN = 17, /* log2 of bytes; smaller windows save no memory worth having */
-    WG_DOCUMENT_WINDOW_MAX = 25  /* holds a document of WG_DOCUMENT_MAX bytes and its base */
+    WG_DOCUMENT_LEVEL = 3,       /* zstd compression level, 1 to 22 */
+    WG_DOCUMENT_WINDOW_MIN = 17, /* log2 of bytes; smaller windows save little memory */
+    WG_DOCUMENT_WINDOW_MAX = 25  /* log2 of bytes; spans two documents of WG_DOCUMENT_MAX bytes */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-/* log2 of a window that reaches from the end of the document to the start of its base. */
+/* Returns log2 of a window that spans the document and its base. */
 static int wg_document_window(size_t size, size_t base_size) {
-    int log = WG_DOCUMENT_WINDOW_MIN;
-    while (log < WG_DOCUMENT_WINDOW_MAX && ((size_t)1 << log) < size + base_size) {
-        log++;
+    int window_log = WG_DOCUMENT_WINDOW_MIN;
+    while (window_log < WG_DOCUMENT_WINDOW_MAX && ((size_t)1 << window_log) < size + base_size) {
+        window_log++;
     }
-    return log;
+    return window_log;
 }
 
 static GBytes* wg_document_error(GError** error, const char* why) {
@@ -42,34 +40,36 @@
         ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog, window);
         ZSTD_CCtx_refPrefix(context, base_data, base_size);
     }
-    size_t most = ZSTD_compressBound(size);
-    void* packed = g_malloc(most);
-    size_t packed_size = ZSTD_compress2(context, packed, most, data, size);
+    size_t packed_max = ZSTD_compressBound(size);
+    void* packed = g_malloc(packed_max);
+    size_t packed_size = ZSTD_compress2(context, packed, packed_max, data, size);
     ZSTD_freeCCtx(context);
-    WG_ASSERT(!ZSTD_isError(packed_size)); /* there is room for the worst case */
+    WG_ASSERT(!ZSTD_isError(packed_size)); /* packed_max is the worst case */
     return g_bytes_new_take(g_realloc(packed, MAX(packed_size, 1)), packed_size);
 }
 
 GBytes* wg_document_unpack(const void* packed, size_t size, GBytes* base, GError** error) {
-    unsigned long long whole = ZSTD_getFrameContentSize(packed, size);
-    if (whole == ZSTD_CONTENTSIZE_UNKNOWN || whole == ZSTD_CONTENTSIZE_ERROR) {
-        return wg_document_error(error, "the head is damaged");
+    unsigned long long content_size = ZSTD_getFrameContentSize(packed, size);
+    if (content_size == ZSTD_CONTENTSIZE_UNKNOWN || content_size == ZSTD_CONTENTSIZE_ERROR) {
+        return wg_document_error(error, "the header is damaged");
     }
-    if (whole > WG_DOCUMENT_MAX) {
-        return wg_document_error(error, "it is too large");
+    if (content_size > WG_DOCUMENT_MAX) {
+        return wg_document_error(error, "it exceeds the size limit");
     }
     gsize base_size = 0;
     const void* base_data = base ? g_bytes_get_data(base, &base_size) : NULL;
     ZSTD_DCtx* context = ZSTD_createDCtx();
     ZSTD_DCtx_refPrefix(context, base_data, base_size);
-    void* document = g_malloc(MAX(whole, 1));
-    size_t got = ZSTD_decompressDCtx(context, document, whole, packed, size);
+    void* document = g_malloc(MAX(content_size, 1));
+    size_t unpacked_size = ZSTD_decompressDCtx(context, document, content_size, packed, size);
     ZSTD_freeDCtx(context);
-    if (ZSTD_isError(got) || got != whole) {
+    if (ZSTD_isError(unpacked_size) || unpacked_size != content_size) {
         g_free(document);
-        return wg_document_error(error, ZSTD_isError(got) ? ZSTD_getErrorName(got) : "it is cut");
+        return wg_document_error(error, ZSTD_isError(unpacked_size)
+                                            ? ZSTD_getErrorName(unpacked_size)
+                                            : "it is truncated");
     }
-    return g_bytes_new_take(document, whole);
+    return g_bytes_new_take(document, content_size);
 }
 
 GBytes* wg_document_read(const Wgpb__Configuration* message, GBytes* base, GError** error) {
