--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -1,4 +1,4 @@
-/* wg_quorum.c -- elections, following, and the output; see wg_quorum.h */
+/* wg_quorum.c -- elections, followers and output batches; see wg_quorum.h */
 #include "wg_quorum_internal.h"
 
 #include <string.h>
@@ -132,7 +132,7 @@
     bool just_started = m->life == n->life && !n->promised;
     if (!forced && !just_started && _wgr_leader_is_fresh(n, now)) {
         n->votes_refused++;
-        return; /* does not even take over the term: a cut-off replica must not unseat a leader */
+        return; /* ignores the term too: a replica that was partitioned must not depose a leader */
     }
     if (m->term > n->term) {
         _wgr_become_follower(n, now, m->term, 0);
@@ -175,7 +175,8 @@
 
 /* ---- following ---------------------------------------------------------------------------- */
 
-/* Common to all messages that only a leader of this term sends; false: it is an old leader. */
+/* Common to all messages that only the leader of a term sends. Returns false when the message is
+ * from an older term. */
 static bool _wgr_hear_leader(wgr_node* n, wg_time now, const wgr_message* m) {
     if (m->term < n->term) {
         return false;
@@ -190,13 +191,13 @@
     return true;
 }
 
-/* Add the entries that are not held yet; drop own entries that conflict. Returns the last index
-   that now agrees with the leader's log. */
+/* Appends missing entries and truncates conflicting ones. Returns the last index that matches the
+ * leader's log. */
 static uint64_t _wgr_take_entries(wgr_node* n, const wgr_message* m) {
     for (int i = 0; i < m->entries_num; i++) {
         const wgr_entry* entry = &m->entries[i];
         if (entry->index <= n->commit) {
-            continue; /* committed entries agree already */
+            continue; /* committed entries always match */
         }
         if (entry->index <= _wgr_last_index(n)) {
             if (_wgr_term_at(n, entry->index) == entry->term) {
@@ -240,7 +241,8 @@
     GBytes* state = g_byte_array_free_to_bytes(n->incoming);
     n->incoming = NULL;
     if (_wgr_term_at(n, m->snapshot_index) == m->snapshot_term) {
-        /* All of it is in the log already; entries behind it may have been acknowledged. */
+        /* The log already contains the snapshot's last entry; later entries may have been
+         * acknowledged. */
         _wgr_commit_to(n, m->snapshot_index);
         g_bytes_unref(state);
         return;
@@ -302,11 +304,10 @@
 
 /* ---- standing still ------------------------------------------------------------------------ */
 
-/* A replica that stood still has not read what came meanwhile: it neither stands for election nor
-   ends its own term before it had the time for that, once, two heartbeats. Without it a machine
-   that stood still for 0.7 s had no leader for 0.3 to 0.5 s more, and a leader that the others were
-   too few to replace fell each time (40 of 40 random runs each). Promises and leases are in real
-   time all the same: what others may have begun meanwhile is not touched. */
+/* After a stall, extends the deadlines for elections and check-quorum once by a few heartbeats:
+ * messages that arrived during the stall are still unread, and acting before they are processed
+ * would cause needless elections and step-downs. Leases and vote promises stay in real time, since
+ * other replicas may have acted on them during the stall. */
 static void _wgr_note_stall(wgr_node* n, wg_time now) {
     wg_time before = n->ticked_at;
     n->ticked_at = now;
@@ -366,11 +367,11 @@
     n->desc = d;
     n->lease = d.election_min * WGR_LEASE_PERCENT / 100;
     n->role = WGR_ROLE_FOLLOWER;
-    n->life = wg_hash(&d.seed, sizeof d.seed, d.self) | 1; /* never 0 */
+    n->life = wg_hash(&d.seed, sizeof d.seed, d.self) | 1;
     n->messages = g_array_new(FALSE, TRUE, sizeof(wgr_message));
     g_array_set_clear_func(n->messages, _wgr_message_free_parts);
     _wgr_log_setup(n, d.restored);
-    /* A restarted replica may have promised a leader its silence. */
+    /* Before the restart this replica may have promised a leader not to vote. */
     n->heard_leader_at = d.now;
     n->ticked_at = d.now;
     _wgr_reset_election(n, d.now);
@@ -397,7 +398,7 @@
     if (n->role == WGR_ROLE_LEADER) {
         _wgr_leader_tick(n, now);
     } else if (now >= n->election_at) {
-        /* A voter that is alone has nobody whose promise it could break. */
+        /* A lone voter has no other replica whose promise it could violate. */
         _wgr_campaign(n, now, WGR_CAMPAIGN_PRE);
     } else {
         _wgr_start_tick(n, now);
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -4,39 +4,41 @@
 
     WHAT IT DOES
         Agrees on one sequence of entries (Raft, Ongaro and Ousterhout 2014, with pre-vote,
-        check-quorum, leader leases, snapshot transfer and replica replacement). No socket, file or
-        clock: messages and `now` come in, an output comes out, and the caller persists it before it
-        sends.
+        check-quorum, leader leases, snapshot transfer and replica replacement). Does no I/O and
+        reads no clock: messages and `now` are inputs, and the caller persists each output before
+        it sends the output's messages.
 
     FEATURES
-        - a replica is known by an identity that lives in its data folder: a lost folder means a new
-          identity, which cannot vote until the set was changed and it has caught up
-        - replacement: add the new identity under the old name; the leader lets it catch up, takes
-          the old one out, then gives the new one its vote. Any later leader carries on.
-        - succession (gone_after): a voter that has been silent for so long goes when a learner has
-          caught up to take its place, or when enough others answer. In a full set the two never
-          count side by side, so as many may be lost after a replacement as before. How long it has
-          been silent outlives a leader (wg_quorum_silence.c).
-        - a voter that stops, for good or for a while, can leave the set first (wgr_leave)
-        - wgr_leads(): true only while a majority has lately confirmed this leader. The lease counts
-          from when a heartbeat was sent and is shorter than the shortest election wait, so that a
-          frozen leader that wakes finds it ended.
-        - leadership can be handed over in a planned stop; the lease ends first
-        - when every voter has just started nobody holds a lease: an election at once
-          (wg_quorum_start.c)
+        - a replica is identified by an id stored in its data folder: a lost folder means a new id,
+          which cannot vote until the set was changed and the replica has caught up
+        - replacement: add the new id under the old name; the leader lets the new replica catch up,
+          removes the old id, then promotes the new one to voter. Any later leader continues.
+        - removal of unresponsive voters (gone_after): such a voter is removed when a learner has
+          caught up to replace it, or when enough other voters respond. In a full set a voter and
+          its replacement never count at the same time, so a replacement doesn't reduce the number
+          of failures the set tolerates. The time since last contact survives a change of leader
+          (wg_quorum_silence.c).
+        - a voter that stops, permanently or not, can leave the set first (wgr_leave)
+        - wgr_leads(): true only while a majority has recently confirmed this leader. The lease
+          starts when the heartbeat is sent and is shorter than the minimum election timeout, so a
+          leader that resumes after a stall finds its lease expired.
+        - leadership can be transferred in a planned stop; the lease ends first
+        - when every voter has just started, no lease can be in force: an election starts without
+          waiting for the election timeout (wg_quorum_start.c)
 
     USE
-        1. wgr_node* n = wgr_setup(&(wgr_desc){.self = id, .seed = s, .now = now, .restored = &r},
-   &e);
+        1. wgr_node* n = wgr_setup(&(wgr_desc){.self = id, .seed = s, .now = now,
+                                               .restored = &r}, &e);
         2. wgr_tick(n, now); wgr_step(n, now, &message); wgr_propose(n, now, data, size);
         3. while (wgr_output_next(n, &out)) { persist(&out); send(&out); apply(&out);
               wgr_output_done(n, now); }
-        4. wgr_compact(n, applied_index, state);   // after the snapshot file is safe
+        4. wgr_compact(n, applied_index, state);   // after the snapshot file is synced
         5. wgr_shutdown(n);
 
     THE CALLER OWNS
-        messages it passes in. An output borrows from the node until wgr_output_done(). Order is
-        binding: snapshot, truncation, entries and hard state are synced before messages leave.
+        messages it passes in. An output borrows from the node until wgr_output_done(). The order
+        is binding: snapshot, truncation, entries and hard state are synced before messages are
+        sent.
 */
 #include "wg_base.h"
 
@@ -45,16 +47,17 @@
     WGR_ELECTION_MIN_DEFAULT = 900 * WG_USEC_PER_MSEC,
     WGR_ELECTION_MAX_DEFAULT = 1500 * WG_USEC_PER_MSEC,
     WGR_HEARTBEAT_DEFAULT = 150 * WG_USEC_PER_MSEC,
-    WGR_LEASE_PERCENT = 80, /* of the shortest election wait; the rest covers clock drift */
+    WGR_LEASE_PERCENT = 80, /* of the minimum election timeout; the margin covers clock drift */
     WGR_MESSAGE_BYTES_DEFAULT = 256 * 1024,
-    WGR_LOG_KEEP_DEFAULT = 1000, /* entries kept behind a snapshot for replicas that lag a little */
+    WGR_LOG_KEEP_DEFAULT = 1000, /* entries kept before the snapshot index, so that a slightly
+                                    lagging replica needs no snapshot */
     WGR_LOSSES_DEFAULT = 1
 };
 
 typedef enum {
     WGR_ENTRY_DEFAULT = 0,
-    WGR_ENTRY_EMPTY,    /* first entry of a term */
-    WGR_ENTRY_DATA,     /* the caller's */
+    WGR_ENTRY_EMPTY,    /* no-op entry that opens a term */
+    WGR_ENTRY_DATA,     /* opaque data of the caller */
     WGR_ENTRY_REPLICAS, /* a new replica set */
     WGR_ENTRY_NUM
 } wgr_entry_kind;
@@ -72,22 +75,25 @@
     WGR_MESSAGE_DEFAULT = 0,
     WGR_MESSAGE_PRE_VOTE,
     WGR_MESSAGE_PRE_VOTE_REPLY,
-    WGR_MESSAGE_VOTE, /* hint 1: asked for by a leader that hands over; `life`: see below */
+    WGR_MESSAGE_VOTE, /* hint 1: part of a leadership transfer; `life`: see wgr_message */
     WGR_MESSAGE_VOTE_REPLY,
     WGR_MESSAGE_APPEND,
     WGR_MESSAGE_APPEND_REPLY,
     WGR_MESSAGE_SNAPSHOT,
     WGR_MESSAGE_SNAPSHOT_REPLY,
-    WGR_MESSAGE_TIMEOUT_NOW, /* the leader asks this replica to stand at once */
-    WGR_MESSAGE_START_ASK,   /* has this replica heard a leader since it started? */
-    WGR_MESSAGE_START_REPLY, /* refused: it has */
-    WGR_MESSAGE_LEAVE,       /* a voter is about to stop and asks to be taken out of the set */
-    WGR_MESSAGE_LEAVE_REPLY, /* it is out; refused: it stays a voter, too few others answer */
+    WGR_MESSAGE_TIMEOUT_NOW, /* the leader asks this replica to start an election immediately */
+    WGR_MESSAGE_START_ASK,   /* asks whether this replica has had contact with a leader since it
+                                started */
+    WGR_MESSAGE_START_REPLY, /* `reject`: the sender has had contact with a leader since it started
+                              */
+    WGR_MESSAGE_LEAVE,       /* a voter is about to stop and asks to be removed from the set */
+    WGR_MESSAGE_LEAVE_REPLY, /* the sender of LEAVE was removed; `reject`: it stays a voter, too few
+                                others respond */
     WGR_MESSAGE_NUM
 } wgr_message_type;
 
 typedef struct {
-    uint64_t id; /* identity of a data folder, never 0 */
+    uint64_t id; /* id stored in the data folder, never 0 */
     char name[WG_NAME_MAX];
     char address[WG_ADDRESS_MAX];
     bool voter;
@@ -102,13 +108,13 @@
     uint64_t index;
     uint64_t term;
     wgr_entry_kind kind;
-    GBytes* data; /* a reference; REPLICAS entries hold a wgr_set packed by wgr_set_pack() */
+    GBytes* data; /* owned reference; REPLICAS entries contain a wgr_set packed by wgr_set_pack() */
 } wgr_entry;
 
-/* For how long a replica has not answered. */
+/* Time since the leader's last contact with an unresponsive replica. */
 typedef struct {
     uint64_t id;
-    wg_time length; /* microseconds */
+    wg_time length;
 } wgr_silence;
 
 typedef struct {
@@ -116,14 +122,16 @@
     uint64_t from;
     uint64_t to;
     uint64_t term;
-    uint64_t log_index; /* APPEND: entry before `entries`; replies: matched or refused index */
+    uint64_t log_index; /* APPEND: index of the entry before `entries`; replies: matched or rejected
+                           index */
     uint64_t log_term;
     uint64_t commit;
     bool reject;
-    uint64_t hint; /* APPEND_REPLY refused: last index of the follower */
-    wg_time echo;  /* time of the sender of a heartbeat, or its round, handed back in the reply */
-    uint64_t life; /* START_REPLY: of the sender; VOTE: the life of the receiver in which it may
-                      vote at once, 0 none */
+    uint64_t hint; /* rejected APPEND_REPLY: last index of the follower */
+    wg_time echo;  /* send time of a heartbeat, or number of a START_ASK round; the reply returns it
+                      unchanged */
+    uint64_t life; /* incarnation. START_REPLY: of the sender; VOTE: receiver's incarnation, which
+                      may grant the vote without waiting for a lease to end, 0: none */
     wgr_entry* entries;
     int entries_num;
     uint64_t snapshot_index;
@@ -132,17 +140,17 @@
     uint64_t total;
     GBytes* chunk;
     wgr_set set;                            /* SNAPSHOT only */
-    wgr_silence silences[WGR_REPLICAS_MAX]; /* APPEND: who does not answer the leader */
+    wgr_silence silences[WGR_REPLICAS_MAX]; /* APPEND: replicas that don't respond to the leader */
     int silences_num;
 } wgr_message;
 
-/* What a data folder held at start. */
+/* Contents of a data folder at start. */
 typedef struct {
     uint64_t term;
     uint64_t voted_for;
     uint64_t snapshot_index;
     uint64_t snapshot_term;
-    wgr_set set;      /* as of the snapshot */
+    wgr_set set;      /* replica set as of the snapshot */
     GBytes* snapshot; /* state at snapshot_index; may be NULL at index 0 */
     const wgr_entry* entries;
     int entries_num;
@@ -150,21 +158,21 @@
 
 typedef struct {
     uint64_t self; /* required */
-    uint64_t seed; /* of the election waits */
+    uint64_t seed; /* of the random election timeouts */
     wg_time now;
     const wgr_restored* restored; /* NULL: an empty replica that waits to be added */
     wg_time election_min;
     wg_time election_max;
     wg_time heartbeat;
-    wg_time gone_after; /* silence after which a voter may be taken out; 0: never, but for its
-                           successor of the same name */
-    int losses;         /* replicas that may be lost at one time, with their disks: so that this
-                           holds, a set of 2 * losses + 1 that answer is never made smaller */
-    int message_bytes;  /* entries or snapshot bytes in one message */
+    wg_time gone_after; /* time without contact after which a voter may be removed; 0: only when its
+                           replacement of the same name has caught up */
+    int losses;         /* simultaneous permanent replica failures to tolerate: a voter without a
+                           replacement is removed only when 2 * losses + 1 others respond */
+    int message_bytes;  /* limit for the entries or snapshot bytes in one message */
     int log_keep;
 } wgr_desc;
 
-/* One batch of work. Fields that are 0 or NULL ask for nothing. */
+/* One batch of work. Fields that are 0 or NULL require nothing. */
 typedef struct {
     GBytes* snapshot; /* replaces state and log */
     uint64_t snapshot_index;
@@ -178,17 +186,17 @@
     uint64_t voted_for;
     const wgr_message* messages;
     int messages_num;
-    const wgr_entry* committed; /* apply these, in order */
+    const wgr_entry* committed; /* entries to apply, in order */
     int committed_num;
 } wgr_output;
 
 typedef struct {
     wgr_role role;
     uint64_t term;
-    uint64_t leader; /* identity, 0 unknown */
+    uint64_t leader; /* replica id; 0: unknown */
     uint64_t first_index;
     uint64_t last_index;
-    uint64_t last_term; /* of the entry there */
+    uint64_t last_term; /* term of the entry at last_index */
     uint64_t commit;
     uint64_t snapshot_index;
     wg_time lease_until; /* 0 unless leader */
@@ -202,50 +210,54 @@
 wgr_node* wgr_setup(const wgr_desc* desc, GError** error);
 void wgr_shutdown(wgr_node* node);
 
-/* Let time pass, every few milliseconds: elections, heartbeats, resends. `now` in microseconds. */
+/* Runs timers: elections, heartbeats, resends. Call it every few milliseconds; `now` is in
+ * microseconds. */
 void wgr_tick(wgr_node* node, wg_time now);
-/* Take a message of another replica. */
+/* Processes a message from another replica. */
 void wgr_step(wgr_node* node, wg_time now, const wgr_message* message);
-/* Append an entry as leader; its index, or 0 when this replica does not lead or hands over. */
+/* Appends an entry as leader. Returns its index, or 0 when this replica isn't the leader or is
+ * transferring leadership. */
 uint64_t wgr_propose(wgr_node* node, wg_time now, const void* data, size_t size);
-/* Let a new replica into the set, without a vote at first. When its name is in the set under
-   another identity, it will replace that one. */
+/* Adds a replica to the set as a learner. If its name is in the set under another id, it replaces
+ * that one once it has caught up. */
 bool wgr_add(wgr_node* node, wg_time now, const wgr_replica* replica, GError** error);
-/* Take a replica out of the set. */
 bool wgr_remove(wgr_node* node, wg_time now, uint64_t id, GError** error);
-/* Planned stop of a leader: end the lease, let the most advanced voter take over. False when this
-   replica does not lead, or no other voter was heard of lately: then nothing changes. */
+/* For a planned stop of a leader: ends the lease and asks the most advanced voter to take over.
+ * Returns false and changes nothing when this replica isn't the leader or no other voter responded
+ * recently. */
 bool wgr_hand_over(wgr_node* node, wg_time now);
 
-/* Before a planned stop: ask the leader, again and again, to take this replica out of the set.
-   wgr_has_left() tells when that is settled: it is out, was never in, or has to stay a voter. */
+/* Before a planned stop: repeatedly asks the leader to remove this replica from the set.
+ * wgr_has_left() is true once that is settled: the replica was removed, was no voter, or has to
+ * stay a voter. */
 void wgr_leave(wgr_node* node);
 bool wgr_has_left(const wgr_node* node);
 
-/* The data folder of a replica is lost for good: another identity runs in its place, so whatever it
-   promised or led is over. */
+/* Records that a replica's data folder is lost for good and another id runs in its place, so that
+ * its votes and leases no longer matter. */
 void wgr_note_gone(wgr_node* node, uint64_t id);
 bool wgr_is_known_gone(const wgr_node* node, uint64_t id);
 
-/* Fill in the next batch of work; false when there is none. */
+/* Fills in the next batch of work; false when there is none. */
 bool wgr_output_next(wgr_node* node, wgr_output* output);
 void wgr_output_done(wgr_node* node, wg_time now);
-/* The state up to `index` stands in a snapshot that is safe on disk. */
+/* Discards log entries covered by a snapshot that is synced to disk; `state` is the state at
+ * `index`. */
 void wgr_compact(wgr_node* node, uint64_t index, GBytes* state);
 
-/* This replica leads, a majority confirmed it within the lease, and it has committed in its term.
- */
+/* True when this replica is leader, a majority confirmed it within the lease, and it has committed
+ * an entry in its term. */
 bool wgr_leads(const wgr_node* node, wg_time now);
 const wgr_set* wgr_query_set(const wgr_node* node);
-/* The set as of the newest snapshot. */
+/* The replica set as of the newest snapshot. */
 const wgr_set* wgr_query_snapshot_set(const wgr_node* node);
 wgr_stats wgr_query_stats(const wgr_node* node, wg_time now);
-/* Index up to which a replica is known (by the leader) to hold the log. */
+/* As leader: index up to which a replica is known to have the log. */
 uint64_t wgr_query_match(const wgr_node* node, uint64_t id);
 
-/* Plain bytes of a replica set, as REPLICAS entries carry it. */
+/* Serialized replica set, as REPLICAS entries carry it. */
 GBytes* wgr_set_pack(const wgr_set* set);
 bool wgr_set_unpack(GBytes* bytes, wgr_set* set);
 const wgr_replica* wgr_set_find(const wgr_set* set, uint64_t id);
-/* Release what a message holds (entries and chunk). */
+/* Releases the entries and the chunk of a message. */
 void wgr_message_clear(wgr_message* message);
--- a/lib/quorum/wg_quorum_leader.c
+++ b/lib/quorum/wg_quorum_leader.c
@@ -1,4 +1,4 @@
-/* wg_quorum_leader.c -- what only a leader does: feeding, commit, lease, handing over */
+/* wg_quorum_leader.c -- leader: replication, commit, lease, leadership transfer */
 #include "wg_quorum_internal.h"
 
 #include <string.h>
@@ -71,7 +71,7 @@
     return left < right ? 1 : left > right ? -1 : 0;
 }
 
-/* Value that a majority of voters has reached; `own` stands for this replica. */
+/* Highest value that a majority of voters has reached; `own` is the value of this replica. */
 static int64_t _wgr_majority(const wgr_node* n, int64_t own, int64_t (*value)(const _wgr_peer_t*)) {
     int64_t values[WGR_REPLICAS_MAX];
     int num = 0;
@@ -155,7 +155,8 @@
         bool waiting =
             peer->feed == _WGR_FEED_SNAPSHOT && now - peer->sent_at < n->desc.election_min;
         if (waiting) {
-            /* A chunk is on its way; still let the replica hear its leader. */
+            /* A chunk is in flight; send a heartbeat without data so that the peer keeps contact.
+             */
             wgr_message* m = _wgr_send(n, WGR_MESSAGE_SNAPSHOT, peer->id);
             m->snapshot_index = peer->snapshot_index;
             m->offset = UINT64_MAX;
@@ -176,7 +177,7 @@
 
 void _wgr_leader_tick(wgr_node* n, wg_time now) {
     if (n->handing_over && now >= n->handing_over_until) {
-        /* Never lease again in this term: a late request to stand may still arrive somewhere. */
+        /* No lease again in this term: a delayed TIMEOUT_NOW may still start an election. */
         _wgr_become_follower(n, now, n->term, 0);
         return;
     }
@@ -217,7 +218,7 @@
     peer->acked_at = MAX(peer->acked_at, m->echo);
     if (m->reject) {
         if (m->log_index <= peer->match) {
-            return; /* an old refusal, overtaken by a match */
+            return; /* outdated rejection: a later reply already matched this index */
         }
         uint64_t next = MIN(m->log_index, m->hint + 1);
         peer->next = MAX(MIN(peer->next, next), peer->match + 1);
--- a/lib/quorum/wg_quorum_log.c
+++ b/lib/quorum/wg_quorum_log.c
@@ -1,4 +1,4 @@
-/* wg_quorum_log.c -- the log in memory and the replica set in force; see wg_quorum.h */
+/* wg_quorum_log.c -- in-memory log and the current replica set; see wg_quorum.h */
 #include "wg_quorum_internal.h"
 
 #include <string.h>
@@ -22,7 +22,7 @@
     n->set_index = entry->index;
 }
 
-/* The set in force is the newest in the log, else the snapshot's. */
+/* Selects the newest replica set in the log, or the snapshot's if there is none. */
 static void _wgr_find_set(wgr_node* n) {
     for (uint64_t index = _wgr_last_index(n); index >= n->first_index && index > 0; index--) {
         const wgr_entry* entry = _wgr_entry_at(n, index);
--- a/lib/quorum/wg_quorum_set.c
+++ b/lib/quorum/wg_quorum_set.c
@@ -1,8 +1,8 @@
-/* wg_quorum_set.c -- how a leader changes the replica set: additions, succession, leaving
+/* wg_quorum_set.c -- replica set changes by the leader: additions, replacement, removal
 
-   One change at a time, each committed before the next. A set that has to bear the loss of so many
-   replicas needs twice as many and one; it gets smaller than that only for a moment, to let a
-   successor take the place of a voter that is gone. */
+   One change is made at a time, and each is committed before the next. Tolerating the loss of n
+   replicas takes 2n + 1 voters; the set shrinks below that only temporarily, when an unresponsive
+   voter is removed so that its replacement can be promoted. */
 #include "wg_quorum_internal.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
     return _wgr_last_index(n);
 }
 
-/* One change at a time, and only after an entry of this term is committed. */
+/* Allows one change at a time, and none before an entry of this term is committed. */
 static bool _wgr_may_change_set(const wgr_node* n) {
     return n->role == WGR_ROLE_LEADER && n->commit >= n->term_start && n->set_index <= n->commit;
 }
@@ -49,19 +49,21 @@
 
 /* ---- helpers: who answers ------------------------------------------------------------------ */
 
-/* It answered this leader within the shortest election wait; a leader answers itself. */
+/* Whether a replica replied to this leader within the minimum election timeout; true for the leader
+ * itself. */
 static bool _wgr_answers(wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_peer_t* peer = _wgr_peer(n, id);
     return !peer || now - peer->acked_at < n->desc.election_min;
 }
 
-/* For how long a replica has said nothing to this leader or the ones before, though it could. */
+/* Time since a replica's last contact with this leader or a previous one. */
 static wg_time _wgr_silence(wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_peer_t* peer = _wgr_peer(n, id);
     return peer ? now - MAX(peer->acked_at, peer->silent_since) : 0;
 }
 
-/* A new leader gives everybody the time to answer, whatever the ones before knew. */
+/* A new leader waits for replies before it removes a replica, whatever previous leaders reported.
+ */
 static bool _wgr_has_asked(const wgr_node* n, wg_time now) {
     return now - n->led_since >= n->desc.election_min;
 }
@@ -75,7 +77,7 @@
     return num;
 }
 
-/* The voter that has been silent longest, of those that do not answer; NULL when all do. */
+/* The unresponsive voter with the oldest contact; NULL when all voters respond. */
 static const wgr_replica* _wgr_most_silent(wgr_node* n, wg_time now) {
     const wgr_replica* most = NULL;
     for (int i = 0; i < n->set.num; i++) {
@@ -90,7 +92,7 @@
     return most;
 }
 
-/* Voters of a set that bears the loss of as many as it has to. */
+/* Number of voters needed to tolerate `losses` failures. */
 static int _wgr_full(const wgr_node* n) {
     return 2 * n->desc.losses + 1;
 }
@@ -106,14 +108,14 @@
     return NULL;
 }
 
-/* It asked a moment ago: it still asks, or ends now. Who has not ended after the longest wait may
-   come back under the same identity. */
+/* Whether a replica asked to leave recently. One that is still running after the maximum election
+ * timeout may be added again under its id. */
 static bool _wgr_is_leaving(const wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_leaver_t* leaver = _wgr_leaver(n, id);
     return leaver && now - leaver->at < n->desc.election_max;
 }
 
-/* In place of an earlier note about it, or of the oldest. */
+/* Reuses the replica's entry, else a free or the oldest one. */
 static void _wgr_note_leaver(wgr_node* n, wg_time now, uint64_t id) {
     _wgr_leaver_t* place = &n->leavers[0];
     for (size_t i = 0; i < G_N_ELEMENTS(n->leavers); i++) {
@@ -135,7 +137,8 @@
 
 /* ---- helpers: one step of a change of the set ---------------------------------------------- */
 
-/* Take out a voter that asked for it. Each step returns true when it proposed. */
+/* Removes a voter that asked to leave. Like the other steps, returns true when a change was
+ * proposed. */
 static bool _wgr_let_leave(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->peers_num; i++) {
         uint64_t id = n->peers[i].id;
@@ -174,7 +177,7 @@
     return NULL;
 }
 
-/* A learner that ended before it could vote only takes up a place. */
+/* An unresponsive learner would occupy a slot of the set forever. */
 static const wgr_replica* _wgr_gone_learner(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* learner = &n->set.replicas[i];
@@ -186,9 +189,9 @@
     return NULL;
 }
 
-/* A voter that is gone raises the majority that the others have to bring together. Counted beside
-   its successor it leaves too few for ever when one more is lost (3 voters, one replaced, another
-   one's disk lost: 2 of 4), so it goes before the successor votes. */
+/* Removes a replica that has been unresponsive for too long. An unresponsive voter still counts
+ * towards the majority. If its replacement were promoted first, the next failure could cost the
+ * majority permanently (2 of 4 voters left), so the old voter is removed before. */
 static bool _wgr_take_out_gone(wgr_node* n, wg_time now, const wgr_replica* learner) {
     if (n->desc.gone_after == 0 || !_wgr_has_asked(n, now)) {
         return false;
@@ -210,9 +213,9 @@
     return true;
 }
 
-/* In a full set a learner waits until it shows whose place it takes: while a voter does not answer,
-   and for as long as one that ended just as the learner came would go on to count. There is no
-   hurry: such a set bears what it has to without it. */
+/* In a full set, a learner isn't promoted while a voter is unresponsive, since it may have to
+ * replace that voter. It also waits long enough to detect a voter that failed just as the learner
+ * joined. The delay is harmless: a full set tolerates the required failures without the learner. */
 static bool _wgr_waits_for_place(wgr_node* n, wg_time now, const wgr_replica* learner) {
     if (n->desc.gone_after == 0 || _wgr_voters(n) < _wgr_full(n)) {
         return false;
@@ -220,7 +223,7 @@
     return now - _wgr_peer(n, learner->id)->since < n->desc.gone_after || _wgr_most_silent(n, now);
 }
 
-/* A learner that has caught up votes once its former self is out, and its place is clear. */
+/* Promotes a learner that has caught up, after the previous id of the same name was removed. */
 static bool _wgr_promote(wgr_node* n, wg_time now, const wgr_replica* learner) {
     const wgr_replica* former = _wgr_former_self(n, learner);
     if (former) {
@@ -236,7 +239,7 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-/* The next step of changes that are under way. */
+/* Proposes the next step of the set changes in progress. */
 void _wgr_carry_on_change(wgr_node* n, wg_time now) {
     if (!_wgr_may_change_set(n) || n->handing_over || _wgr_let_leave(n, now)) {
         return;
@@ -248,10 +251,10 @@
     }
 }
 
-/* It is told only once the set without it is committed: until then it may be needed. */
+/* Replies only after the set without the sender is committed: until then its vote may be needed. */
 void _wgr_on_leave(wgr_node* n, wg_time now, const wgr_message* m) {
     if (n->role != WGR_ROLE_LEADER) {
-        return; /* it asks again, whoever leads then */
+        return; /* the sender retries with the current leader */
     }
     bool votes = _wgr_is_voter(n, m->from);
     bool stays = votes && !_wgr_may_leave(n, now, m->from);
@@ -291,7 +294,8 @@
             return false;
         }
         if (same_name && !other->voter) {
-            _wgr_set_take_out(&next, other->id); /* an older addition that never finished */
+            _wgr_set_take_out(
+                &next, other->id); /* learner of an earlier addition that was not completed */
         }
     }
     if (next.num == WGR_REPLICAS_MAX) {
--- a/lib/quorum/wg_quorum_silence.c
+++ b/lib/quorum/wg_quorum_silence.c
@@ -1,18 +1,16 @@
-/* wg_quorum_silence.c -- for how long replicas have not answered, across changes of the leader
+/* wg_quorum_silence.c -- tracks unresponsive replicas across changes of leader
 
-   Only a leader hears whether the others answer. Each heartbeat tells the followers which do not,
-   and for how long; whoever leads next counts on from there. Counted anew in each term, a voter
-   that is gone stayed in the set for as long as no leader lasted for gone_after: with leaders that
-   stand still every 0.5 to 2 s and another disk lost 5 s after a replacement, 38 of 2,000 random
-   runs had no majority for good.
+   Only a leader receives replies from all replicas. Each heartbeat reports to the followers which
+   replicas don't respond, and for how long, so that the next leader continues from there. If the
+   time were reset in each term, leaders that change often would never remove a failed voter, and
+   the next failure could cost the majority.
 
-   While nobody leads, who does not answer a candidate, or one that has just started, is silent from
-   the first question on: with two survivors out of touch for seconds and all restarted since, a
-   voter that was gone stayed for a second after the next leader's begin.
+   While there is no leader, a candidate or a replica that has just started measures the time from
+   its first request to a voter.
 
-   A follower's note is as old as the leader's, or younger by what the message took, never older.
-   It is dropped when the replica itself is heard of. A wrong note costs no safety: the set changes
-   by entries that a majority has. */
+   Message delay can make a follower's measured time shorter than the leader's, never longer. A
+   replica is removed from the list when a message from it is received. A wrong entry cannot violate
+   safety, because the set changes only by committed log entries. */
 #include "wg_quorum_internal.h"
 
 /* ---- helpers ------------------------------------------------------------------------------ */
--- a/lib/quorum/wg_quorum_start.c
+++ b/lib/quorum/wg_quorum_start.c
@@ -1,25 +1,27 @@
-/* wg_quorum_start.c -- an election at once when every voter has just started
-
-   A replica that starts may have promised a leader its silence before, so it normally waits until
-   any lease that rests on this is over. When all voters have started anew there is no such leader.
-   A replica finds this out by asking all of them, in rounds:
-
-   - Each answers with the life it is in (a random number drawn at its start) and whether it has
-     heard a leader, or been one, in this life.
-   - Once all lives are known, one more round has to bring the same answers. A leader could have
-   been elected between two answers of one round; it cannot have held a lease at the second answer
-   and rest it on a life that was over by then.
-   - Votes are asked for with the life of each voter. Whoever has restarted or heard a leader
-     meanwhile takes the request as any other, and keeps its promise.
-
-   The replicas of the last snapshot are asked too: a leader that takes itself out of the set counts
-   until that is committed. One whose data folder is known to be gone need not answer. Only the
-   replica with the newest log stands, of equal ones that of the lowest identity, so that votes are
-   not split. When somebody does not answer, the usual election comes in its time. */
+/* wg_quorum_start.c -- starts an election without delay when every voter has just started
+
+   A replica that starts may have made a promise to a leader before its restart, so normally it
+   waits until any lease based on that promise has expired. If all voters have restarted, there is
+   no such lease. A replica checks this by asking all voters, in rounds:
+
+   - Each voter answers with its incarnation (a random number generated at start) and whether it has
+     been leader or had contact with one in this incarnation.
+   - Once all incarnations are known, another round has to return the same answers. Otherwise a
+     leader could have been elected between two answers of one round. A leader that holds a lease at
+     the second answer cannot have based it on an incarnation that had already ended.
+   - Vote requests carry the incarnation of each voter. A voter that has restarted or had contact
+     with a leader in the meantime handles the request like any other and keeps its promise.
+
+   The voters of the last snapshot's set are asked too: a leader that removes itself from the set
+   counts until the change is committed. A replica whose data folder is known to be lost need not
+   answer. To avoid split votes, only the replica with the newest log becomes a candidate; the
+   lowest id wins among equal logs. If a voter doesn't answer, the regular election timeout
+   applies. */
 #include "wg_quorum_internal.h"
 
 enum {
-    /* Between two rounds: a few round trips between data centres, far below an election wait. */
+    /* Delay between rounds: a few round trips between data centres, well below an election timeout.
+     */
     _WGR_START_GAP = 20 * WG_USEC_PER_MSEC
 };
 
@@ -46,7 +48,7 @@
     return NULL;
 }
 
-/* Those of a set that have to answer, beside this replica. */
+/* Adds the voters of a set that have to answer. */
 static void _wgr_start_expect(wgr_node* n, const wgr_set* set) {
     for (int i = 0; i < set->num; i++) {
         uint64_t id = set->replicas[i].id;
@@ -69,7 +71,7 @@
     }
 }
 
-/* Has a voter a newer log than this replica, or an equal one and a lower identity? */
+/* Whether a voter has a newer log than this replica, or an equal log and a lower id. */
 static bool _wgr_start_goes_first(const wgr_node* n, const _wgr_start_t* other) {
     uint64_t last = _wgr_last_index(n);
     uint64_t last_term = _wgr_term_at(n, last);
@@ -82,7 +84,8 @@
     return other->log_index != last ? other->log_index > last : other->id < n->desc.self;
 }
 
-/* Did all answer a round that was asked when every life was known, and may this replica stand? */
+/* Whether all voters answered a round that began after every incarnation was known, and this
+ * replica has priority. */
 static bool _wgr_start_is_proven(const wgr_node* n) {
     wg_time known_in = 0;
     for (int i = 0; i < n->starts_num; i++) {
@@ -123,7 +126,7 @@
     }
     _wgr_start_ask(n, now);
     if (n->starts_num == 0) {
-        n->start_over = true; /* it is alone: nobody else can hold a lease */
+        n->start_over = true; /* no other voter can hold a lease */
         _wgr_campaign(n, now, WGR_CAMPAIGN_START);
     }
 }
@@ -143,7 +146,7 @@
         return;
     }
     if (m->reject) {
-        n->start_over = true; /* there may be a leader: the usual waits hold */
+        n->start_over = true; /* there may be a leader: wait for the regular election timeout */
         return;
     }
     bool knew_all = _wgr_start_knows_all(n);
