--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -21,7 +21,7 @@
 }
 
 static void _wgr_reset_election(wgr_node* n, wg_time now) {
-    n->spared = false;
+    n->deadlines_extended = false;
     n->election_at = now + wg_jitter_range(n->desc.seed, n->jitter_counter++, n->desc.election_min,
                                            n->desc.election_max);
 }
@@ -41,11 +41,11 @@
     return m->log_term > last_term || (m->log_term == last_term && m->log_index >= last);
 }
 
-static bool _wgr_leader_is_fresh(const wgr_node* n, wg_time now) {
+static bool _wgr_has_recent_leader(const wgr_node* n, wg_time now) {
     if (n->role == WGR_ROLE_LEADER) {
         return true;
     }
-    return now - n->heard_leader_at < n->desc.election_min;
+    return now - n->leader_contact_at < n->desc.election_min;
 }
 
 static bool _wgr_majority_of_votes(const wgr_node* n) {
@@ -53,7 +53,7 @@
     for (int i = 0; i < n->votes_num; i++) {
         granted += _wgr_is_voter(n, n->votes[i]) ? 1 : 0;
     }
-    return granted > _wgr_voters(n) / 2;
+    return granted > _wgr_voters_num(n) / 2;
 }
 
 static void _wgr_count_vote(wgr_node* n, uint64_t from) {
@@ -70,11 +70,11 @@
 /* ---- elections ---------------------------------------------------------------------------- */
 
 void _wgr_become_follower(wgr_node* n, wg_time now, uint64_t term, uint64_t leader) {
-    _wgr_silence_leave(n, now);
+    _wgr_unresponsive_end_term(n, now);
     _wgr_set_term(n, term);
     n->role = WGR_ROLE_FOLLOWER;
     n->leader = leader;
-    n->handing_over = false;
+    n->transferring = false;
     _wgr_reset_election(n, now);
 }
 
@@ -109,18 +109,18 @@
         if (!replica->voter || replica->id == n->desc.self) {
             continue;
         }
-        _wgr_silence_ask(n, now, replica->id);
+        _wgr_unresponsive_await(n, now, replica->id);
         wgr_message* m = _wgr_send(n, pre ? WGR_MESSAGE_PRE_VOTE : WGR_MESSAGE_VOTE, replica->id);
         m->term = pre ? n->term + 1 : n->term;
         m->log_index = _wgr_last_index(n);
         m->log_term = _wgr_term_at(n, m->log_index);
         m->hint = kind == WGR_CAMPAIGN_FORCED ? 1 : 0;
-        m->life = kind == WGR_CAMPAIGN_START ? _wgr_start_life(n, replica->id) : 0;
+        m->life = kind == WGR_CAMPAIGN_START ? _wgr_start_incarnation(n, replica->id) : 0;
     }
 }
 
 static void _wgr_on_pre_vote(wgr_node* n, wg_time now, const wgr_message* m) {
-    bool grant = m->term > n->term && !_wgr_leader_is_fresh(n, now) && _wgr_is_up_to_date(n, m);
+    bool grant = m->term > n->term && !_wgr_has_recent_leader(n, now) && _wgr_is_up_to_date(n, m);
     n->votes_refused += grant ? 0 : 1;
     wgr_message* reply = _wgr_send(n, WGR_MESSAGE_PRE_VOTE_REPLY, m->from);
     reply->term = grant ? m->term : n->term;
@@ -130,7 +130,7 @@
 static void _wgr_on_vote(wgr_node* n, wg_time now, const wgr_message* m) {
     bool forced = m->hint == 1;
     bool just_started = m->life == n->life && !n->promised;
-    if (!forced && !just_started && _wgr_leader_is_fresh(n, now)) {
+    if (!forced && !just_started && _wgr_has_recent_leader(n, now)) {
         n->votes_refused++;
         return; /* ignores the term too: a replica that was partitioned must not depose a leader */
     }
@@ -173,11 +173,11 @@
     }
 }
 
-/* ---- following ---------------------------------------------------------------------------- */
+/* ---- followers ---------------------------------------------------------------------------- */
 
 /* Common to all messages that only the leader of a term sends. Returns false when the message is
  * from an older term. */
-static bool _wgr_hear_leader(wgr_node* n, wg_time now, const wgr_message* m) {
+static bool _wgr_accept_leader(wgr_node* n, wg_time now, const wgr_message* m) {
     if (m->term < n->term) {
         return false;
     }
@@ -185,7 +185,7 @@
     if (m->term > n->term || n->role != WGR_ROLE_FOLLOWER || n->leader != m->from) {
         _wgr_become_follower(n, now, m->term, m->from);
     }
-    n->heard_leader_at = now;
+    n->leader_contact_at = now;
     n->promised = true;
     _wgr_reset_election(n, now);
     return true;
@@ -193,7 +193,7 @@
 
 /* Appends missing entries and truncates conflicting ones. Returns the last index that matches the
  * leader's log. */
-static uint64_t _wgr_take_entries(wgr_node* n, const wgr_message* m) {
+static uint64_t _wgr_merge_entries(wgr_node* n, const wgr_message* m) {
     for (int i = 0; i < m->entries_num; i++) {
         const wgr_entry* entry = &m->entries[i];
         if (entry->index <= n->commit) {
@@ -212,7 +212,7 @@
 }
 
 static void _wgr_on_append(wgr_node* n, wg_time now, const wgr_message* m) {
-    bool current = _wgr_hear_leader(n, now, m);
+    bool current = _wgr_accept_leader(n, now, m);
     wgr_message* reply = _wgr_send(n, WGR_MESSAGE_APPEND_REPLY, m->from);
     reply->echo = m->echo;
     reply->log_index = m->log_index;
@@ -222,7 +222,7 @@
         reply->echo = 0;
         return;
     }
-    _wgr_silence_learn(n, now, m);
+    _wgr_unresponsive_update(n, now, m);
     bool below_commit = m->log_index <= n->commit;
     bool agrees =
         m->log_index <= _wgr_last_index(n) && _wgr_term_at(n, m->log_index) == m->log_term;
@@ -231,7 +231,7 @@
         reply->hint = MIN(_wgr_last_index(n), m->log_index - 1);
         return;
     }
-    uint64_t matched = MAX(_wgr_take_entries(n, m), n->commit);
+    uint64_t matched = MAX(_wgr_merge_entries(n, m), n->commit);
     matched = MIN(matched, _wgr_last_index(n));
     reply->log_index = matched;
     _wgr_commit_to(n, MIN(m->commit, matched));
@@ -255,7 +255,7 @@
 }
 
 static void _wgr_on_snapshot(wgr_node* n, wg_time now, const wgr_message* m) {
-    bool current = _wgr_hear_leader(n, now, m);
+    bool current = _wgr_accept_leader(n, now, m);
     wgr_message* reply = _wgr_send(n, WGR_MESSAGE_SNAPSHOT_REPLY, m->from);
     reply->snapshot_index = m->snapshot_index;
     reply->total = m->total;
@@ -302,33 +302,33 @@
     }
 }
 
-/* ---- standing still ------------------------------------------------------------------------ */
+/* ---- stalls ------------------------------------------------------------------------------- */
 
 /* After a stall, extends the deadlines for elections and check-quorum once by a few heartbeats:
  * messages that arrived during the stall are still unread, and acting before they are processed
  * would cause needless elections and step-downs. Leases and vote promises stay in real time, since
  * other replicas may have acted on them during the stall. */
-static void _wgr_note_stall(wgr_node* n, wg_time now) {
+static void _wgr_check_stall(wgr_node* n, wg_time now) {
     wg_time before = n->ticked_at;
     n->ticked_at = now;
     if (now - before < n->desc.election_min) {
         return;
     }
-    _wgr_silence_begin_anew(n, before, now);
-    if (n->spared) {
+    _wgr_unresponsive_restart(n, before, now);
+    if (n->deadlines_extended) {
         return;
     }
-    wg_time read = 2 * n->desc.heartbeat;
-    n->spared = true;
-    n->spared_until = now + read;
-    wg_time jitter = wg_jitter_range(n->desc.seed, n->jitter_counter++, read, 2 * read);
+    wg_time extension = 2 * n->desc.heartbeat;
+    n->deadlines_extended = true;
+    n->deadlines_extended_until = now + extension;
+    wg_time jitter = wg_jitter_range(n->desc.seed, n->jitter_counter++, extension, 2 * extension);
     n->election_at = MAX(n->election_at, now + jitter);
 }
 
-/* ---- leaving ------------------------------------------------------------------------------ */
+/* ---- leaving the set ---------------------------------------------------------------------- */
 
-static void _wgr_ask_to_leave(wgr_node* n, wg_time now) {
-    if (!n->leaving || n->left || n->leader == 0 || now < n->leave_at) {
+static void _wgr_request_leave(wgr_node* n, wg_time now) {
+    if (!n->leaving || n->leave_answered || n->leader == 0 || now < n->leave_at) {
         return;
     }
     n->leave_at = now + n->desc.heartbeat;
@@ -347,20 +347,20 @@
 
 wgr_node* wgr_setup(const wgr_desc* desc, GError** error) {
     wgr_desc d = _wgr_desc_def(desc);
-    const char* wrong = NULL;
+    const char* field = NULL;
     if (d.self == 0) {
-        wrong = "self";
+        field = "self";
     } else if (d.election_min <= 0 || d.election_max <= d.election_min) {
-        wrong = "election_min/election_max";
+        field = "election_min/election_max";
     } else if (d.heartbeat <= 0 || d.heartbeat * 3 > d.election_min) {
-        wrong = "heartbeat (at most a third of election_min)";
+        field = "heartbeat (at most a third of election_min)";
     } else if (d.gone_after && d.gone_after < d.election_max) {
-        wrong = "gone_after (0, or at least election_max)";
+        field = "gone_after (0, or at least election_max)";
     } else if (d.losses < 0 || 2 * d.losses + 1 > WGR_REPLICAS_MAX) {
-        wrong = "losses";
+        field = "losses";
     }
-    if (wrong) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "wgr_desc.%s is missing or wrong", wrong);
+    if (field) {
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "wgr_desc.%s is missing or wrong", field);
         return NULL;
     }
     wgr_node* n = g_new0(wgr_node, 1);
@@ -372,7 +372,7 @@
     g_array_set_clear_func(n->messages, _wgr_message_free_parts);
     _wgr_log_setup(n, d.restored);
     /* Before the restart this replica may have promised a leader not to vote. */
-    n->heard_leader_at = d.now;
+    n->leader_contact_at = d.now;
     n->ticked_at = d.now;
     _wgr_reset_election(n, d.now);
     return n;
@@ -394,7 +394,7 @@
 }
 
 void wgr_tick(wgr_node* n, wg_time now) {
-    _wgr_note_stall(n, now);
+    _wgr_check_stall(n, now);
     if (n->role == WGR_ROLE_LEADER) {
         _wgr_leader_tick(n, now);
     } else if (now >= n->election_at) {
@@ -402,7 +402,7 @@
         _wgr_campaign(n, now, WGR_CAMPAIGN_PRE);
     } else {
         _wgr_start_tick(n, now);
-        _wgr_ask_to_leave(n, now);
+        _wgr_request_leave(n, now);
     }
 }
 
@@ -410,7 +410,7 @@
     if (m->to != n->desc.self || m->from == n->desc.self || m->from == 0) {
         return;
     }
-    _wgr_silence_is_broken(n, m->from);
+    _wgr_unresponsive_clear(n, m->from);
     switch (m->type) {
     case WGR_MESSAGE_PRE_VOTE:
         _wgr_on_pre_vote(n, now, m);
@@ -434,7 +434,7 @@
         _wgr_on_timeout_now(n, now, m);
         return;
     case WGR_MESSAGE_START_ASK:
-        _wgr_on_start_ask(n, m);
+        _wgr_on_start_query(n, m);
         return;
     case WGR_MESSAGE_START_REPLY:
         _wgr_on_start_reply(n, now, m);
@@ -443,7 +443,7 @@
         _wgr_on_leave(n, now, m);
         return;
     case WGR_MESSAGE_LEAVE_REPLY:
-        n->left = n->left || n->leaving;
+        n->leave_answered = n->leave_answered || n->leaving;
         return;
     default:
         break;
@@ -467,7 +467,7 @@
 }
 
 bool wgr_has_left(const wgr_node* n) {
-    return n->left || !_wgr_is_voter(n, n->desc.self);
+    return n->leave_answered || !_wgr_is_voter(n, n->desc.self);
 }
 
 bool wgr_output_next(wgr_node* n, wgr_output* out) {
@@ -475,7 +475,7 @@
     *out = (wgr_output){0};
     uint64_t last = _wgr_last_index(n);
     bool pending = n->install || n->truncate_from || n->hard_state_dirty || n->messages->len > 0 ||
-                   last > n->stable || n->commit > n->handed_out;
+                   last > n->stable || n->commit > n->delivered;
     if (!pending) {
         return false;
     }
@@ -495,15 +495,15 @@
     out->voted_for = n->voted_for;
     out->messages = (const wgr_message*)(void*)n->messages->data;
     out->messages_num = (int)n->messages->len;
-    if (n->commit > n->handed_out) {
-        out->committed = _wgr_entry_at(n, n->handed_out + 1);
-        out->committed_num = (int)(n->commit - n->handed_out);
+    if (n->commit > n->delivered) {
+        out->committed = _wgr_entry_at(n, n->delivered + 1);
+        out->committed_num = (int)(n->commit - n->delivered);
         WG_ASSERT(out->committed != NULL);
     }
     n->output_open = true;
     n->output_last = last;
     n->output_messages = n->messages->len;
-    n->handed_out = n->commit;
+    n->delivered = n->commit;
     return true;
 }
 
--- a/lib/quorum/wg_quorum_leader.c
+++ b/lib/quorum/wg_quorum_leader.c
@@ -5,12 +5,12 @@
 
 /* ---- helpers ------------------------------------------------------------------------------ */
 
-static void _wgr_feed_snapshot(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
+static void _wgr_send_snapshot(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
     if (!n->snapshot) {
         return;
     }
-    if (peer->feed != _WGR_FEED_SNAPSHOT || peer->snapshot_index != n->snapshot_index) {
-        peer->feed = _WGR_FEED_SNAPSHOT;
+    if (peer->progress != _WGR_PROGRESS_SNAPSHOT || peer->snapshot_index != n->snapshot_index) {
+        peer->progress = _WGR_PROGRESS_SNAPSHOT;
         peer->snapshot_index = n->snapshot_index;
         peer->offset = 0;
     }
@@ -27,13 +27,13 @@
     peer->sent_at = now;
 }
 
-static void _wgr_feed_entries(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
+static void _wgr_send_entries(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
     wgr_message* m = _wgr_send(n, WGR_MESSAGE_APPEND, peer->id);
     m->log_index = peer->next - 1;
     m->log_term = _wgr_term_at(n, peer->next - 1);
     m->commit = n->commit;
     m->echo = now;
-    _wgr_silence_tell(n, now, m);
+    _wgr_unresponsive_report(n, now, m);
     uint64_t last = _wgr_last_index(n);
     size_t bytes = 0;
     uint64_t end = peer->next;
@@ -50,18 +50,18 @@
             g_bytes_ref(m->entries[i].data);
         }
     }
-    if (peer->feed == _WGR_FEED_STREAM) {
+    if (peer->progress == _WGR_PROGRESS_STREAM) {
         peer->next = end;
     }
     peer->sent_at = now;
 }
 
-static void _wgr_feed_one(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
+static void _wgr_send_to_peer(wgr_node* n, wg_time now, _wgr_peer_t* peer) {
     bool known = peer->next - 1 == 0 || _wgr_term_at(n, peer->next - 1) != 0;
     if (!known || peer->next < n->first_index) {
-        _wgr_feed_snapshot(n, now, peer);
+        _wgr_send_snapshot(n, now, peer);
     } else {
-        _wgr_feed_entries(n, now, peer);
+        _wgr_send_entries(n, now, peer);
     }
 }
 
@@ -114,14 +114,14 @@
     n->role = WGR_ROLE_LEADER;
     n->promised = true;
     n->leader = n->desc.self;
-    n->handing_over = false;
-    n->led_since = now;
+    n->transferring = false;
+    n->leader_since = now;
     n->peers_num = 0;
     _wgr_leader_set_changed(n, now);
-    _wgr_silence_inherit(n, now);
+    _wgr_unresponsive_begin_term(n, now);
     _wgr_log_append(n, n->term, WGR_ENTRY_EMPTY, NULL);
     n->term_start = _wgr_last_index(n);
-    _wgr_feed_all(n, now);
+    _wgr_send_to_all(n, now);
 }
 
 void _wgr_leader_set_changed(wgr_node* n, wg_time now) {
@@ -135,11 +135,12 @@
             continue;
         }
         _wgr_peer_t* peer = &n->peers[n->peers_num++];
-        *peer = (_wgr_peer_t){.id = id, .feed = _WGR_FEED_PROBE, .next = _wgr_last_index(n) + 1};
+        *peer = (_wgr_peer_t){
+            .id = id, .progress = _WGR_PROGRESS_PROBE, .next = _wgr_last_index(n) + 1};
         peer->acked_at = _WGR_NEVER_ACKED;
         peer->sent_at = _WGR_NEVER_ACKED;
-        peer->since = now;
-        peer->silent_since = now;
+        peer->tracked_since = now;
+        peer->unresponsive_since = now;
         for (int j = 0; j < old_num; j++) {
             if (old[j].id == id) {
                 *peer = old[j];
@@ -148,12 +149,12 @@
     }
 }
 
-void _wgr_feed_all(wgr_node* n, wg_time now) {
+void _wgr_send_to_all(wgr_node* n, wg_time now) {
     n->heartbeat_at = now + n->desc.heartbeat;
     for (int i = 0; i < n->peers_num; i++) {
         _wgr_peer_t* peer = &n->peers[i];
         bool waiting =
-            peer->feed == _WGR_FEED_SNAPSHOT && now - peer->sent_at < n->desc.election_min;
+            peer->progress == _WGR_PROGRESS_SNAPSHOT && now - peer->sent_at < n->desc.election_min;
         if (waiting) {
             /* A chunk is in flight; send a heartbeat without data so that the peer keeps contact.
              */
@@ -162,13 +163,13 @@
             m->offset = UINT64_MAX;
             m->echo = now;
         } else {
-            _wgr_feed_one(n, now, peer);
+            _wgr_send_to_peer(n, now, peer);
         }
     }
 }
 
 wg_time _wgr_lease_until(const wgr_node* n) {
-    if (n->role != WGR_ROLE_LEADER || n->handing_over) {
+    if (n->role != WGR_ROLE_LEADER || n->transferring) {
         return 0;
     }
     wg_time confirmed = _wgr_majority(n, WG_TIME_NEVER / 2, _wgr_peer_acked);
@@ -176,22 +177,22 @@
 }
 
 void _wgr_leader_tick(wgr_node* n, wg_time now) {
-    if (n->handing_over && now >= n->handing_over_until) {
+    if (n->transferring && now >= n->transferring_until) {
         /* No lease again in this term: a delayed TIMEOUT_NOW may still start an election. */
         _wgr_become_follower(n, now, n->term, 0);
         return;
     }
     wg_time confirmed = _wgr_majority(n, WG_TIME_NEVER / 2, _wgr_peer_acked);
-    n->spared = n->spared && now - confirmed >= n->desc.election_min;
-    bool reads = n->spared && now < n->spared_until;
-    if (!reads && MAX(confirmed, n->led_since) + n->desc.election_max < now) {
+    n->deadlines_extended = n->deadlines_extended && now - confirmed >= n->desc.election_min;
+    bool in_extension = n->deadlines_extended && now < n->deadlines_extended_until;
+    if (!in_extension && MAX(confirmed, n->leader_since) + n->desc.election_max < now) {
         _wgr_become_follower(n, now, n->term, 0);
         return;
     }
     if (now >= n->heartbeat_at) {
-        _wgr_feed_all(n, now);
+        _wgr_send_to_all(n, now);
     }
-    _wgr_carry_on_change(n, now);
+    _wgr_continue_set_change(n, now);
 }
 
 void _wgr_advance_commit(wgr_node* n, wg_time now) {
@@ -207,7 +208,7 @@
         _wgr_become_follower(n, now, n->term, 0);
         return;
     }
-    _wgr_feed_all(n, now);
+    _wgr_send_to_all(n, now);
 }
 
 void _wgr_on_append_reply(wgr_node* n, wg_time now, const wgr_message* m) {
@@ -222,17 +223,17 @@
         }
         uint64_t next = MIN(m->log_index, m->hint + 1);
         peer->next = MAX(MIN(peer->next, next), peer->match + 1);
-        peer->feed = _WGR_FEED_PROBE;
-        _wgr_feed_one(n, now, peer);
+        peer->progress = _WGR_PROGRESS_PROBE;
+        _wgr_send_to_peer(n, now, peer);
         return;
     }
     WG_ASSERT(m->log_index <= _wgr_last_index(n));
     peer->match = MAX(peer->match, m->log_index);
     peer->next = MAX(peer->next, peer->match + 1);
-    peer->feed = _WGR_FEED_STREAM;
+    peer->progress = _WGR_PROGRESS_STREAM;
     _wgr_advance_commit(n, now);
     if (n->role == WGR_ROLE_LEADER && peer->next <= _wgr_last_index(n)) {
-        _wgr_feed_one(n, now, peer);
+        _wgr_send_to_peer(n, now, peer);
     }
 }
 
@@ -242,51 +243,52 @@
         return;
     }
     peer->acked_at = MAX(peer->acked_at, m->echo);
-    bool awaited = peer->feed == _WGR_FEED_SNAPSHOT && m->snapshot_index == peer->snapshot_index;
+    bool awaited =
+        peer->progress == _WGR_PROGRESS_SNAPSHOT && m->snapshot_index == peer->snapshot_index;
     if (!awaited || m->offset == UINT64_MAX) {
         return;
     }
     peer->offset = m->offset;
     if (m->offset < m->total) {
-        _wgr_feed_snapshot(n, now, peer);
+        _wgr_send_snapshot(n, now, peer);
         return;
     }
     peer->match = MAX(peer->match, m->log_index);
     peer->next = peer->match + 1;
-    peer->feed = _WGR_FEED_PROBE;
-    _wgr_feed_one(n, now, peer);
+    peer->progress = _WGR_PROGRESS_PROBE;
+    _wgr_send_to_peer(n, now, peer);
 }
 
 /* ---- public functions --------------------------------------------------------------------- */
 
 uint64_t wgr_propose(wgr_node* n, wg_time now, const void* data, size_t size) {
-    if (n->role != WGR_ROLE_LEADER || n->handing_over) {
+    if (n->role != WGR_ROLE_LEADER || n->transferring) {
         return 0;
     }
     GBytes* bytes = g_bytes_new(data, size);
     _wgr_log_append(n, n->term, WGR_ENTRY_DATA, bytes);
     g_bytes_unref(bytes);
-    _wgr_feed_all(n, now);
+    _wgr_send_to_all(n, now);
     return _wgr_last_index(n);
 }
 
 bool wgr_hand_over(wgr_node* n, wg_time now) {
-    if (n->role != WGR_ROLE_LEADER || n->handing_over) {
+    if (n->role != WGR_ROLE_LEADER || n->transferring) {
         return false;
     }
     const _wgr_peer_t* best = NULL;
     for (int i = 0; i < n->peers_num; i++) {
         const _wgr_peer_t* peer = &n->peers[i];
-        bool alive = now - peer->acked_at < n->desc.election_min;
-        if (_wgr_is_voter(n, peer->id) && alive && (!best || peer->match > best->match)) {
+        bool responsive = now - peer->acked_at < n->desc.election_min;
+        if (_wgr_is_voter(n, peer->id) && responsive && (!best || peer->match > best->match)) {
             best = peer;
         }
     }
     if (!best) {
         return false;
     }
-    n->handing_over = true;
-    n->handing_over_until = now + n->desc.election_max;
+    n->transferring = true;
+    n->transferring_until = now + n->desc.election_max;
     _wgr_send(n, WGR_MESSAGE_TIMEOUT_NOW, best->id);
     return true;
 }
--- a/lib/quorum/wg_quorum_log.c
+++ b/lib/quorum/wg_quorum_log.c
@@ -16,8 +16,8 @@
 
 static void _wgr_use_set(wgr_node* n, const wgr_entry* entry) {
     wgr_set set;
-    bool good = wgr_set_unpack(entry->data, &set);
-    WG_ASSERT(good);
+    bool ok = wgr_set_unpack(entry->data, &set);
+    WG_ASSERT(ok);
     n->set = set;
     n->set_index = entry->index;
 }
@@ -60,7 +60,7 @@
         entry.data = entry.data ? g_bytes_ref(entry.data) : NULL;
         g_array_append_val(n->entries, entry);
     }
-    n->commit = n->handed_out = n->snapshot_index;
+    n->commit = n->delivered = n->snapshot_index;
     n->stable = _wgr_last_index(n);
     _wgr_find_set(n);
 }
@@ -115,7 +115,7 @@
         g_bytes_unref(n->snapshot);
     }
     n->snapshot = g_bytes_ref(state);
-    n->commit = n->handed_out = n->stable = index;
+    n->commit = n->delivered = n->stable = index;
     n->truncate_from = 0;
     _wgr_find_set(n);
 }
@@ -130,7 +130,7 @@
     return replica && replica->voter;
 }
 
-int _wgr_voters(const wgr_node* n) {
+int _wgr_voters_num(const wgr_node* n) {
     int num = 0;
     for (int i = 0; i < n->set.num; i++) {
         num += n->set.replicas[i].voter ? 1 : 0;
@@ -141,7 +141,7 @@
 /* ---- public functions --------------------------------------------------------------------- */
 
 void wgr_compact(wgr_node* n, uint64_t index, GBytes* state) {
-    WG_ASSERT(index <= n->handed_out && index <= n->stable);
+    WG_ASSERT(index <= n->delivered && index <= n->stable);
     if (index <= n->snapshot_index) {
         return;
     }
@@ -189,18 +189,18 @@
     gsize size = 0;
     const uint8_t* data = bytes ? g_bytes_get_data(bytes, &size) : NULL;
     Wgpb__ReplicaSet* in = wgpb__replica_set__unpack(NULL, size, data);
-    bool good = in && in->n_replicas <= WGR_REPLICAS_MAX;
-    for (size_t i = 0; good && i < in->n_replicas; i++) {
+    bool ok = in && in->n_replicas <= WGR_REPLICAS_MAX;
+    for (size_t i = 0; ok && i < in->n_replicas; i++) {
         wgr_replica* replica = &set->replicas[set->num++];
         replica->id = in->replicas[i]->id;
         replica->voter = in->replicas[i]->voter;
-        good = wg_copy_name(replica->name, sizeof replica->name, in->replicas[i]->name) &&
-               wg_copy_name(replica->address, sizeof replica->address, in->replicas[i]->address);
+        ok = wg_copy_name(replica->name, sizeof replica->name, in->replicas[i]->name) &&
+             wg_copy_name(replica->address, sizeof replica->address, in->replicas[i]->address);
     }
     if (in) {
         wgpb__replica_set__free_unpacked(in, NULL);
     }
-    return good;
+    return ok;
 }
 
 const wgr_replica* wgr_set_find(const wgr_set* set, uint64_t id) {
--- a/lib/quorum/wg_quorum_set.c
+++ b/lib/quorum/wg_quorum_set.c
@@ -14,7 +14,7 @@
     _wgr_log_append(n, n->term, WGR_ENTRY_REPLICAS, data);
     g_bytes_unref(data);
     _wgr_leader_set_changed(n, now);
-    _wgr_feed_all(n, now);
+    _wgr_send_to_all(n, now);
     return _wgr_last_index(n);
 }
 
@@ -23,7 +23,7 @@
     return n->role == WGR_ROLE_LEADER && n->commit >= n->term_start && n->set_index <= n->commit;
 }
 
-static void _wgr_set_take_out(wgr_set* set, uint64_t id) {
+static void _wgr_set_remove(wgr_set* set, uint64_t id) {
     int kept = 0;
     for (int i = 0; i < set->num; i++) {
         if (set->replicas[i].id != id) {
@@ -33,13 +33,13 @@
     set->num = kept;
 }
 
-static void _wgr_propose_without(wgr_node* n, wg_time now, uint64_t id) {
+static void _wgr_propose_removal(wgr_node* n, wg_time now, uint64_t id) {
     wgr_set next = n->set;
-    _wgr_set_take_out(&next, id);
+    _wgr_set_remove(&next, id);
     _wgr_propose_set(n, now, &next);
 }
 
-static void _wgr_propose_vote(wgr_node* n, wg_time now, uint64_t id) {
+static void _wgr_propose_promotion(wgr_node* n, wg_time now, uint64_t id) {
     wgr_set next = n->set;
     for (int i = 0; i < next.num; i++) {
         next.replicas[i].voter = next.replicas[i].voter || next.replicas[i].id == id;
@@ -47,62 +47,63 @@
     _wgr_propose_set(n, now, &next);
 }
 
-/* ---- helpers: who answers ------------------------------------------------------------------ */
+/* ---- helpers: responsiveness -------------------------------------------------------------- */
 
 /* Whether a replica replied to this leader within the minimum election timeout; true for the leader
  * itself. */
-static bool _wgr_answers(wgr_node* n, wg_time now, uint64_t id) {
+static bool _wgr_is_responsive(wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_peer_t* peer = _wgr_peer(n, id);
     return !peer || now - peer->acked_at < n->desc.election_min;
 }
 
 /* Time since a replica's last contact with this leader or a previous one. */
-static wg_time _wgr_silence(wgr_node* n, wg_time now, uint64_t id) {
+static wg_time _wgr_time_since_contact(wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_peer_t* peer = _wgr_peer(n, id);
-    return peer ? now - MAX(peer->acked_at, peer->silent_since) : 0;
+    return peer ? now - MAX(peer->acked_at, peer->unresponsive_since) : 0;
 }
 
 /* A new leader waits for replies before it removes a replica, whatever previous leaders reported.
  */
-static bool _wgr_has_asked(const wgr_node* n, wg_time now) {
-    return now - n->led_since >= n->desc.election_min;
+static bool _wgr_peers_had_time_to_reply(const wgr_node* n, wg_time now) {
+    return now - n->leader_since >= n->desc.election_min;
 }
 
-static int _wgr_answering_beside(wgr_node* n, wg_time now, uint64_t id) {
+static int _wgr_responsive_voters_except(wgr_node* n, wg_time now, uint64_t id) {
     int num = 0;
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* voter = &n->set.replicas[i];
-        num += voter->voter && voter->id != id && _wgr_answers(n, now, voter->id);
+        num += voter->voter && voter->id != id && _wgr_is_responsive(n, now, voter->id);
     }
     return num;
 }
 
 /* The unresponsive voter with the oldest contact; NULL when all voters respond. */
-static const wgr_replica* _wgr_most_silent(wgr_node* n, wg_time now) {
-    const wgr_replica* most = NULL;
+static const wgr_replica* _wgr_longest_unresponsive(wgr_node* n, wg_time now) {
+    const wgr_replica* longest = NULL;
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* voter = &n->set.replicas[i];
-        if (!voter->voter || _wgr_answers(n, now, voter->id)) {
+        if (!voter->voter || _wgr_is_responsive(n, now, voter->id)) {
             continue;
         }
-        if (!most || _wgr_silence(n, now, voter->id) > _wgr_silence(n, now, most->id)) {
-            most = voter;
+        if (!longest || _wgr_time_since_contact(n, now, voter->id) >
+                            _wgr_time_since_contact(n, now, longest->id)) {
+            longest = voter;
         }
     }
-    return most;
+    return longest;
 }
 
 /* Number of voters needed to tolerate `losses` failures. */
-static int _wgr_full(const wgr_node* n) {
+static int _wgr_full_set_num(const wgr_node* n) {
     return 2 * n->desc.losses + 1;
 }
 
-/* ---- helpers: replicas that stop ----------------------------------------------------------- */
+/* ---- helpers: leave requests -------------------------------------------------------------- */
 
-static const _wgr_leaver_t* _wgr_leaver(const wgr_node* n, uint64_t id) {
-    for (size_t i = 0; i < G_N_ELEMENTS(n->leavers); i++) {
-        if (n->leavers[i].id == id) {
-            return &n->leavers[i];
+static const _wgr_leave_request_t* _wgr_find_leave_request(const wgr_node* n, uint64_t id) {
+    for (size_t i = 0; i < G_N_ELEMENTS(n->leave_requests); i++) {
+        if (n->leave_requests[i].id == id) {
+            return &n->leave_requests[i];
         }
     }
     return NULL;
@@ -111,40 +112,40 @@
 /* Whether a replica asked to leave recently. One that is still running after the maximum election
  * timeout may be added again under its id. */
 static bool _wgr_is_leaving(const wgr_node* n, wg_time now, uint64_t id) {
-    const _wgr_leaver_t* leaver = _wgr_leaver(n, id);
-    return leaver && now - leaver->at < n->desc.election_max;
+    const _wgr_leave_request_t* request = _wgr_find_leave_request(n, id);
+    return request && now - request->at < n->desc.election_max;
 }
 
 /* Reuses the replica's entry, else a free or the oldest one. */
-static void _wgr_note_leaver(wgr_node* n, wg_time now, uint64_t id) {
-    _wgr_leaver_t* place = &n->leavers[0];
-    for (size_t i = 0; i < G_N_ELEMENTS(n->leavers); i++) {
-        _wgr_leaver_t* leaver = &n->leavers[i];
-        if (leaver->id == id) {
-            place = leaver;
+static void _wgr_record_leave_request(wgr_node* n, wg_time now, uint64_t id) {
+    _wgr_leave_request_t* slot = &n->leave_requests[0];
+    for (size_t i = 0; i < G_N_ELEMENTS(n->leave_requests); i++) {
+        _wgr_leave_request_t* request = &n->leave_requests[i];
+        if (request->id == id) {
+            slot = request;
             break;
         }
-        if (leaver->id == 0 || leaver->at < place->at) {
-            place = leaver;
+        if (request->id == 0 || request->at < slot->at) {
+            slot = request;
         }
     }
-    *place = (_wgr_leaver_t){.id = id, .at = now};
+    *slot = (_wgr_leave_request_t){.id = id, .at = now};
 }
 
 static bool _wgr_may_leave(wgr_node* n, wg_time now, uint64_t id) {
-    return _wgr_answering_beside(n, now, id) >= _wgr_full(n);
+    return _wgr_responsive_voters_except(n, now, id) >= _wgr_full_set_num(n);
 }
 
-/* ---- helpers: one step of a change of the set ---------------------------------------------- */
+/* ---- helpers: steps of a set change ------------------------------------------------------- */
 
 /* Removes a voter that asked to leave. Like the other steps, returns true when a change was
  * proposed. */
-static bool _wgr_let_leave(wgr_node* n, wg_time now) {
+static bool _wgr_remove_leaving(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->peers_num; i++) {
         uint64_t id = n->peers[i].id;
-        bool asks = _wgr_is_voter(n, id) && _wgr_is_leaving(n, now, id);
-        if (asks && _wgr_may_leave(n, now, id)) {
-            _wgr_propose_without(n, now, id);
+        bool requested = _wgr_is_voter(n, id) && _wgr_is_leaving(n, now, id);
+        if (requested && _wgr_may_leave(n, now, id)) {
+            _wgr_propose_removal(n, now, id);
             return true;
         }
     }
@@ -153,11 +154,11 @@
 
 static bool _wgr_has_caught_up(wgr_node* n, wg_time now, const wgr_replica* learner) {
     const _wgr_peer_t* peer = _wgr_peer(n, learner->id);
-    return peer && peer->feed == _WGR_FEED_STREAM && peer->match >= n->commit &&
+    return peer && peer->progress == _WGR_PROGRESS_STREAM && peer->match >= n->commit &&
            now - peer->acked_at < n->desc.election_min;
 }
 
-static const wgr_replica* _wgr_learner(wgr_node* n, wg_time now) {
+static const wgr_replica* _wgr_caught_up_learner(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* learner = &n->set.replicas[i];
         if (!learner->voter && _wgr_has_caught_up(n, now, learner)) {
@@ -167,7 +168,7 @@
     return NULL;
 }
 
-static const wgr_replica* _wgr_former_self(const wgr_node* n, const wgr_replica* learner) {
+static const wgr_replica* _wgr_previous_identity(const wgr_node* n, const wgr_replica* learner) {
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* other = &n->set.replicas[i];
         if (other->voter && strcmp(other->name, learner->name) == 0) {
@@ -178,11 +179,11 @@
 }
 
 /* An unresponsive learner would occupy a slot of the set forever. */
-static const wgr_replica* _wgr_gone_learner(wgr_node* n, wg_time now) {
+static const wgr_replica* _wgr_unresponsive_learner(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->set.num; i++) {
         const wgr_replica* learner = &n->set.replicas[i];
-        bool gone = _wgr_silence(n, now, learner->id) > n->desc.gone_after;
-        if (!learner->voter && gone && !_wgr_answers(n, now, learner->id)) {
+        bool expired = _wgr_time_since_contact(n, now, learner->id) > n->desc.gone_after;
+        if (!learner->voter && expired && !_wgr_is_responsive(n, now, learner->id)) {
             return learner;
         }
     }
@@ -192,62 +193,64 @@
 /* Removes a replica that has been unresponsive for too long. An unresponsive voter still counts
  * towards the majority. If its replacement were promoted first, the next failure could cost the
  * majority permanently (2 of 4 voters left), so the old voter is removed before. */
-static bool _wgr_take_out_gone(wgr_node* n, wg_time now, const wgr_replica* learner) {
-    if (n->desc.gone_after == 0 || !_wgr_has_asked(n, now)) {
+static bool _wgr_remove_unresponsive(wgr_node* n, wg_time now, const wgr_replica* learner) {
+    if (n->desc.gone_after == 0 || !_wgr_peers_had_time_to_reply(n, now)) {
         return false;
     }
-    const wgr_replica* gone = _wgr_gone_learner(n, now);
-    if (gone) {
-        _wgr_propose_without(n, now, gone->id);
+    const wgr_replica* expired_learner = _wgr_unresponsive_learner(n, now);
+    if (expired_learner) {
+        _wgr_propose_removal(n, now, expired_learner->id);
         return true;
     }
-    const wgr_replica* silent = _wgr_most_silent(n, now);
-    if (!silent || _wgr_silence(n, now, silent->id) <= n->desc.gone_after) {
+    const wgr_replica* voter = _wgr_longest_unresponsive(n, now);
+    if (!voter || _wgr_time_since_contact(n, now, voter->id) <= n->desc.gone_after) {
         return false;
     }
-    bool replaced = learner && _wgr_voters(n) >= _wgr_full(n);
-    if (!replaced && _wgr_answering_beside(n, now, silent->id) < _wgr_full(n)) {
+    bool has_replacement = learner && _wgr_voters_num(n) >= _wgr_full_set_num(n);
+    if (!has_replacement &&
+        _wgr_responsive_voters_except(n, now, voter->id) < _wgr_full_set_num(n)) {
         return false;
     }
-    _wgr_propose_without(n, now, silent->id);
+    _wgr_propose_removal(n, now, voter->id);
     return true;
 }
 
 /* In a full set, a learner isn't promoted while a voter is unresponsive, since it may have to
  * replace that voter. It also waits long enough to detect a voter that failed just as the learner
  * joined. The delay is harmless: a full set tolerates the required failures without the learner. */
-static bool _wgr_waits_for_place(wgr_node* n, wg_time now, const wgr_replica* learner) {
-    if (n->desc.gone_after == 0 || _wgr_voters(n) < _wgr_full(n)) {
+static bool _wgr_waits_for_vacancy(wgr_node* n, wg_time now, const wgr_replica* learner) {
+    if (n->desc.gone_after == 0 || _wgr_voters_num(n) < _wgr_full_set_num(n)) {
         return false;
     }
-    return now - _wgr_peer(n, learner->id)->since < n->desc.gone_after || _wgr_most_silent(n, now);
+    return now - _wgr_peer(n, learner->id)->tracked_since < n->desc.gone_after ||
+           _wgr_longest_unresponsive(n, now);
 }
 
 /* Promotes a learner that has caught up, after the previous id of the same name was removed. */
 static bool _wgr_promote(wgr_node* n, wg_time now, const wgr_replica* learner) {
-    const wgr_replica* former = _wgr_former_self(n, learner);
-    if (former) {
-        _wgr_propose_without(n, now, former->id);
+    const wgr_replica* previous = _wgr_previous_identity(n, learner);
+    if (previous) {
+        _wgr_propose_removal(n, now, previous->id);
         return true;
     }
-    if (_wgr_waits_for_place(n, now, learner)) {
+    if (_wgr_waits_for_vacancy(n, now, learner)) {
         return false;
     }
-    _wgr_propose_vote(n, now, learner->id);
+    _wgr_propose_promotion(n, now, learner->id);
     return true;
 }
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
 /* Proposes the next step of the set changes in progress. */
-void _wgr_carry_on_change(wgr_node* n, wg_time now) {
-    if (!_wgr_may_change_set(n) || n->handing_over || _wgr_let_leave(n, now)) {
+void _wgr_continue_set_change(wgr_node* n, wg_time now) {
+    if (!_wgr_may_change_set(n) || n->transferring || _wgr_remove_leaving(n, now)) {
         return;
     }
-    const wgr_replica* learner = _wgr_learner(n, now);
+    const wgr_replica* learner = _wgr_caught_up_learner(n, now);
     bool proposed = learner && _wgr_promote(n, now, learner);
     if (!proposed) {
-        _wgr_take_out_gone(n, now, learner);
+        _wgr_remove_unresponsive(n, now, learner);
     }
 }
 
@@ -256,12 +259,12 @@
     if (n->role != WGR_ROLE_LEADER) {
         return; /* the sender retries with the current leader */
     }
-    bool votes = _wgr_is_voter(n, m->from);
-    bool stays = votes && !_wgr_may_leave(n, now, m->from);
+    bool is_voter = _wgr_is_voter(n, m->from);
+    bool stays = is_voter && !_wgr_may_leave(n, now, m->from);
     if (!stays) {
-        _wgr_note_leaver(n, now, m->from);
+        _wgr_record_leave_request(n, now, m->from);
     }
-    bool settled = stays || (!votes && n->set_index <= n->commit);
+    bool settled = stays || (!is_voter && n->set_index <= n->commit);
     if (settled) {
         wgr_message* reply = _wgr_send(n, WGR_MESSAGE_LEAVE_REPLY, m->from);
         reply->reject = stays;
@@ -294,8 +297,8 @@
             return false;
         }
         if (same_name && !other->voter) {
-            _wgr_set_take_out(
-                &next, other->id); /* learner of an earlier addition that was not completed */
+            /* Learner of an earlier addition that was not completed. */
+            _wgr_set_remove(&next, other->id);
         }
     }
     if (next.num == WGR_REPLICAS_MAX) {
@@ -310,14 +313,14 @@
 
 bool wgr_remove(wgr_node* n, wg_time now, uint64_t id, GError** error) {
     const wgr_replica* replica = wgr_set_find(&n->set, id);
-    bool last_voter = replica && replica->voter && _wgr_voters(n) == 1;
+    bool last_voter = replica && replica->voter && _wgr_voters_num(n) == 1;
     if (!_wgr_may_change_set(n) || !replica || last_voter) {
         g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT,
                     "not leading, another change is under way, or not a removable replica");
         return false;
     }
     wgr_set next = n->set;
-    _wgr_set_take_out(&next, id);
+    _wgr_set_remove(&next, id);
     _wgr_propose_set(n, now, &next);
     return true;
 }
--- a/lib/quorum/wg_quorum_silence.c
+++ b/lib/quorum/wg_quorum_silence.c
@@ -15,10 +15,10 @@
 
 /* ---- helpers ------------------------------------------------------------------------------ */
 
-static const _wgr_silent_t* _wgr_silent(const wgr_node* n, uint64_t id) {
-    for (int i = 0; i < n->silent_num; i++) {
-        if (n->silent[i].id == id) {
-            return &n->silent[i];
+static const _wgr_unresponsive_t* _wgr_find_unresponsive(const wgr_node* n, uint64_t id) {
+    for (int i = 0; i < n->unresponsive_num; i++) {
+        if (n->unresponsive[i].id == id) {
+            return &n->unresponsive[i];
         }
     }
     return NULL;
@@ -26,64 +26,66 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-void _wgr_silence_tell(const wgr_node* n, wg_time now, wgr_message* m) {
+void _wgr_unresponsive_report(const wgr_node* n, wg_time now, wgr_message* m) {
     for (int i = 0; i < n->peers_num; i++) {
         const _wgr_peer_t* peer = &n->peers[i];
-        wg_time length = now - MAX(peer->acked_at, peer->silent_since);
+        wg_time length = now - MAX(peer->acked_at, peer->unresponsive_since);
         if (length >= n->desc.election_min) {
             m->silences[m->silences_num++] = (wgr_silence){.id = peer->id, .length = length};
         }
     }
 }
 
-void _wgr_silence_learn(wgr_node* n, wg_time now, const wgr_message* m) {
-    n->silent_num = 0;
+void _wgr_unresponsive_update(wgr_node* n, wg_time now, const wgr_message* m) {
+    n->unresponsive_num = 0;
     for (int i = 0; i < m->silences_num; i++) {
-        const wgr_silence* silence = &m->silences[i];
-        if (silence->id != n->desc.self && silence->length > 0) {
-            n->silent[n->silent_num++] =
-                (_wgr_silent_t){.id = silence->id, .since = now - silence->length};
+        const wgr_silence* reported = &m->silences[i];
+        if (reported->id != n->desc.self && reported->length > 0) {
+            n->unresponsive[n->unresponsive_num++] = (_wgr_unresponsive_t){
+                .id = reported->id, .last_contact_at = now - reported->length};
         }
     }
 }
 
-void _wgr_silence_begin_anew(wgr_node* n, wg_time before, wg_time now) {
+void _wgr_unresponsive_restart(wgr_node* n, wg_time before, wg_time now) {
     for (int i = 0; n->role == WGR_ROLE_LEADER && i < n->peers_num; i++) {
         _wgr_peer_t* peer = &n->peers[i];
-        if (before - MAX(peer->acked_at, peer->silent_since) < n->desc.election_min) {
-            peer->silent_since = now;
+        if (before - MAX(peer->acked_at, peer->unresponsive_since) < n->desc.election_min) {
+            peer->unresponsive_since = now;
         }
     }
 }
 
-void _wgr_silence_ask(wgr_node* n, wg_time now, uint64_t id) {
-    if (_wgr_is_voter(n, id) && !_wgr_silent(n, id) && n->silent_num < WGR_REPLICAS_MAX) {
-        n->silent[n->silent_num++] = (_wgr_silent_t){.id = id, .since = now};
+void _wgr_unresponsive_await(wgr_node* n, wg_time now, uint64_t id) {
+    if (_wgr_is_voter(n, id) && !_wgr_find_unresponsive(n, id) &&
+        n->unresponsive_num < WGR_REPLICAS_MAX) {
+        n->unresponsive[n->unresponsive_num++] =
+            (_wgr_unresponsive_t){.id = id, .last_contact_at = now};
     }
 }
 
-void _wgr_silence_is_broken(wgr_node* n, uint64_t id) {
-    for (int i = 0; i < n->silent_num; i++) {
-        if (n->silent[i].id == id) {
-            n->silent[i] = n->silent[--n->silent_num];
+void _wgr_unresponsive_clear(wgr_node* n, uint64_t id) {
+    for (int i = 0; i < n->unresponsive_num; i++) {
+        if (n->unresponsive[i].id == id) {
+            n->unresponsive[i] = n->unresponsive[--n->unresponsive_num];
             return;
         }
     }
 }
 
-void _wgr_silence_inherit(wgr_node* n, wg_time now) {
+void _wgr_unresponsive_begin_term(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->peers_num; i++) {
-        const _wgr_silent_t* silent = _wgr_silent(n, n->peers[i].id);
-        n->peers[i].silent_since = silent ? MIN(silent->since, now) : now;
+        const _wgr_unresponsive_t* entry = _wgr_find_unresponsive(n, n->peers[i].id);
+        n->peers[i].unresponsive_since = entry ? MIN(entry->last_contact_at, now) : now;
     }
-    n->silent_num = 0;
+    n->unresponsive_num = 0;
 }
 
-void _wgr_silence_leave(wgr_node* n, wg_time now) {
+void _wgr_unresponsive_end_term(wgr_node* n, wg_time now) {
     if (n->role != WGR_ROLE_LEADER) {
         return;
     }
-    wgr_message kept = {0};
-    _wgr_silence_tell(n, now, &kept);
-    _wgr_silence_learn(n, now, &kept);
+    wgr_message report = {0};
+    _wgr_unresponsive_report(n, now, &report);
+    _wgr_unresponsive_update(n, now, &report);
 }
--- a/lib/quorum/wg_quorum_start.c
+++ b/lib/quorum/wg_quorum_start.c
@@ -25,24 +25,24 @@
     _WGR_START_GAP = 20 * WG_USEC_PER_MSEC
 };
 
-static bool _wgr_start_may_ask(const wgr_node* n) {
-    return !n->promised && !n->start_over && n->role != WGR_ROLE_LEADER &&
+static bool _wgr_start_may_query(const wgr_node* n) {
+    return !n->promised && !n->start_done && n->role != WGR_ROLE_LEADER &&
            _wgr_is_voter(n, n->desc.self);
 }
 
-static bool _wgr_start_is_gone(const wgr_node* n, uint64_t id) {
-    for (int i = 0; i < n->gone_num; i++) {
-        if (n->gone[i] == id) {
+static bool _wgr_start_is_replaced(const wgr_node* n, uint64_t id) {
+    for (int i = 0; i < n->replaced_ids_num; i++) {
+        if (n->replaced_ids[i] == id) {
             return true;
         }
     }
     return false;
 }
 
-static _wgr_start_t* _wgr_start_of(wgr_node* n, uint64_t id) {
-    for (int i = 0; i < n->starts_num; i++) {
-        if (n->starts[i].id == id) {
-            return &n->starts[i];
+static _wgr_start_reply_t* _wgr_start_reply_of(wgr_node* n, uint64_t id) {
+    for (int i = 0; i < n->start_replies_num; i++) {
+        if (n->start_replies[i].id == id) {
+            return &n->start_replies[i];
         }
     }
     return NULL;
@@ -52,27 +52,28 @@
 static void _wgr_start_expect(wgr_node* n, const wgr_set* set) {
     for (int i = 0; i < set->num; i++) {
         uint64_t id = set->replicas[i].id;
-        bool asked = set->replicas[i].voter && id != n->desc.self && !_wgr_start_is_gone(n, id);
-        if (asked && !_wgr_start_of(n, id)) {
-            n->starts[n->starts_num++] = (_wgr_start_t){.id = id};
+        bool expected =
+            set->replicas[i].voter && id != n->desc.self && !_wgr_start_is_replaced(n, id);
+        if (expected && !_wgr_start_reply_of(n, id)) {
+            n->start_replies[n->start_replies_num++] = (_wgr_start_reply_t){.id = id};
         }
     }
 }
 
-static void _wgr_start_ask(wgr_node* n, wg_time now) {
-    n->start_at = now + _WGR_START_GAP;
+static void _wgr_start_query(wgr_node* n, wg_time now) {
+    n->start_next_at = now + _WGR_START_GAP;
     n->start_round++;
     _wgr_start_expect(n, &n->set);
     _wgr_start_expect(n, &n->snapshot_set);
-    for (int i = 0; i < n->starts_num; i++) {
-        _wgr_silence_ask(n, now, n->starts[i].id);
-        wgr_message* m = _wgr_send(n, WGR_MESSAGE_START_ASK, n->starts[i].id);
+    for (int i = 0; i < n->start_replies_num; i++) {
+        _wgr_unresponsive_await(n, now, n->start_replies[i].id);
+        wgr_message* m = _wgr_send(n, WGR_MESSAGE_START_ASK, n->start_replies[i].id);
         m->echo = n->start_round;
     }
 }
 
 /* Whether a voter has a newer log than this replica, or an equal log and a lower id. */
-static bool _wgr_start_goes_first(const wgr_node* n, const _wgr_start_t* other) {
+static bool _wgr_start_has_priority(const wgr_node* n, const _wgr_start_reply_t* other) {
     uint64_t last = _wgr_last_index(n);
     uint64_t last_term = _wgr_term_at(n, last);
     if (!_wgr_is_voter(n, other->id)) {
@@ -86,14 +87,14 @@
 
 /* Whether all voters answered a round that began after every incarnation was known, and this
  * replica has priority. */
-static bool _wgr_start_is_proven(const wgr_node* n) {
-    wg_time known_in = 0;
-    for (int i = 0; i < n->starts_num; i++) {
-        known_in = MAX(known_in, n->starts[i].known_in);
-    }
-    for (int i = 0; i < n->starts_num; i++) {
-        const _wgr_start_t* other = &n->starts[i];
-        if (other->answered <= known_in || _wgr_start_goes_first(n, other)) {
+static bool _wgr_start_is_confirmed(const wgr_node* n) {
+    wg_time known_round = 0;
+    for (int i = 0; i < n->start_replies_num; i++) {
+        known_round = MAX(known_round, n->start_replies[i].known_round);
+    }
+    for (int i = 0; i < n->start_replies_num; i++) {
+        const _wgr_start_reply_t* other = &n->start_replies[i];
+        if (other->answered_round <= known_round || _wgr_start_has_priority(n, other)) {
             return false;
         }
     }
@@ -101,8 +102,8 @@
 }
 
 static bool _wgr_start_knows_all(const wgr_node* n) {
-    for (int i = 0; i < n->starts_num; i++) {
-        if (n->starts[i].life == 0) {
+    for (int i = 0; i < n->start_replies_num; i++) {
+        if (n->start_replies[i].life == 0) {
             return false;
         }
     }
@@ -111,27 +112,27 @@
 
 /* ---- functions of the library -------------------------------------------------------------- */
 
-uint64_t _wgr_start_life(const wgr_node* n, uint64_t id) {
-    for (int i = 0; i < n->starts_num; i++) {
-        if (n->starts[i].id == id) {
-            return n->starts[i].life;
+uint64_t _wgr_start_incarnation(const wgr_node* n, uint64_t id) {
+    for (int i = 0; i < n->start_replies_num; i++) {
+        if (n->start_replies[i].id == id) {
+            return n->start_replies[i].life;
         }
     }
     return 0;
 }
 
 void _wgr_start_tick(wgr_node* n, wg_time now) {
-    if (!_wgr_start_may_ask(n) || now < n->start_at) {
+    if (!_wgr_start_may_query(n) || now < n->start_next_at) {
         return;
     }
-    _wgr_start_ask(n, now);
-    if (n->starts_num == 0) {
-        n->start_over = true; /* no other voter can hold a lease */
+    _wgr_start_query(n, now);
+    if (n->start_replies_num == 0) {
+        n->start_done = true; /* no other voter can hold a lease */
         _wgr_campaign(n, now, WGR_CAMPAIGN_START);
     }
 }
 
-void _wgr_on_start_ask(wgr_node* n, const wgr_message* m) {
+void _wgr_on_start_query(wgr_node* n, const wgr_message* m) {
     wgr_message* reply = _wgr_send(n, WGR_MESSAGE_START_REPLY, m->from);
     reply->echo = m->echo;
     reply->life = n->life;
@@ -141,45 +142,46 @@
 }
 
 void _wgr_on_start_reply(wgr_node* n, wg_time now, const wgr_message* m) {
-    _wgr_start_t* other = _wgr_start_of(n, m->from);
-    if (!other || !_wgr_start_may_ask(n)) {
+    _wgr_start_reply_t* other = _wgr_start_reply_of(n, m->from);
+    if (!other || !_wgr_start_may_query(n)) {
         return;
     }
     if (m->reject) {
-        n->start_over = true; /* there may be a leader: wait for the regular election timeout */
+        n->start_done = true; /* there may be a leader: wait for the regular election timeout */
         return;
     }
     bool knew_all = _wgr_start_knows_all(n);
     if (other->life != m->life) {
         other->life = m->life;
-        other->known_in = n->start_round;
+        other->known_round = n->start_round;
     }
-    other->answered = MAX(other->answered, m->echo);
+    other->answered_round = MAX(other->answered_round, m->echo);
     other->log_index = m->log_index;
     other->log_term = m->log_term;
-    if (_wgr_start_is_proven(n)) {
-        n->start_over = true;
+    if (_wgr_start_is_confirmed(n)) {
+        n->start_done = true;
         _wgr_campaign(n, now, WGR_CAMPAIGN_START);
     } else if (!knew_all && _wgr_start_knows_all(n)) {
-        _wgr_start_ask(n, now);
+        _wgr_start_query(n, now);
     }
 }
 
 /* ---- public functions ---------------------------------------------------------------------- */
 
 void wgr_note_gone(wgr_node* n, uint64_t id) {
-    if (id == 0 || _wgr_start_is_gone(n, id) || n->gone_num == G_N_ELEMENTS(n->gone)) {
+    if (id == 0 || _wgr_start_is_replaced(n, id) ||
+        n->replaced_ids_num == G_N_ELEMENTS(n->replaced_ids)) {
         return;
     }
-    n->gone[n->gone_num++] = id;
-    for (int i = 0; i < n->starts_num; i++) {
-        if (n->starts[i].id == id) {
-            n->starts[i] = n->starts[--n->starts_num];
+    n->replaced_ids[n->replaced_ids_num++] = id;
+    for (int i = 0; i < n->start_replies_num; i++) {
+        if (n->start_replies[i].id == id) {
+            n->start_replies[i] = n->start_replies[--n->start_replies_num];
             break;
         }
     }
 }
 
 bool wgr_is_known_gone(const wgr_node* n, uint64_t id) {
-    return _wgr_start_is_gone(n, id);
+    return _wgr_start_is_replaced(n, id);
 }
