--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -35,7 +35,7 @@
         wg_copy_name(member->name, sizeof member->name, name);
         return member;
     }
-    /* Full: a router that is gone makes room. */
+    /* The table is full: reuse the entry of a router that is gone. */
     for (int i = 0; i < m->num; i++) {
         if (m->items[i].state == WGM_STATE_GONE) {
             m->items[i] = (wgm_member){0};
@@ -108,7 +108,7 @@
     } else if (member->state == WGM_STATE_UP && heard->state == WGM_STATE_LEAVING) {
         event = WGM_EVENT_LEAVING;
     }
-    /* One incarnation that is leaving does not change its mind. */
+    /* Within one incarnation, a router that is leaving does not return to service. */
     bool still_leaving = event == WGM_EVENT_DEFAULT && member->state == WGM_STATE_LEAVING;
     if (event != WGM_EVENT_DEFAULT) {
         member->version = ++m->version;
--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -176,7 +176,7 @@
 /* ---- followers ---------------------------------------------------------------------------- */
 
 /* Common to all messages that only the leader of a term sends. Returns false when the message is
- * from an older term. */
+   from an older term. */
 static bool _wgr_accept_leader(wgr_node* n, wg_time now, const wgr_message* m) {
     if (m->term < n->term) {
         return false;
@@ -192,7 +192,7 @@
 }
 
 /* Appends missing entries and truncates conflicting ones. Returns the last index that matches the
- * leader's log. */
+   leader's log. */
 static uint64_t _wgr_merge_entries(wgr_node* n, const wgr_message* m) {
     for (int i = 0; i < m->entries_num; i++) {
         const wgr_entry* entry = &m->entries[i];
@@ -242,7 +242,7 @@
     n->incoming = NULL;
     if (_wgr_term_at(n, m->snapshot_index) == m->snapshot_term) {
         /* The log already contains the snapshot's last entry; later entries may have been
-         * acknowledged. */
+           acknowledged. */
         _wgr_commit_to(n, m->snapshot_index);
         g_bytes_unref(state);
         return;
@@ -305,9 +305,9 @@
 /* ---- stalls ------------------------------------------------------------------------------- */
 
 /* After a stall, extends the deadlines for elections and check-quorum once by a few heartbeats:
- * messages that arrived during the stall are still unread, and acting before they are processed
- * would cause needless elections and step-downs. Leases and vote promises stay in real time, since
- * other replicas may have acted on them during the stall. */
+   messages that arrived during the stall are still unread, and acting before they are processed
+   would cause needless elections and step-downs. Leases and vote promises stay in real time, since
+   other replicas may have acted on them during the stall. */
 static void _wgr_check_stall(wgr_node* n, wg_time now) {
     wg_time before = n->ticked_at;
     n->ticked_at = now;
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -84,8 +84,8 @@
     WGR_MESSAGE_TIMEOUT_NOW, /* the leader asks this replica to start an election immediately */
     WGR_MESSAGE_START_ASK,   /* asks whether this replica has had contact with a leader since it
                                 started */
-    WGR_MESSAGE_START_REPLY, /* `reject`: the sender has had contact with a leader since it started
-                              */
+    WGR_MESSAGE_START_REPLY, /* `reject`: the sender has had contact with a leader since it
+                                started */
     WGR_MESSAGE_LEAVE,       /* a voter is about to stop and asks to be removed from the set */
     WGR_MESSAGE_LEAVE_REPLY, /* the sender of LEAVE was removed; `reject`: it stays a voter, too few
                                 others respond */
@@ -211,30 +211,30 @@
 void wgr_shutdown(wgr_node* node);
 
 /* Runs timers: elections, heartbeats, resends. Call it every few milliseconds; `now` is in
- * microseconds. */
+   microseconds. */
 void wgr_tick(wgr_node* node, wg_time now);
 /* Processes a message from another replica. */
 void wgr_step(wgr_node* node, wg_time now, const wgr_message* message);
 /* Appends an entry as leader. Returns its index, or 0 when this replica isn't the leader or is
- * transferring leadership. */
+   transferring leadership. */
 uint64_t wgr_propose(wgr_node* node, wg_time now, const void* data, size_t size);
 /* Adds a replica to the set as a learner. If its name is in the set under another id, it replaces
- * that one once it has caught up. */
+   that one once it has caught up. */
 bool wgr_add(wgr_node* node, wg_time now, const wgr_replica* replica, GError** error);
 bool wgr_remove(wgr_node* node, wg_time now, uint64_t id, GError** error);
 /* For a planned stop of a leader: ends the lease and asks the most advanced voter to take over.
- * Returns false and changes nothing when this replica isn't the leader or no other voter responded
- * recently. */
+   Returns false and changes nothing when this replica isn't the leader or no other voter responded
+   recently. */
 bool wgr_hand_over(wgr_node* node, wg_time now);
 
 /* Before a planned stop: repeatedly asks the leader to remove this replica from the set.
- * wgr_has_left() is true once that is settled: the replica was removed, was no voter, or has to
- * stay a voter. */
+   wgr_has_left() is true once that is settled: the replica was removed, was no voter, or has to
+   stay a voter. */
 void wgr_leave(wgr_node* node);
 bool wgr_has_left(const wgr_node* node);
 
 /* Records that a replica's data folder is lost for good and another id runs in its place, so that
- * its votes and leases no longer matter. */
+   its votes and leases no longer matter. */
 void wgr_note_gone(wgr_node* node, uint64_t id);
 bool wgr_is_known_gone(const wgr_node* node, uint64_t id);
 
@@ -242,11 +242,11 @@
 bool wgr_output_next(wgr_node* node, wgr_output* output);
 void wgr_output_done(wgr_node* node, wg_time now);
 /* Discards log entries covered by a snapshot that is synced to disk; `state` is the state at
- * `index`. */
+   `index`. */
 void wgr_compact(wgr_node* node, uint64_t index, GBytes* state);
 
 /* True when this replica is leader, a majority confirmed it within the lease, and it has committed
- * an entry in its term. */
+   an entry in its term. */
 bool wgr_leads(const wgr_node* node, wg_time now);
 const wgr_set* wgr_query_set(const wgr_node* node);
 /* The replica set as of the newest snapshot. */
--- a/lib/quorum/wg_quorum_internal.h
+++ b/lib/quorum/wg_quorum_internal.h
@@ -2,8 +2,8 @@
 /* wg_quorum_internal.h -- state shared by the files of lib/quorum; not installed */
 #include "wg_quorum.h"
 
-/* Acknowledgement time of a peer that has not acknowledged; distant past, without overflow in sums.
- */
+/* Acknowledgement time of a peer that has not acknowledged; distant past, without overflow in
+   sums. */
 #define _WGR_NEVER_ACKED (INT64_MIN / 4)
 
 /* How the leader replicates to a peer. */
@@ -167,7 +167,7 @@
 /* As follower: replaces the list by the one from the leader. */
 void _wgr_unresponsive_update(wgr_node* n, wg_time now, const wgr_message* m);
 /* As leader, after a stall from `before` to `now`: peers that were responsive before it get a new
- * deadline. */
+   deadline. */
 void _wgr_unresponsive_restart(wgr_node* n, wg_time before, wg_time now);
 /* Without a leader: starts measuring when a request to this voter is sent. */
 void _wgr_unresponsive_await(wgr_node* n, wg_time now, uint64_t id);
--- a/lib/quorum/wg_quorum_leader.c
+++ b/lib/quorum/wg_quorum_leader.c
@@ -156,8 +156,8 @@
         bool waiting =
             peer->progress == _WGR_PROGRESS_SNAPSHOT && now - peer->sent_at < n->desc.election_min;
         if (waiting) {
-            /* A chunk is in flight; send a heartbeat without data so that the peer keeps contact.
-             */
+            /* A chunk is in flight; send a heartbeat without data so that the peer keeps
+               contact. */
             wgr_message* m = _wgr_send(n, WGR_MESSAGE_SNAPSHOT, peer->id);
             m->snapshot_index = peer->snapshot_index;
             m->offset = UINT64_MAX;
--- a/lib/quorum/wg_quorum_set.c
+++ b/lib/quorum/wg_quorum_set.c
@@ -50,7 +50,7 @@
 /* ---- helpers: responsiveness -------------------------------------------------------------- */
 
 /* Whether a replica replied to this leader within the minimum election timeout; true for the leader
- * itself. */
+   itself. */
 static bool _wgr_is_responsive(wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_peer_t* peer = _wgr_peer(n, id);
     return !peer || now - peer->acked_at < n->desc.election_min;
@@ -62,8 +62,8 @@
     return peer ? now - MAX(peer->acked_at, peer->unresponsive_since) : 0;
 }
 
-/* A new leader waits for replies before it removes a replica, whatever previous leaders reported.
- */
+/* A new leader waits for replies before it removes a replica, whatever previous leaders
+   reported. */
 static bool _wgr_peers_had_time_to_reply(const wgr_node* n, wg_time now) {
     return now - n->leader_since >= n->desc.election_min;
 }
@@ -110,7 +110,7 @@
 }
 
 /* Whether a replica asked to leave recently. One that is still running after the maximum election
- * timeout may be added again under its id. */
+   timeout may be added again under its id. */
 static bool _wgr_is_leaving(const wgr_node* n, wg_time now, uint64_t id) {
     const _wgr_leave_request_t* request = _wgr_find_leave_request(n, id);
     return request && now - request->at < n->desc.election_max;
@@ -139,7 +139,7 @@
 /* ---- helpers: steps of a set change ------------------------------------------------------- */
 
 /* Removes a voter that asked to leave. Like the other steps, returns true when a change was
- * proposed. */
+   proposed. */
 static bool _wgr_remove_leaving(wgr_node* n, wg_time now) {
     for (int i = 0; i < n->peers_num; i++) {
         uint64_t id = n->peers[i].id;
@@ -191,8 +191,8 @@
 }
 
 /* Removes a replica that has been unresponsive for too long. An unresponsive voter still counts
- * towards the majority. If its replacement were promoted first, the next failure could cost the
- * majority permanently (2 of 4 voters left), so the old voter is removed before. */
+   towards the majority. If its replacement were promoted first, the next failure could cost the
+   majority permanently (2 of 4 voters left), so the old voter is removed before. */
 static bool _wgr_remove_unresponsive(wgr_node* n, wg_time now, const wgr_replica* learner) {
     if (n->desc.gone_after == 0 || !_wgr_peers_had_time_to_reply(n, now)) {
         return false;
@@ -216,8 +216,8 @@
 }
 
 /* In a full set, a learner isn't promoted while a voter is unresponsive, since it may have to
- * replace that voter. It also waits long enough to detect a voter that failed just as the learner
- * joined. The delay is harmless: a full set tolerates the required failures without the learner. */
+   replace that voter. It also waits long enough to detect a voter that failed just as the learner
+   joined. The delay is harmless: a full set tolerates the required failures without the learner. */
 static bool _wgr_waits_for_vacancy(wgr_node* n, wg_time now, const wgr_replica* learner) {
     if (n->desc.gone_after == 0 || _wgr_voters_num(n) < _wgr_full_set_num(n)) {
         return false;
--- a/lib/quorum/wg_quorum_start.c
+++ b/lib/quorum/wg_quorum_start.c
@@ -20,8 +20,8 @@
 #include "wg_quorum_internal.h"
 
 enum {
-    /* Delay between rounds: a few round trips between data centres, well below an election timeout.
-     */
+    /* Delay between rounds: a few round trips between data centres, well below an election
+       timeout. */
     _WGR_START_GAP = 20 * WG_USEC_PER_MSEC
 };
 
@@ -86,7 +86,7 @@
 }
 
 /* Whether all voters answered a round that began after every incarnation was known, and this
- * replica has priority. */
+   replica has priority. */
 static bool _wgr_start_is_confirmed(const wgr_node* n) {
     wg_time known_round = 0;
     for (int i = 0; i < n->start_replies_num; i++) {
--- a/lib/roster/wg_roster.c
+++ b/lib/roster/wg_roster.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 enum {
-    WG_ROSTER_TERM_SHIFT = 24, /* bits: 16 million changes in one leader's time */
-    /* Hosts that left, remembered for copies that still list them. A copy is older than this many
-       departures only when it was out of touch. */
+    WG_ROSTER_TERM_SHIFT = 24, /* bits: 16 million changes in one term */
+    /* Removals remembered for copies that still list the host. A copy that has missed more removals
+       is replaced in full. */
     WG_ROSTER_LEFT_MAX = 512
 };
 
-/* A host that left. */
+/* A host that was removed. */
 typedef struct {
     char name[WG_NAME_MAX];
     uint64_t change;
@@ -21,7 +21,7 @@
     GHashTable* by_name; /* name -> wg_roster_host* */
     GQueue left;         /* wg_roster_left*, oldest first */
     uint64_t change;
-    uint64_t floor; /* copies older than this are replaced whole */
+    uint64_t floor; /* copies older than this change are replaced in full */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
@@ -61,7 +61,7 @@
     g_queue_clear_full(&r->left, g_free);
 }
 
-/* ---- public functions: all ----------------------------------------------------------------- */
+/* ---- public functions: leader and copies -------------------------------------------------- */
 
 wg_roster* wg_roster_setup(void) {
     wg_roster* r = g_new0(wg_roster, 1);
@@ -95,13 +95,12 @@
     return r->change;
 }
 
-/* ---- public functions: the leader's ---------------------------------------------------------
- */
+/* ---- public functions: leader ------------------------------------------------------------- */
 
 void wg_roster_begin(wg_roster* r, uint64_t term) {
     wg_roster_clear(r);
-    /* Beyond its own numbers too: a lease that was lost for a moment comes back in the same term,
-       and a copy with an equal number would never be told. */
+    /* Also exceeds this roster's own numbers: a leader that briefly lost its lease may begin again
+       in the same term, and a copy with an equal number would not be updated. */
     r->change = MAX(r->change + 1, MAX(term, 1) << WG_ROSTER_TERM_SHIFT);
     r->floor = r->change;
 }
@@ -124,7 +123,7 @@
 }
 
 bool wg_roster_leave(wg_roster* r, const char* name) {
-    char copy[WG_NAME_MAX]; /* `name` may be that of the host */
+    char copy[WG_NAME_MAX]; /* `name` may point into the host that is removed */
     wg_copy_name(copy, sizeof copy, name);
     if (!wg_roster_remove(r, copy)) {
         return false;
@@ -179,8 +178,7 @@
     g_clear_pointer(&d->left, g_ptr_array_unref);
 }
 
-/* ---- public functions: a copy's --------------------------------------------------------------
- */
+/* ---- public functions: copies ------------------------------------------------------------- */
 
 void wg_roster_copy_reset(wg_roster* r) {
     wg_roster_clear(r);
--- a/lib/roster/wg_roster.h
+++ b/lib/roster/wg_roster.h
@@ -1,77 +1,76 @@
 #pragma once
 /*
-    wg_roster.h -- the entry hosts that callers may be sent to, as a list whose copies are told what
-    changed
+    wg_roster.h -- versioned list of the entry hosts that callers may be sent to, with incremental
+    updates for its copies
 
     WHAT IT DOES
-        The leader keeps the roster from what hosts report; each host keeps a copy. Every change has
-        a number; a copy that names the number it has gets what came and what left since, or the
-        whole list when it is too old or of another leader.
+        The leader maintains the roster from reports of hosts; each host keeps a copy. Every change
+        has a number. A copy that states its number gets the hosts added and removed since, or the
+        full list when its number is too old or from another leader.
 
     FEATURES
-        - bytes for one change do not grow with the number of hosts
-        - numbers of different leaders never meet: each begins at its term, or beyond what it had in
-   it
-        - a caller is named the same hosts from answer to answer
+        - the size of an update does not depend on the number of hosts
+        - change numbers of different leaders never overlap: each leader begins at a number derived
+          from its term, or above the numbers it has already used in that term
+        - a caller gets the same hosts in successive answers
         - pure: no clock, socket or file of its own
 
     USE
         1. wg_roster* r = wg_roster_setup();
         2. wg_roster_begin(r, term); wg_roster_hear(r, now, &host); wg_roster_leave(r, name);
         3. wg_roster_difference d = wg_roster_since(r, change); ... wg_roster_difference_clear(&d);
-        4. at the copy: wg_roster_copy_reset/add/remove(), then wg_roster_copy_set_change().
+        4. copies: wg_roster_copy_reset/add/remove(), then wg_roster_copy_set_change().
 
     THE CALLER OWNS
-        nothing that the roster keeps; hosts that it returns are valid until the next change.
+        nothing that the roster stores; hosts that it returns are valid until the next change.
 */
 #include "wg_base.h"
 
 enum {
     WG_ROSTER_NAMED_MAX = 64, /* hosts in one answer */
-    WG_ROSTER_NEAR_ENOUGH = 2 /* of the caller's data centre; with fewer, others are named too */
+    WG_ROSTER_NEAR_ENOUGH = 2 /* local hosts; with fewer, remote ones are added */
 };
 
 typedef struct {
     char name[WG_NAME_MAX];
-    char address[WG_ADDRESS_MAX]; /* where callers connect */
+    char address[WG_ADDRESS_MAX]; /* address for callers */
     char data_centre[WG_NAME_MAX];
-    wg_time heard_at; /* at the leader: when it last reported */
-    uint64_t change;  /* at which it last changed */
+    wg_time heard_at; /* leader only: time of the last report */
+    uint64_t change;  /* number of the host's last change */
 } wg_roster_host;
 
-/* What a copy lacks. */
+/* Changes that a copy is missing. */
 typedef struct {
-    bool reset;      /* `came` is all there is */
+    bool reset;      /* `came` is the full list */
     GPtrArray* came; /* const wg_roster_host*, borrowed */
     GPtrArray* left; /* names, const char*, borrowed */
-    uint64_t change; /* of the copy afterwards */
+    uint64_t change; /* number of the copy after it applied the difference */
 } wg_roster_difference;
 
 typedef struct wg_roster wg_roster;
 
 wg_roster* wg_roster_setup(void);
 void wg_roster_shutdown(wg_roster* roster);
-/* The first host, the second and so on; the order is the same from call to call while nothing
-   changes. */
+/* Hosts by position; the order is stable while nothing changes. */
 int wg_roster_num(const wg_roster* roster);
 const wg_roster_host* wg_roster_at(const wg_roster* roster, int at);
-/* NULL: not listed. */
+/* NULL if the host isn't listed. */
 const wg_roster_host* wg_roster_find(const wg_roster* roster, const char* name);
-/* Number of the last change; 0: nothing is known. */
+/* Number of the last change; 0: none yet. */
 uint64_t wg_roster_change(const wg_roster* roster);
 
-/* A new leader starts with an empty list; copies of another term's are replaced whole. */
+/* Empties the list for a new leader; copies from another term are replaced in full. */
 void wg_roster_begin(wg_roster* roster, uint64_t term);
-/* A host reported that it takes callers; true when the list changed. */
+/* Records a report of a host that accepts callers; true when the list changed. */
 bool wg_roster_hear(wg_roster* roster, wg_time now, const wg_roster_host* host);
-/* It takes none any more; true when it was listed. */
+/* Removes a host that no longer accepts callers; true when it was listed. */
 bool wg_roster_leave(wg_roster* roster, const char* name);
-/* For so long, until `now`, nobody listened: that time is no silence of a host. */
+/* Extends all deadlines by `time` after a stall of this process: hosts were not read meanwhile. */
 void wg_roster_spare(wg_roster* roster, wg_time now, wg_time time);
-/* Take one host out that was silent for longer than `limit` (microseconds); its name goes to
-   `name`. False: there is none. */
+/* Removes one host whose last report is older than `limit` (microseconds) and copies its name to
+   `name`. Returns false when there is none. */
 bool wg_roster_drop_silent(wg_roster* roster, wg_time now, wg_time limit, char name[WG_NAME_MAX]);
-/* What a copy lacks that has the changes up to `since`. */
+/* Changes for a copy whose number is `since`. */
 wg_roster_difference wg_roster_since(const wg_roster* roster, uint64_t since);
 void wg_roster_difference_clear(wg_roster_difference* difference);
 
@@ -80,14 +79,14 @@
 void wg_roster_copy_remove(wg_roster* copy, const char* name);
 void wg_roster_copy_set_change(wg_roster* copy, uint64_t change);
 
-/* What a caller is named. */
+/* Selection of hosts for a caller. */
 typedef struct {
-    const char* data_centre; /* the caller's; "" or unknown: none is near */
-    uint64_t caller;         /* hash of who asks; the same caller is named the same hosts */
-    const char* without;     /* name of a host that is not named; NULL: none */
+    const char* data_centre; /* the caller's data centre; "" or unknown: all hosts are remote */
+    uint64_t caller;         /* hash that identifies the caller and selects its hosts */
+    const char* without;     /* name of a host to exclude; NULL: none */
 } wg_roster_query;
 
-/* Hosts for a caller, const wg_roster_host*, borrowed; the caller of the function unrefs the list.
-   At most WG_ROSTER_NAMED_MAX: those of the caller's data centre, and others too when fewer than
-   WG_ROSTER_NEAR_ENOUGH are near. */
+/* Returns at most WG_ROSTER_NAMED_MAX hosts (const wg_roster_host*, borrowed): those of the
+   caller's data centre, and remote ones too when there are fewer than WG_ROSTER_NEAR_ENOUGH. Unref
+   the array after use. */
 GPtrArray* wg_roster_pick(const wg_roster* roster, const wg_roster_query* query);
--- a/lib/roster/wg_roster_pick.c
+++ b/lib/roster/wg_roster_pick.c
@@ -1,8 +1,8 @@
-/* wg_roster_pick.c -- which entry hosts a caller is named
+/* wg_roster_pick.c -- selects the entry hosts for a caller
 
-   All of its data centre. Where these are more than one answer holds, each caller is named its own
-   part of them, by rendezvous hashing: no host is left out of all answers, and one that comes or
-   goes changes few. */
+   All hosts of the caller's data centre are returned. If they exceed one answer, rendezvous hashing
+   selects a subset for each caller, so that every host is used by some callers and a host that is
+   added or removed affects few of them. */
 #include <string.h>
 
 #include "wg_roster.h"
@@ -18,7 +18,7 @@
     return first > second ? -1 : first < second;
 }
 
-/* Add the caller's hosts of its own data centre, or of all others. */
+/* Adds the local or the remote hosts in the caller's rendezvous order. */
 static void wg_roster_add_ranked(const wg_roster* r, const wg_roster_query* q, bool near,
                                  GPtrArray* list) {
     GArray* ranked = g_array_new(FALSE, FALSE, sizeof(wg_roster_ranked));
--- a/lib/share/wg_share.c
+++ b/lib/share/wg_share.c
@@ -1,10 +1,10 @@
-/* wg_share.c -- accounts, routers and configuration; the plan stands in wg_share_plan.c */
+/* wg_share.c -- accounts, routers and configuration; wg_share_plan.c computes the plan */
 #include "wg_share_internal.h"
 
 #include <string.h>
 
 enum {
-    _WGF_ROUTERS_LIMIT = 32767 /* fits the 16 bits of a slot in a handle */
+    _WGF_ROUTERS_LIMIT = 32767 /* a handle has 16 bits for the index */
 };
 
 /* ---- helpers: slots ------------------------------------------------------------------------ */
@@ -94,7 +94,7 @@
     return flow;
 }
 
-/* Keep the service's list of flows with demand. */
+/* Adds the flow to the service's list of flows with demand, or removes it. */
 static void _wgf_update_active(wgf_share* s, int flow) {
     _wgf_flow_t* f = &s->flows[flow];
     _wgf_service_t* service = &s->services[f->service];
@@ -135,7 +135,7 @@
     return account;
 }
 
-/* Demand of an account ends; what it was served stays in the flow's virtual time. */
+/* Clears the demand of an account; its past usage stays in the flow's virtual time. */
 static void _wgf_clear_demand(wgf_share* s, _wgf_account_t* a) {
     _wgf_flow_t* f = &s->flows[a->flow];
     f->queued -= a->queued;
@@ -201,8 +201,9 @@
         if (account < 0) {
             return;
         }
-        /* A router serves only under a leader, so what it served before stands in the virtual time
-           that it knew; a report that is not full comes from a router known since its start. */
+        /* Earlier usage is already part of the virtual time in a full report, since a router serves
+           requests only under a leader. An incremental report for a new account comes from a router
+           known since its start, so all its usage counts. */
         s->accounts[account].served = full ? in->served : 0;
         if (full) {
             f->virtual_time = MAX(f->virtual_time, (int64_t)in->virtual_time);
@@ -310,7 +311,7 @@
         return false;
     }
     if (t < 0) {
-        /* A place of a target that is forgotten and free of leases serves again. */
+        /* Reuse the entry of a target that was removed and has no leases. */
         for (int i = 0; i < s->targets_num && t < 0; i++) {
             t = !s->targets[i].live && s->targets[i].counted == 0 ? i : -1;
         }
@@ -397,8 +398,8 @@
     wg_pool_free(&s->routers_pool, (wg_handle){handle.id});
 }
 
-/* What the router says that it holds. Its first report after grants for a target names the target,
-   so a count stands for all grants up to what the report has applied. */
+/* Applies the slots that a router reports. The first report after grants includes every target
+   granted, so a reported count covers all grants up to `applied`. */
 static void _wgf_take_held(wgf_share* s, int r, const wgf_report_desc* report) {
     for (int i = 0; i < report->held_num; i++) {
         int t = _wgf_find_target(s, report->held[i].target);
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -1,27 +1,28 @@
 #pragma once
 /*
-    wg_share.h -- the leader's view of the fleet: accounts of workspaces, and slot leases to routers
+    wg_share.h -- the leader's fleet-wide accounts of workspaces, and slot leases to routers
 
     WHAT IT DOES
-        Routers report, per service and workspace, what they served, what runs and what waits. Out
-   of it the leader keeps each workspace's fleet-wide virtual time, and decides how many slots of
-        each target each router may use. Pure.
+        Routers report, per service and workspace, their usage and their running and queued
+        requests. From the reports the leader maintains each workspace's fleet-wide virtual time and
+        decides how many slots of each target a router may use. Pure.
 
     FEATURES
-        - accounts only rise and are merged by maximum: repeated, crossed or late reports change
-          nothing, and a restarted router is a new account
-        - a workspace that comes back from idle starts at the fleet's smallest virtual time: it
-   banks no credit; one that took more than its share pays for it
-        - slots follow demand: weighted max-min over backlogged workspaces, those behind in virtual
-          time more; each router gets the part of its workspaces' shares that it has the demand for
-        - a target that has failed for every router that tried it is not counted on until one router
-          says that it works again
-        - slots that nobody needs are spread over the routers, and some stay with the leader, so
-   that a new request starts without asking
-        - the leader only adds slots, the router only gives them back: what the leader counts is
-   never less than what the router holds, so that a target is never leased twice
-        - slots are asked back by a quota; the router gives back whichever falls idle first
-        - a new leader first learns what routers hold before it grants anything
+        - account counters are monotonic and merged by maximum: duplicate, reordered or late
+          reports change nothing, and a restarted router is a new account
+        - a workspace that becomes active again starts at the service's lowest virtual time, so
+          idle time earns no credit; usage above the fair share is charged
+        - slots follow demand: weighted max-min over backlogged workspaces, with a higher weight
+          for those below their fair share; a router gets the part of its workspaces' shares that
+          its demand accounts for
+        - a target that has failed for every router that tried it has no capacity until one router
+          reports that it works again
+        - most unused slots are distributed over the routers and the rest stays with the leader, so
+          that new requests start without a round trip
+        - only the leader adds slots and only the router releases them: the leader's count is never
+          below the router's, so no slot is leased twice
+        - slots are reclaimed by a quota; the router releases whichever become idle first
+        - a new leader learns what routers hold before it grants anything
 
     USE
         1. wgf_share* s = wgf_setup(&(wgf_desc){.now = now}, &error);
@@ -43,8 +44,8 @@
     WGF_FLOWS_DEFAULT = 32768,
     WGF_ACCOUNTS_DEFAULT = 262144,
     WGF_SLOT_TERM_DEFAULT = 2 * WG_USEC_PER_SEC,
-    WGF_SPARE_KEPT_PERCENT = 25, /* of slots nobody needs, kept by the leader */
-    WGF_GRANTS_MAX = 256,        /* in one set of orders; the rest goes with the next */
+    WGF_SPARE_KEPT_PERCENT = 25, /* of unused slots: reserve that the leader doesn't grant */
+    WGF_GRANTS_MAX = 256,        /* in one set of orders; the next one carries the rest */
     WGF_SCALE = 1000000          /* virtual time is cost * WGF_SCALE / weight */
 };
 
@@ -61,23 +62,24 @@
     uint32_t pending;
     uint32_t queued;
     uint32_t running;
-    uint64_t virtual_time; /* as the router last knew it; only looked at in full reports */
+    uint64_t virtual_time; /* last value known to the router; used in full reports only */
 } wgf_account;
 
 /* Slots that a router holds at a target. */
 typedef struct {
     uint32_t target;
     uint32_t slots;
-    bool aside; /* the target failed for this router, which gives it no work for now */
+    bool aside; /* ejected: the target failed for this router and gets no requests from it */
 } wgf_held;
 
 typedef struct {
-    bool full;        /* first report on a link: replaces what is known of the router */
+    bool full;        /* first report on a link: replaces the state known of the router */
     uint64_t applied; /* newest seq of wgf_take_orders() that the router has applied */
     bool leaving;
     const wgf_account* accounts;
     int accounts_num;
-    const wgf_held* held; /* those that changed or were granted more since; full reports: all */
+    const wgf_held* held; /* targets whose slots changed or were granted since the last report; full
+                             reports: all */
     int held_num;
 } wgf_report_desc;
 
@@ -88,10 +90,10 @@
 
 typedef struct {
     uint32_t service;
-    uint32_t most; /* WGF_NO_QUOTA: keep what there is */
+    uint32_t most; /* WGF_NO_QUOTA: no limit */
 } wgf_quota;
 
-/* What leaves for a router after a plan. */
+/* Grants and quotas to send to a router after a plan. */
 typedef struct {
     wgf_grant grants[WGF_GRANTS_MAX];
     int grants_num;
@@ -102,8 +104,8 @@
 typedef struct {
     uint32_t service;
     uint32_t workspace;
-    uint64_t virtual_time; /* without the router's own running requests */
-    uint64_t acked;        /* `served` of the router that is contained */
+    uint64_t virtual_time; /* excludes the router's own running requests */
+    uint64_t acked;        /* value of the router's `served` included in virtual_time */
 } wgf_fair;
 
 typedef struct {
@@ -112,7 +114,7 @@
     int targets_max;
     int flows_max;
     int accounts_max;
-    wg_time slot_term; /* leases end this long after the report they answer */
+    wg_time slot_term; /* leases expire this long after the report that renewed them */
 } wgf_desc;
 
 typedef struct {
@@ -120,10 +122,10 @@
     int targets;
     int flows;
     int accounts;
-    int64_t slots;  /* of targets that take work */
-    int64_t leased; /* counted as used or usable by routers */
+    int64_t slots;  /* of targets that accept requests */
+    int64_t leased; /* slots counted against targets: held by routers or granted to them */
     uint64_t plans;
-    uint64_t lapsed; /* routers whose leases ended by silence */
+    uint64_t lapsed; /* number of times that a router's leases expired without a report */
     uint64_t stale_reports;
 } wgf_stats;
 
@@ -133,37 +135,37 @@
 wgf_share* wgf_setup(const wgf_desc* desc, GError** error);
 void wgf_shutdown(wgf_share* share);
 
-/* Between begin and end name all services and targets; others are forgotten at the end. */
+/* Name all services and targets between begin and end; end removes those not named. */
 void wgf_config_begin(wgf_share* share);
 bool wgf_config_service(wgf_share* share, uint32_t service, int over_percent, int64_t first_cost);
 bool wgf_config_target(wgf_share* share, uint32_t target, uint32_t service, int slots, bool leaving,
                        const char* data_centre);
 void wgf_config_end(wgf_share* share);
-/* Weight of a workspace, which counts from now on. Unknown workspaces have weight 100. */
+/* Sets a workspace's weight, effective immediately. The default is 100. */
 void wgf_set_weight(wgf_share* share, uint32_t workspace, int64_t weight);
 
-/* A router's link is up; the same incarnation keeps its accounts. id 0 when there is no room. */
+/* Registers a router whose link is up. The same incarnation keeps its accounts. Returns id 0 when
+   there is no room. */
 wgf_router wgf_router_up(wgf_share* share, wg_time now, const char* name, uint64_t incarnation,
                          const char* data_centre);
-/* A router stopped in the planned way and holds nothing any more. */
+/* Removes a router after a planned stop; its slots are free again. */
 void wgf_router_gone(wgf_share* share, wgf_router router);
 void wgf_report(wgf_share* share, wg_time now, wgf_router router, const wgf_report_desc* report);
-/* The leader does not know what this router holds: it has to send a full report. */
+/* True when the leader has no current state of this router and needs a full report. */
 bool wgf_wants_full(const wgf_share* share, wgf_router router);
-/* Work out anew who may use which slots; also ends the leases of silent routers. */
+/* Recomputes the slots of all routers, and expires the leases of routers that don't report. */
 void wgf_plan(wgf_share* share, wg_time now);
-/* Grants and quotas that are new for this router; they leave with `seq`. False when there are none.
- */
+/* Returns new grants and quotas for a router, to be sent with `seq`; false when there are none. */
 bool wgf_take_orders(wgf_share* share, wgf_router router, uint64_t seq, wgf_orders* orders);
 bool wgf_has_orders(const wgf_share* share, wgf_router router);
-/* Virtual times of the workspaces that this router has waiting or running. */
+/* Virtual times of the workspaces that have queued or running requests at this router. */
 int wgf_take_fairs(wgf_share* share, wgf_router router, wgf_fair* fairs, int max);
-/* Virtual time at which a workspace starts that comes back from idle. */
+/* Virtual time at which a workspace starts when it becomes active. */
 uint64_t wgf_query_fleet_time(const wgf_share* share, uint32_t service);
 /* Virtual time of one workspace; 0 when unknown. */
 uint64_t wgf_query_virtual_time(const wgf_share* share, uint32_t service, uint32_t workspace);
-/* Cost that a workspace took of a service since this leader began; 0 when unknown. */
+/* Cost that a workspace has used of a service since this leader began; 0 when unknown. */
 uint64_t wgf_query_served(const wgf_share* share, uint32_t service, uint32_t workspace);
-/* Slots counted as held on one target, over all routers. */
+/* Slots leased of one target, over all routers. */
 int wgf_query_leased(const wgf_share* share, uint32_t target);
 wgf_stats wgf_query_stats(const wgf_share* share);
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -1,10 +1,9 @@
 /*
-    wg_share_plan.c -- who may use which slots; see wg_share.h
+    wg_share_plan.c -- computes how many slots each router may use; see wg_share.h
 
-    For each service: shares of workspaces (weighted max-min with a correction by virtual time),
-   then quotas of routers (each workspace's share, split by where its demand is), then limits per
-   target (take back no more than is needed elsewhere, grant from what is free).
-   docs/design/fairness.md gives the reasons.
+    For each service: shares of workspaces (weighted max-min, corrected by virtual time), then
+    quotas of routers (each workspace's share, split by where its demand is), then slots per target
+    (reclaim no more than other routers need, grant from free slots).
 */
 #include "wg_share_internal.h"
 
@@ -14,12 +13,12 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGF_FILL_ROUNDS = 40, /* bisection steps when the shares are worked out */
-    _WGF_FORGET_TERMS = 30 /* slot terms of silence after which a router's accounts go */
+    _WGF_FILL_ROUNDS = 40, /* bisection steps for the fill level */
+    _WGF_FORGET_TERMS = 30 /* slot terms without a report until accounts are removed */
 };
 
-/* Bounds of the correction: a workspace behind gets up to 4 times its weight, one ahead a quarter.
- */
+/* Bounds of the correction: up to 4 times the weight for a workspace below its fair share, down to
+   a quarter for one above. */
 static const double _WGF_BOOST_MIN = 0.25;
 static const double _WGF_BOOST_MAX = 4.0;
 
@@ -55,7 +54,7 @@
     return sum;
 }
 
-/* Level at which the limited workspaces' weights, as they stand in `shares`, fill the slots. */
+/* Level at which the limited workspaces' weights in `shares` fill the slots. */
 static double _wgf_fill_level(const wgf_share* s, const _wgf_service_t* service, double slots) {
     double low = 0;
     double high = MAX(slots, 0);
@@ -70,8 +69,8 @@
     return high;
 }
 
-/* Workspaces that want no more than their fair share get what they want. The others are limited and
-   share the rest, whose number of slots is returned. */
+/* Workspaces whose demand is within their fair share get their demand. The others are limited and
+   share the remaining slots, whose number is returned. */
 static double _wgf_find_limited(wgf_share* s, const _wgf_service_t* service, double slots) {
     for (int i = 0; i < service->active_num; i++) {
         int flow = service->active[i];
@@ -92,8 +91,8 @@
     return left;
 }
 
-/* Mean virtual time of the limited workspaces, and how far it moves while each of their slots
-   completes one request: the unit of the correction. */
+/* Mean virtual time of the limited workspaces, and the amount by which it advances while each of
+   their slots completes one request, which is the unit of the correction. */
 static void _wgf_mean_time(const wgf_share* s, const _wgf_service_t* service, double slots,
                            double* mean, double* round) {
     double sum = 0;
@@ -115,7 +114,7 @@
     *round = MAX(1.0, slots * cost * WGF_SCALE / MAX(weights, 1.0));
 }
 
-/* Share the slots among the limited workspaces: by weight, corrected by virtual time. */
+/* Shares the slots among the limited workspaces by weight, corrected by virtual time. */
 static void _wgf_share_limited(wgf_share* s, const _wgf_service_t* service, double slots) {
     double mean;
     double round;
@@ -158,7 +157,7 @@
     }
 }
 
-/* More demand than slots: each workspace's share goes where its demand is. */
+/* Demand exceeds the slots: each workspace's share is split by where its demand is. */
 static void _wgf_quotas_contended(wgf_share* s, const _wgf_service_t* service, double slots) {
     double left = _wgf_find_limited(s, service, slots);
     _wgf_share_limited(s, service, left);
@@ -172,7 +171,7 @@
     }
 }
 
-/* Enough for all: demand is met, most of the rest is spread evenly. */
+/* Enough slots: demand is met, and most of the unused slots are spread evenly. */
 static void _wgf_quotas_spare(wgf_share* s, double slots, double demand, int routers) {
     double spread = (slots - demand) * (100 - WGF_SPARE_KEPT_PERCENT) / 100.0 / MAX(routers, 1);
     for (int r = 0; r < s->desc.routers_max; r++) {
@@ -183,7 +182,7 @@
     }
 }
 
-/* Whole slots out of quotas: the fractions go to the largest, in order of routers. */
+/* Rounds quotas to whole slots, carrying each fraction over to the next router. */
 static void _wgf_round_quotas(wgf_share* s) {
     double carry = 0;
     for (int r = 0; r < s->desc.routers_max; r++) {
@@ -209,7 +208,7 @@
         _wgf_router_t* router = &s->routers[r];
         router->holds = 0;
         for (int t = 0; router->live && t < s->targets_num; t++) {
-            /* Slots of a target that leaves or has failed are of no use to anybody. */
+            /* Slots of a target that is draining or has failed cannot be used. */
             if (_wgf_serves(&s->targets[t], service) && _wgf_capacity(s, &s->targets[t]) > 0) {
                 router->holds += _wgf_slot_sum(_wgf_slot(s, r, t));
             }
@@ -225,7 +224,8 @@
     }
 }
 
-/* Ask back what others lack, from the largest surplus down; nobody else is held to a quota. */
+/* Reclaims the slots that other routers need, largest surplus first; routers with nothing to return
+   have no quota. */
 static void _wgf_ask_back(wgf_share* s, int service, int needed) {
     for (int r = 0; r < s->desc.routers_max; r++) {
         if (s->routers[r].live) {
@@ -272,7 +272,8 @@
     return num;
 }
 
-/* Target to grant from: most free slots, the router's own data centre counting a little more. */
+/* Target to grant from: the one with most free slots, with a small bonus for the router's own data
+   centre. */
 static int _wgf_best_target(const wgf_share* s, int r, int service) {
     int best = -1;
     int best_score = 0;
@@ -351,7 +352,7 @@
     _wgf_move_slots(s, i, now);
 }
 
-/* Silent routers lose their leases; long silent ones are forgotten. */
+/* Expires the leases of routers that don't report, and removes routers after a longer time. */
 static void _wgf_end_leases(wgf_share* s, wg_time now) {
     for (int r = 0; r < s->desc.routers_max; r++) {
         _wgf_router_t* router = &s->routers[r];
