--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -184,10 +184,10 @@
     qsort(scored, (size_t)num, sizeof *scored, _wgm_compare);
     int wanted = MIN(MIN(num, list_max), spread > 0 ? spread : WGM_ENTRY_HOSTS_DEFAULT);
     int filled = 0;
-    for (int near = 1; near >= 0; near--) {
+    for (int local = 1; local >= 0; local--) {
         for (int i = 0; i < wanted; i++) {
-            bool is_near = strcmp(scored[i].member->data_centre, data_centre) == 0;
-            if (is_near == (near == 1)) {
+            bool is_local = strcmp(scored[i].member->data_centre, data_centre) == 0;
+            if (is_local == (local == 1)) {
                 list[filled++] = scored[i].member;
             }
         }
--- a/lib/roster/wg_roster.c
+++ b/lib/roster/wg_roster.c
@@ -7,32 +7,32 @@
     WG_ROSTER_TERM_SHIFT = 24, /* bits: 16 million changes in one term */
     /* Removals remembered for copies that still list the host. A copy that has missed more removals
        is replaced in full. */
-    WG_ROSTER_LEFT_MAX = 512
+    WG_ROSTER_REMOVALS_MAX = 512
 };
 
 /* A host that was removed. */
 typedef struct {
     char name[WG_NAME_MAX];
     uint64_t change;
-} wg_roster_left;
+} wg_roster_removal;
 
 struct wg_roster {
     GPtrArray* hosts;    /* wg_roster_host* */
     GHashTable* by_name; /* name -> wg_roster_host* */
-    GQueue left;         /* wg_roster_left*, oldest first */
+    GQueue left;         /* wg_roster_removal*, oldest first */
     uint64_t change;
     uint64_t floor; /* copies older than this change are replaced in full */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-static void wg_roster_note_left(wg_roster* r, const char* name) {
-    wg_roster_left* left = g_new0(wg_roster_left, 1);
+static void wg_roster_record_removal(wg_roster* r, const char* name) {
+    wg_roster_removal* left = g_new0(wg_roster_removal, 1);
     wg_copy_name(left->name, sizeof left->name, name);
     left->change = ++r->change;
     g_queue_push_tail(&r->left, left);
-    if (r->left.length > WG_ROSTER_LEFT_MAX) {
-        wg_roster_left* oldest = g_queue_pop_head(&r->left);
+    if (r->left.length > WG_ROSTER_REMOVALS_MAX) {
+        wg_roster_removal* oldest = g_queue_pop_head(&r->left);
         r->floor = oldest->change;
         g_free(oldest);
     }
@@ -128,7 +128,7 @@
     if (!wg_roster_remove(r, copy)) {
         return false;
     }
-    wg_roster_note_left(r, copy);
+    wg_roster_record_removal(r, copy);
     return true;
 }
 
@@ -162,7 +162,7 @@
         }
     }
     for (const GList* at = r->left.tail; at && !d.reset; at = at->prev) {
-        wg_roster_left* left = at->data;
+        wg_roster_removal* left = at->data;
         if (left->change <= since) {
             break;
         }
--- a/lib/roster/wg_roster_pick.c
+++ b/lib/roster/wg_roster_pick.c
@@ -19,14 +19,14 @@
 }
 
 /* Adds the local or the remote hosts in the caller's rendezvous order. */
-static void wg_roster_add_ranked(const wg_roster* r, const wg_roster_query* q, bool near,
+static void wg_roster_add_ranked(const wg_roster* r, const wg_roster_query* q, bool local,
                                  GPtrArray* list) {
     GArray* ranked = g_array_new(FALSE, FALSE, sizeof(wg_roster_ranked));
     for (int i = 0; i < wg_roster_num(r); i++) {
         const wg_roster_host* host = wg_roster_at(r, i);
-        bool is_near = strcmp(host->data_centre, q->data_centre) == 0;
-        bool left_out = q->without && strcmp(host->name, q->without) == 0;
-        if (is_near == near && !left_out) {
+        bool is_local = strcmp(host->data_centre, q->data_centre) == 0;
+        bool excluded = q->without && strcmp(host->name, q->without) == 0;
+        if (is_local == local && !excluded) {
             wg_roster_ranked entry = {host, wg_hash(host->name, strlen(host->name), q->caller)};
             g_array_append_val(ranked, entry);
         }
--- a/lib/share/wg_pacer.c
+++ b/lib/share/wg_pacer.c
@@ -13,11 +13,11 @@
     return d;
 }
 
-static bool _wgf_pacer_affords(wgf_pacer* p, wg_time now, uint64_t bytes) {
+static bool _wgf_pacer_within_budget(wgf_pacer* p, wg_time now, uint64_t bytes) {
     double per_second = (double)p->desc.budget;
     double earned = per_second * (double)(now - p->left_at) / WG_USEC_PER_SEC;
-    double most = per_second * WGF_PACER_SAVED_SECONDS;
-    p->left = MIN(most, p->left + earned) - (double)(bytes - p->counted);
+    double limit = per_second * WGF_PACER_SAVED_SECONDS;
+    p->left = MIN(limit, p->left + earned) - (double)(bytes - p->counted);
     p->left_at = now;
     p->counted = bytes;
     return p->left > 0;
@@ -36,20 +36,20 @@
 }
 
 void wgf_pacer_state(wgf_pacer* p, const wgf_pacer_news* news) {
-    bool begins = news->waiting && !p->waiting_told;
-    bool ends = !news->waiting && p->waiting_told && news->idle;
+    bool wait_begins = news->waiting && !p->waiting_told;
+    bool wait_ends = !news->waiting && p->waiting_told && news->idle;
     p->at_work = news->at_work;
-    p->wanted = p->wanted || begins || ends;
+    p->wanted = p->wanted || wait_begins || wait_ends;
 }
 
 bool wgf_pacer_due(wgf_pacer* p, wg_time now, uint64_t bytes) {
     if (now < wgf_pacer_next(p)) {
         return false;
     }
-    bool affords = _wgf_pacer_affords(p, now, bytes);
+    bool within_budget = _wgf_pacer_within_budget(p, now, bytes);
     bool vital = now - p->sent_at >= p->desc.vital;
-    p->held_back += affords || vital ? 0 : 1;
-    return affords || vital;
+    p->held_back += within_budget || vital ? 0 : 1;
+    return within_budget || vital;
 }
 
 void wgf_pacer_sent(wgf_pacer* p, wg_time now, bool waiting) {
--- a/lib/share/wg_share.c
+++ b/lib/share/wg_share.c
@@ -14,7 +14,7 @@
 }
 
 int _wgf_slot_sum(const _wgf_slot_t* slot) {
-    return slot->held + slot->sent + slot->fresh;
+    return slot->held + slot->sent + slot->unsent;
 }
 
 static int _wgf_is_holder(const _wgf_slot_t* slot) {
@@ -22,13 +22,13 @@
 }
 
 void _wgf_set_slot(wgf_share* s, int router, int target, _wgf_slot_t slot) {
-    _wgf_slot_t* place = _wgf_slot(s, router, target);
-    int more = _wgf_slot_sum(&slot) - _wgf_slot_sum(place);
-    s->targets[target].aside += slot.aside - place->aside;
-    s->targets[target].holders += _wgf_is_holder(&slot) - _wgf_is_holder(place);
-    s->targets[target].counted += more;
-    s->stats.leased += more;
-    *place = slot;
+    _wgf_slot_t* current = _wgf_slot(s, router, target);
+    int added = _wgf_slot_sum(&slot) - _wgf_slot_sum(current);
+    s->targets[target].aside += slot.aside - current->aside;
+    s->targets[target].holders += _wgf_is_holder(&slot) - _wgf_is_holder(current);
+    s->targets[target].counted += added;
+    s->stats.leased += added;
+    *current = slot;
     WG_ASSERT(s->targets[target].counted >= 0);
 }
 
@@ -41,7 +41,7 @@
 
 int _wgf_capacity(const wgf_share* s, const _wgf_target_t* target) {
     bool failed_for_all = target->aside > 0 && target->holders == 0;
-    if (!target->live || target->leaving || failed_for_all) {
+    if (!target->live || target->draining || failed_for_all) {
         return 0;
     }
     return target->slots * (100 + s->services[target->service].over_percent) / 100;
@@ -88,7 +88,7 @@
                        .workspace = workspace,
                        .weight = _wgf_weight(s, workspace),
                        .first_account = -1,
-                       .active_place = -1};
+                       .active_index = -1};
     f->virtual_time = s->services[service].fleet_time;
     g_hash_table_insert(s->flow_by_key, &f->key, GINT_TO_POINTER(flow + 1));
     return flow;
@@ -99,14 +99,14 @@
     _wgf_flow_t* f = &s->flows[flow];
     _wgf_service_t* service = &s->services[f->service];
     bool demand = f->queued + f->running > 0;
-    if (demand && f->active_place < 0) {
-        f->active_place = service->active_num;
+    if (demand && f->active_index < 0) {
+        f->active_index = service->active_num;
         service->active[service->active_num++] = flow;
-    } else if (!demand && f->active_place >= 0) {
+    } else if (!demand && f->active_index >= 0) {
         int last = service->active[--service->active_num];
-        service->active[f->active_place] = last;
-        s->flows[last].active_place = f->active_place;
-        f->active_place = -1;
+        service->active[f->active_index] = last;
+        s->flows[last].active_index = f->active_index;
+        f->active_index = -1;
     }
 }
 
@@ -195,8 +195,8 @@
     }
     _wgf_flow_t* f = &s->flows[flow];
     int account = _wgf_find_account(s, flow, router);
-    bool first_sight = account < 0;
-    if (first_sight) {
+    bool is_new = account < 0;
+    if (is_new) {
         account = _wgf_add_account(s, flow, router);
         if (account < 0) {
             return;
@@ -303,7 +303,7 @@
     return true;
 }
 
-bool wgf_config_target(wgf_share* s, uint32_t id, uint32_t service_id, int slots, bool leaving,
+bool wgf_config_target(wgf_share* s, uint32_t id, uint32_t service_id, int slots, bool draining,
                        const char* data_centre) {
     int service = _wgf_find_service(s, service_id);
     int t = _wgf_find_target(s, id);
@@ -326,7 +326,7 @@
     target->live = target->seen = true;
     target->service = service;
     target->slots = slots;
-    target->leaving = leaving;
+    target->draining = draining;
     wg_copy_name(target->data_centre, sizeof target->data_centre, data_centre);
     return true;
 }
@@ -368,7 +368,7 @@
             continue;
         }
         if (router->incarnation == incarnation) {
-            router->heard_at = now;
+            router->last_contact_at = now;
             return (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id};
         }
         wgf_router_gone(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
@@ -378,7 +378,7 @@
         return (wgf_router){0};
     }
     _wgf_router_t* router = &s->routers[wg_pool_slot(&s->routers_pool, handle)];
-    *router = (_wgf_router_t){.live = true, .incarnation = incarnation, .heard_at = now};
+    *router = (_wgf_router_t){.live = true, .incarnation = incarnation, .last_contact_at = now};
     router->first_account = -1;
     memset(router->quota, 0xff, sizeof router->quota);
     memset(router->quota_sent, 0xff, sizeof router->quota_sent);
@@ -400,7 +400,7 @@
 
 /* Applies the slots that a router reports. The first report after grants includes every target
    granted, so a reported count covers all grants up to `applied`. */
-static void _wgf_take_held(wgf_share* s, int r, const wgf_report_desc* report) {
+static void _wgf_apply_held(wgf_share* s, int r, const wgf_report_desc* report) {
     for (int i = 0; i < report->held_num; i++) {
         int t = _wgf_find_target(s, report->held[i].target);
         if (t < 0) {
@@ -427,7 +427,7 @@
         s->stats.stale_reports++;
         return;
     }
-    router->heard_at = now;
+    router->last_contact_at = now;
     router->leaving = report->leaving;
     router->lapsed = false;
     if (report->full) {
@@ -436,7 +436,7 @@
         router->reported = true;
         memset(router->quota_sent, 0xff, sizeof router->quota_sent);
     }
-    _wgf_take_held(s, r, report);
+    _wgf_apply_held(s, r, report);
     for (int i = 0; i < report->accounts_num; i++) {
         _wgf_merge_account(s, r, &report->accounts[i], report->full);
     }
@@ -457,17 +457,17 @@
     router->has_orders = false;
     for (int t = 0; t < s->targets_num; t++) {
         _wgf_slot_t slot = *_wgf_slot(s, r, t);
-        if (slot.fresh == 0) {
+        if (slot.unsent == 0) {
             continue;
         }
         if (orders->grants_num == WGF_GRANTS_MAX) {
             router->has_orders = true;
             break;
         }
-        orders->grants[orders->grants_num++] = (wgf_grant){s->targets[t].id, slot.fresh};
-        slot.sent += slot.fresh;
+        orders->grants[orders->grants_num++] = (wgf_grant){s->targets[t].id, slot.unsent};
+        slot.sent += slot.unsent;
         slot.sent_seq = (uint32_t)seq;
-        slot.fresh = 0;
+        slot.unsent = 0;
         _wgf_set_slot(s, r, t, slot);
     }
     for (int i = 0; i < s->services_num; i++) {
@@ -533,7 +533,7 @@
     stats.flows = s->flows_num;
     for (int t = 0; t < s->targets_num; t++) {
         stats.targets += s->targets[t].live ? 1 : 0;
-        stats.slots += s->targets[t].live && !s->targets[t].leaving ? s->targets[t].slots : 0;
+        stats.slots += s->targets[t].live && !s->targets[t].draining ? s->targets[t].slots : 0;
     }
     return stats;
 }
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -138,8 +138,8 @@
 /* Name all services and targets between begin and end; end removes those not named. */
 void wgf_config_begin(wgf_share* share);
 bool wgf_config_service(wgf_share* share, uint32_t service, int over_percent, int64_t first_cost);
-bool wgf_config_target(wgf_share* share, uint32_t target, uint32_t service, int slots, bool leaving,
-                       const char* data_centre);
+bool wgf_config_target(wgf_share* share, uint32_t target, uint32_t service, int slots,
+                       bool draining, const char* data_centre);
 void wgf_config_end(wgf_share* share);
 /* Sets a workspace's weight, effective immediately. The default is 100. */
 void wgf_set_weight(wgf_share* share, uint32_t workspace, int64_t weight);
--- a/lib/share/wg_share_internal.h
+++ b/lib/share/wg_share_internal.h
@@ -2,11 +2,11 @@
 /* wg_share_internal.h -- state shared by the files of lib/share; not installed */
 #include "wg_share.h"
 
-/* Slots of a target at a router. Held, sent and fresh slots all count against the target. */
+/* Slots of a target at a router. Held, sent and unsent slots all count against the target. */
 typedef struct {
     uint16_t held;     /* in the router's last report */
     uint16_t sent;     /* granted since; the router may not have received them yet */
-    uint16_t fresh;    /* granted, to be sent with the next orders */
+    uint16_t unsent;   /* granted, to be sent with the next orders */
     uint32_t sent_seq; /* seq of the last orders that granted some */
     bool aside;        /* ejected: the target failed for this router */
 } _wgf_slot_t;
@@ -36,7 +36,7 @@
     int64_t queued;
     int64_t running;
     int first_account;
-    int active_place; /* index in the service's list of flows with demand; -1: not in it */
+    int active_index; /* index in the service's list of flows with demand; -1: not in it */
     bool limited;     /* scratch of a plan: demand exceeds the fair share */
 } _wgf_flow_t;
 
@@ -55,7 +55,7 @@
     uint32_t id;
     bool live;
     bool seen;
-    bool leaving;
+    bool draining;
     int service;
     int slots;
     int counted; /* slots leased, over all routers */
@@ -69,7 +69,7 @@
     uint64_t incarnation;
     char name[WG_NAME_MAX];
     char data_centre[WG_NAME_MAX];
-    wg_time heard_at;
+    wg_time last_contact_at;
     bool reported;
     bool leaving;
     bool lapsed;
@@ -78,11 +78,11 @@
     uint32_t quota[WGF_SERVICES_MAX];      /* planned */
     uint32_t quota_sent[WGF_SERVICES_MAX]; /* last sent to the router */
     /* scratch of a plan */
-    double exact;
+    double exact_quota;
     int64_t demand;
-    int want;
-    int holds;
-    int asked;
+    int wanted_slots;
+    int held_slots;
+    int reclaimed;
 } _wgf_router_t;
 
 struct wgf_share {
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -13,8 +13,8 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGF_FILL_ROUNDS = 40, /* bisection steps for the fill level */
-    _WGF_FORGET_TERMS = 30 /* slot terms without a report until accounts are removed */
+    _WGF_FILL_ROUNDS = 40,       /* bisection steps for the fill level */
+    _WGF_REMOVE_AFTER_TERMS = 30 /* slot terms without a report until accounts are removed */
 };
 
 /* Bounds of the correction: up to 4 times the weight for a workspace below its fair share, down to
@@ -25,15 +25,15 @@
 /* ---- helpers: fleet time ------------------------------------------------------------------- */
 
 static void _wgf_advance_fleet_time(wgf_share* s, _wgf_service_t* service) {
-    int64_t least = INT64_MAX;
+    int64_t lowest = INT64_MAX;
     for (int i = 0; i < service->active_num; i++) {
         const _wgf_flow_t* f = &s->flows[service->active[i]];
         if (f->queued > 0) {
-            least = MIN(least, f->virtual_time);
+            lowest = MIN(lowest, f->virtual_time);
         }
     }
-    if (least != INT64_MAX) {
-        service->fleet_time = MAX(service->fleet_time, least);
+    if (lowest != INT64_MAX) {
+        service->fleet_time = MAX(service->fleet_time, lowest);
     }
 }
 
@@ -139,13 +139,13 @@
 
 /* ---- helpers: quotas of routers ------------------------------------------------------------ */
 
-static bool _wgf_takes_slots(const _wgf_router_t* router) {
+static bool _wgf_accepts_slots(const _wgf_router_t* router) {
     return router->live && router->reported && !router->lapsed;
 }
 
 static void _wgf_count_demand(wgf_share* s, const _wgf_service_t* service) {
     for (int r = 0; r < s->desc.routers_max; r++) {
-        s->routers[r].exact = 0;
+        s->routers[r].exact_quota = 0;
         s->routers[r].demand = 0;
     }
     for (int i = 0; i < service->active_num; i++) {
@@ -166,18 +166,19 @@
         const _wgf_flow_t* f = &s->flows[flow];
         for (int a = f->first_account; a >= 0; a = s->accounts[a].next_of_flow) {
             double demand = s->accounts[a].queued + s->accounts[a].running;
-            s->routers[s->accounts[a].router].exact += s->shares[flow] * demand / _wgf_demand(f);
+            s->routers[s->accounts[a].router].exact_quota +=
+                s->shares[flow] * demand / _wgf_demand(f);
         }
     }
 }
 
 /* Enough slots: demand is met, and most of the unused slots are spread evenly. */
-static void _wgf_quotas_spare(wgf_share* s, double slots, double demand, int routers) {
+static void _wgf_quotas_uncontended(wgf_share* s, double slots, double demand, int routers) {
     double spread = (slots - demand) * (100 - WGF_SPARE_KEPT_PERCENT) / 100.0 / MAX(routers, 1);
     for (int r = 0; r < s->desc.routers_max; r++) {
-        if (_wgf_takes_slots(&s->routers[r])) {
-            bool invites = !s->routers[r].leaving;
-            s->routers[r].exact = (double)s->routers[r].demand + (invites ? spread : 0);
+        if (_wgf_accepts_slots(&s->routers[r])) {
+            bool in_service = !s->routers[r].leaving;
+            s->routers[r].exact_quota = (double)s->routers[r].demand + (in_service ? spread : 0);
         }
     }
 }
@@ -187,13 +188,13 @@
     double carry = 0;
     for (int r = 0; r < s->desc.routers_max; r++) {
         _wgf_router_t* router = &s->routers[r];
-        if (!_wgf_takes_slots(router)) {
-            router->want = 0;
+        if (!_wgf_accepts_slots(router)) {
+            router->wanted_slots = 0;
             continue;
         }
-        double exact = router->exact + carry;
-        router->want = (int)floor(exact + 1e-6);
-        carry = exact - router->want;
+        double exact_quota = router->exact_quota + carry;
+        router->wanted_slots = (int)floor(exact_quota + 1e-6);
+        carry = exact_quota - router->wanted_slots;
     }
 }
 
@@ -206,11 +207,11 @@
 static void _wgf_count_holdings(wgf_share* s, int service) {
     for (int r = 0; r < s->desc.routers_max; r++) {
         _wgf_router_t* router = &s->routers[r];
-        router->holds = 0;
+        router->held_slots = 0;
         for (int t = 0; router->live && t < s->targets_num; t++) {
             /* Slots of a target that is draining or has failed cannot be used. */
             if (_wgf_serves(&s->targets[t], service) && _wgf_capacity(s, &s->targets[t]) > 0) {
-                router->holds += _wgf_slot_sum(_wgf_slot(s, r, t));
+                router->held_slots += _wgf_slot_sum(_wgf_slot(s, r, t));
             }
         }
     }
@@ -226,37 +227,40 @@
 
 /* Reclaims the slots that other routers need, largest surplus first; routers with nothing to return
    have no quota. */
-static void _wgf_ask_back(wgf_share* s, int service, int needed) {
+static void _wgf_reclaim(wgf_share* s, int service, int needed) {
     for (int r = 0; r < s->desc.routers_max; r++) {
         if (s->routers[r].live) {
-            s->routers[r].asked = 0;
+            s->routers[r].reclaimed = 0;
         }
     }
     while (needed > 0) {
-        int most = -1;
+        int largest = -1;
         for (int r = 0; r < s->desc.routers_max; r++) {
             const _wgf_router_t* router = &s->routers[r];
-            int surplus = router->live ? router->holds - router->want - router->asked : 0;
-            if (surplus > 0 &&
-                (most < 0 || surplus > s->routers[most].holds - s->routers[most].want -
-                                           s->routers[most].asked)) {
-                most = r;
+            int surplus =
+                router->live ? router->held_slots - router->wanted_slots - router->reclaimed : 0;
+            if (surplus > 0 && (largest < 0 || surplus > s->routers[largest].held_slots -
+                                                             s->routers[largest].wanted_slots -
+                                                             s->routers[largest].reclaimed)) {
+                largest = r;
             }
         }
-        if (most < 0) {
+        if (largest < 0) {
             break;
         }
-        int part =
-            MAX(1, (s->routers[most].holds - s->routers[most].want - s->routers[most].asked) / 2);
+        int part = MAX(1, (s->routers[largest].held_slots - s->routers[largest].wanted_slots -
+                           s->routers[largest].reclaimed) /
+                              2);
         part = MIN(part, needed);
-        s->routers[most].asked += part;
+        s->routers[largest].reclaimed += part;
         needed -= part;
     }
     for (int r = 0; r < s->desc.routers_max; r++) {
         const _wgf_router_t* router = &s->routers[r];
         if (router->live) {
-            uint32_t quota =
-                router->asked > 0 ? (uint32_t)(router->holds - router->asked) : WGF_NO_QUOTA;
+            uint32_t quota = router->reclaimed > 0
+                                 ? (uint32_t)(router->held_slots - router->reclaimed)
+                                 : WGF_NO_QUOTA;
             _wgf_set_quota(s, r, service, quota);
         }
     }
@@ -283,10 +287,10 @@
             continue;
         }
         int score = 4 * (_wgf_capacity(s, target) - target->counted);
-        bool near = strcmp(target->data_centre, s->routers[r].data_centre) == 0;
-        if (score > 0 && score + (near ? 3 : 0) > best_score) {
+        bool local = strcmp(target->data_centre, s->routers[r].data_centre) == 0;
+        if (score > 0 && score + (local ? 3 : 0) > best_score) {
             best = t;
-            best_score = score + (near ? 3 : 0);
+            best_score = score + (local ? 3 : 0);
         }
     }
     return best;
@@ -301,12 +305,12 @@
         int left = _wgf_capacity(s, &s->targets[t]) - s->targets[t].counted;
         int give = MIN(num, MAX(1, left / 4));
         _wgf_slot_t slot = *_wgf_slot(s, r, t);
-        slot.fresh += (uint16_t)give;
+        slot.unsent += (uint16_t)give;
         _wgf_set_slot(s, r, t, slot);
         s->routers[r].has_orders = true;
         WG_ASSERT(s->targets[t].counted <= _wgf_capacity(s, &s->targets[t]));
         num -= give;
-        s->routers[r].holds += give;
+        s->routers[r].held_slots += give;
     }
 }
 
@@ -314,15 +318,16 @@
     _wgf_count_holdings(s, service);
     int shortage = 0;
     for (int r = 0; r < s->desc.routers_max; r++) {
-        shortage += MAX(s->routers[r].want - s->routers[r].holds, 0);
+        shortage += MAX(s->routers[r].wanted_slots - s->routers[r].held_slots, 0);
     }
-    _wgf_ask_back(s, service, shortage - _wgf_free_slots(s, service));
+    _wgf_reclaim(s, service, shortage - _wgf_free_slots(s, service));
     if (now < s->may_grant_at) {
         return;
     }
     for (int r = 0; r < s->desc.routers_max; r++) {
-        if (_wgf_takes_slots(&s->routers[r]) && s->routers[r].want > s->routers[r].holds) {
-            _wgf_grant(s, r, service, s->routers[r].want - s->routers[r].holds);
+        if (_wgf_accepts_slots(&s->routers[r]) &&
+            s->routers[r].wanted_slots > s->routers[r].held_slots) {
+            _wgf_grant(s, r, service, s->routers[r].wanted_slots - s->routers[r].held_slots);
         }
     }
 }
@@ -341,12 +346,12 @@
     int routers = 0;
     for (int r = 0; r < s->desc.routers_max; r++) {
         demand += (double)s->routers[r].demand;
-        routers += _wgf_takes_slots(&s->routers[r]) && !s->routers[r].leaving ? 1 : 0;
+        routers += _wgf_accepts_slots(&s->routers[r]) && !s->routers[r].leaving ? 1 : 0;
     }
     if (demand > slots) {
         _wgf_quotas_contended(s, service, slots);
     } else {
-        _wgf_quotas_spare(s, slots, demand, routers);
+        _wgf_quotas_uncontended(s, slots, demand, routers);
     }
     _wgf_round_quotas(s);
     _wgf_move_slots(s, i, now);
@@ -356,10 +361,10 @@
 static void _wgf_end_leases(wgf_share* s, wg_time now) {
     for (int r = 0; r < s->desc.routers_max; r++) {
         _wgf_router_t* router = &s->routers[r];
-        wg_time silence = router->live ? now - router->heard_at : 0;
-        if (silence > _WGF_FORGET_TERMS * s->desc.slot_term) {
+        wg_time since_contact = router->live ? now - router->last_contact_at : 0;
+        if (since_contact > _WGF_REMOVE_AFTER_TERMS * s->desc.slot_term) {
             wgf_router_gone(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
-        } else if (silence > s->desc.slot_term && !router->lapsed) {
+        } else if (since_contact > s->desc.slot_term && !router->lapsed) {
             router->lapsed = true;
             s->stats.lapsed++;
             _wgf_clear_router_slots(s, r);
