--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -89,23 +89,23 @@
     g_free(m);
 }
 
-wgm_event wgm_heard(wgm_members* m, wg_time now, const wgm_member* heard) {
-    wgm_member* member = _wgm_find(m, heard->name);
+wgm_event wgm_heard(wgm_members* m, wg_time now, const wgm_member* heartbeat) {
+    wgm_member* member = _wgm_find(m, heartbeat->name);
     wgm_event event = WGM_EVENT_DEFAULT;
     if (!member) {
-        member = _wgm_add(m, heard->name);
+        member = _wgm_add(m, heartbeat->name);
         if (!member) {
             return WGM_EVENT_FULL;
         }
         event = WGM_EVENT_UP;
-    } else if (_wgm_is_retired(member, heard->incarnation)) {
+    } else if (_wgm_is_retired(member, heartbeat->incarnation)) {
         return WGM_EVENT_STALE;
-    } else if (member->incarnation != heard->incarnation) {
+    } else if (member->incarnation != heartbeat->incarnation) {
         _wgm_retire(member);
         event = WGM_EVENT_RESTARTED;
     } else if (member->state == WGM_STATE_GONE) {
         event = WGM_EVENT_UP;
-    } else if (member->state == WGM_STATE_UP && heard->state == WGM_STATE_LEAVING) {
+    } else if (member->state == WGM_STATE_UP && heartbeat->state == WGM_STATE_LEAVING) {
         event = WGM_EVENT_LEAVING;
     }
     /* Within one incarnation, a router that is leaving does not return to service. */
@@ -113,10 +113,10 @@
     if (event != WGM_EVENT_DEFAULT) {
         member->version = ++m->version;
     }
-    member->incarnation = heard->incarnation;
-    member->state = still_leaving ? WGM_STATE_LEAVING : heard->state;
-    wg_copy_name(member->address, sizeof member->address, heard->address);
-    wg_copy_name(member->data_centre, sizeof member->data_centre, heard->data_centre);
+    member->incarnation = heartbeat->incarnation;
+    member->state = still_leaving ? WGM_STATE_LEAVING : heartbeat->state;
+    wg_copy_name(member->address, sizeof member->address, heartbeat->address);
+    wg_copy_name(member->data_centre, sizeof member->data_centre, heartbeat->data_centre);
     member->heard_at = now;
     return event;
 }
--- a/lib/member/wg_member.h
+++ b/lib/member/wg_member.h
@@ -79,7 +79,7 @@
 wgm_members* wgm_setup(const wgm_desc* desc, GError** error);
 void wgm_shutdown(wgm_members* members);
 /* Leader: records a heartbeat. Uses name, address, data_centre, incarnation and state. */
-wgm_event wgm_heard(wgm_members* members, wg_time now, const wgm_member* heard);
+wgm_event wgm_heard(wgm_members* members, wg_time now, const wgm_member* heartbeat);
 /* Leader: extends all deadlines by `time` after a stall of this process: heartbeats were not read
    meanwhile. */
 void wgm_spare(wgm_members* members, wg_time now, wg_time time);
--- a/lib/roster/wg_roster.c
+++ b/lib/roster/wg_roster.c
@@ -105,19 +105,19 @@
     r->floor = r->change;
 }
 
-bool wg_roster_hear(wg_roster* r, wg_time now, const wg_roster_host* heard) {
-    wg_roster_host* host = g_hash_table_lookup(r->by_name, heard->name);
-    bool same = host && strcmp(host->address, heard->address) == 0 &&
-                strcmp(host->data_centre, heard->data_centre) == 0;
+bool wg_roster_hear(wg_roster* r, wg_time now, const wg_roster_host* report) {
+    wg_roster_host* host = g_hash_table_lookup(r->by_name, report->name);
+    bool same = host && strcmp(host->address, report->address) == 0 &&
+                strcmp(host->data_centre, report->data_centre) == 0;
     if (!host) {
-        host = wg_roster_add(r, heard);
+        host = wg_roster_add(r, report);
     }
     host->heard_at = now;
     if (same) {
         return false;
     }
-    wg_copy_name(host->address, sizeof host->address, heard->address);
-    wg_copy_name(host->data_centre, sizeof host->data_centre, heard->data_centre);
+    wg_copy_name(host->address, sizeof host->address, report->address);
+    wg_copy_name(host->data_centre, sizeof host->data_centre, report->data_centre);
     host->change = ++r->change;
     return true;
 }
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -303,14 +303,14 @@
             return;
         }
         int left = _wgf_capacity(s, &s->targets[t]) - s->targets[t].counted;
-        int give = MIN(num, MAX(1, left / 4));
+        int granted = MIN(num, MAX(1, left / 4));
         _wgf_slot_t slot = *_wgf_slot(s, r, t);
-        slot.unsent += (uint16_t)give;
+        slot.unsent += (uint16_t)granted;
         _wgf_set_slot(s, r, t, slot);
         s->routers[r].has_orders = true;
         WG_ASSERT(s->targets[t].counted <= _wgf_capacity(s, &s->targets[t]));
-        num -= give;
-        s->routers[r].held_slots += give;
+        num -= granted;
+        s->routers[r].held_slots += granted;
     }
 }
 
