--- a/lib/quorum/wg_quorum_set.c
+++ b/lib/quorum/wg_quorum_set.c
@@ -276,16 +276,17 @@
 bool wgr_add(wgr_node* n, wg_time now, const wgr_replica* replica, GError** error) {
     if (!_wgr_may_change_set(n)) {
         g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT,
-                    "not leading, or another change is under way");
+                    "this replica is not the leader, or another replica set change is in progress");
         return false;
     }
     if (replica->id == 0 || !replica->name[0] || wgr_set_find(&n->set, replica->id)) {
         g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
-                    "replica has no name or is in the set already");
+                    "replica has no id or name, or its id is already in the set");
         return false;
     }
     if (_wgr_is_leaving(n, now, replica->id)) {
-        g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT, "%s is about to stop", replica->name);
+        g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT, "replica %s has asked to leave the set",
+                    replica->name);
         return false;
     }
     wgr_set next = n->set;
@@ -302,7 +303,8 @@
         }
     }
     if (next.num == WGR_REPLICAS_MAX) {
-        g_set_error(error, WG_ERROR, WG_ERROR_FULL, "at most %d replicas", WGR_REPLICAS_MAX);
+        g_set_error(error, WG_ERROR, WG_ERROR_FULL, "replica set is full: at most %d replicas",
+                    WGR_REPLICAS_MAX);
         return false;
     }
     next.replicas[next.num] = *replica;
@@ -316,7 +318,8 @@
     bool last_voter = replica && replica->voter && _wgr_voters_num(n) == 1;
     if (!_wgr_may_change_set(n) || !replica || last_voter) {
         g_set_error(error, WG_ERROR, WG_ERROR_CONFLICT,
-                    "not leading, another change is under way, or not a removable replica");
+                    "this replica is not the leader, another replica set change is in progress, "
+                    "or the replica is unknown or the last voter");
         return false;
     }
     wgr_set next = n->set;
