--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -35,7 +35,7 @@
         wg_copy_name(member->name, sizeof member->name, name);
         return member;
     }
-    /* Full: a router that is gone makes room. */
+    /* The table is full: reuse the entry of a router that is gone. */
     for (int i = 0; i < m->num; i++) {
         if (m->items[i].state == WGM_STATE_GONE) {
             m->items[i] = (wgm_member){0};
@@ -89,34 +89,34 @@
     g_free(m);
 }
 
-wgm_event wgm_heard(wgm_members* m, wg_time now, const wgm_member* heard) {
-    wgm_member* member = _wgm_find(m, heard->name);
+wgm_event wgm_heard(wgm_members* m, wg_time now, const wgm_member* heartbeat) {
+    wgm_member* member = _wgm_find(m, heartbeat->name);
     wgm_event event = WGM_EVENT_DEFAULT;
     if (!member) {
-        member = _wgm_add(m, heard->name);
+        member = _wgm_add(m, heartbeat->name);
         if (!member) {
             return WGM_EVENT_FULL;
         }
         event = WGM_EVENT_UP;
-    } else if (_wgm_is_retired(member, heard->incarnation)) {
+    } else if (_wgm_is_retired(member, heartbeat->incarnation)) {
         return WGM_EVENT_STALE;
-    } else if (member->incarnation != heard->incarnation) {
+    } else if (member->incarnation != heartbeat->incarnation) {
         _wgm_retire(member);
         event = WGM_EVENT_RESTARTED;
     } else if (member->state == WGM_STATE_GONE) {
         event = WGM_EVENT_UP;
-    } else if (member->state == WGM_STATE_UP && heard->state == WGM_STATE_LEAVING) {
+    } else if (member->state == WGM_STATE_UP && heartbeat->state == WGM_STATE_LEAVING) {
         event = WGM_EVENT_LEAVING;
     }
-    /* One incarnation that is leaving does not change its mind. */
+    /* Within one incarnation, a router that is leaving does not return to service. */
     bool still_leaving = event == WGM_EVENT_DEFAULT && member->state == WGM_STATE_LEAVING;
     if (event != WGM_EVENT_DEFAULT) {
         member->version = ++m->version;
     }
-    member->incarnation = heard->incarnation;
-    member->state = still_leaving ? WGM_STATE_LEAVING : heard->state;
-    wg_copy_name(member->address, sizeof member->address, heard->address);
-    wg_copy_name(member->data_centre, sizeof member->data_centre, heard->data_centre);
+    member->incarnation = heartbeat->incarnation;
+    member->state = still_leaving ? WGM_STATE_LEAVING : heartbeat->state;
+    wg_copy_name(member->address, sizeof member->address, heartbeat->address);
+    wg_copy_name(member->data_centre, sizeof member->data_centre, heartbeat->data_centre);
     member->heard_at = now;
     return event;
 }
@@ -184,10 +184,10 @@
     qsort(scored, (size_t)num, sizeof *scored, _wgm_compare);
     int wanted = MIN(MIN(num, list_max), spread > 0 ? spread : WGM_ENTRY_HOSTS_DEFAULT);
     int filled = 0;
-    for (int near = 1; near >= 0; near--) {
+    for (int local = 1; local >= 0; local--) {
         for (int i = 0; i < wanted; i++) {
-            bool is_near = strcmp(scored[i].member->data_centre, data_centre) == 0;
-            if (is_near == (near == 1)) {
+            bool is_local = strcmp(scored[i].member->data_centre, data_centre) == 0;
+            if (is_local == (local == 1)) {
                 list[filled++] = scored[i].member;
             }
         }
--- a/lib/roster/wg_roster.c
+++ b/lib/roster/wg_roster.c
@@ -4,35 +4,35 @@
 #include <string.h>
 
 enum {
-    WG_ROSTER_TERM_SHIFT = 24, /* bits: 16 million changes in one leader's time */
-    /* Hosts that left, remembered for copies that still list them. A copy is older than this many
-       departures only when it was out of touch. */
-    WG_ROSTER_LEFT_MAX = 512
+    WG_ROSTER_TERM_SHIFT = 24, /* bits: 16 million changes in one term */
+    /* Removals remembered for copies that still list the host. A copy that has missed more removals
+       is replaced in full. */
+    WG_ROSTER_REMOVALS_MAX = 512
 };
 
-/* A host that left. */
+/* A host that was removed. */
 typedef struct {
     char name[WG_NAME_MAX];
     uint64_t change;
-} wg_roster_left;
+} wg_roster_removal;
 
 struct wg_roster {
     GPtrArray* hosts;    /* wg_roster_host* */
     GHashTable* by_name; /* name -> wg_roster_host* */
-    GQueue left;         /* wg_roster_left*, oldest first */
+    GQueue left;         /* wg_roster_removal*, oldest first */
     uint64_t change;
-    uint64_t floor; /* copies older than this are replaced whole */
+    uint64_t floor; /* copies older than this change are replaced in full */
 };
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-static void wg_roster_note_left(wg_roster* r, const char* name) {
-    wg_roster_left* left = g_new0(wg_roster_left, 1);
+static void wg_roster_record_removal(wg_roster* r, const char* name) {
+    wg_roster_removal* left = g_new0(wg_roster_removal, 1);
     wg_copy_name(left->name, sizeof left->name, name);
     left->change = ++r->change;
     g_queue_push_tail(&r->left, left);
-    if (r->left.length > WG_ROSTER_LEFT_MAX) {
-        wg_roster_left* oldest = g_queue_pop_head(&r->left);
+    if (r->left.length > WG_ROSTER_REMOVALS_MAX) {
+        wg_roster_removal* oldest = g_queue_pop_head(&r->left);
         r->floor = oldest->change;
         g_free(oldest);
     }
@@ -61,7 +61,7 @@
     g_queue_clear_full(&r->left, g_free);
 }
 
-/* ---- public functions: all ----------------------------------------------------------------- */
+/* ---- public functions: leader and copies -------------------------------------------------- */
 
 wg_roster* wg_roster_setup(void) {
     wg_roster* r = g_new0(wg_roster, 1);
@@ -95,41 +95,40 @@
     return r->change;
 }
 
-/* ---- public functions: the leader's ---------------------------------------------------------
- */
+/* ---- public functions: leader ------------------------------------------------------------- */
 
 void wg_roster_begin(wg_roster* r, uint64_t term) {
     wg_roster_clear(r);
-    /* Beyond its own numbers too: a lease that was lost for a moment comes back in the same term,
-       and a copy with an equal number would never be told. */
+    /* Also exceeds this roster's own numbers: a leader that briefly lost its lease may begin again
+       in the same term, and a copy with an equal number would not be updated. */
     r->change = MAX(r->change + 1, MAX(term, 1) << WG_ROSTER_TERM_SHIFT);
     r->floor = r->change;
 }
 
-bool wg_roster_hear(wg_roster* r, wg_time now, const wg_roster_host* heard) {
-    wg_roster_host* host = g_hash_table_lookup(r->by_name, heard->name);
-    bool same = host && strcmp(host->address, heard->address) == 0 &&
-                strcmp(host->data_centre, heard->data_centre) == 0;
+bool wg_roster_hear(wg_roster* r, wg_time now, const wg_roster_host* report) {
+    wg_roster_host* host = g_hash_table_lookup(r->by_name, report->name);
+    bool same = host && strcmp(host->address, report->address) == 0 &&
+                strcmp(host->data_centre, report->data_centre) == 0;
     if (!host) {
-        host = wg_roster_add(r, heard);
+        host = wg_roster_add(r, report);
     }
     host->heard_at = now;
     if (same) {
         return false;
     }
-    wg_copy_name(host->address, sizeof host->address, heard->address);
-    wg_copy_name(host->data_centre, sizeof host->data_centre, heard->data_centre);
+    wg_copy_name(host->address, sizeof host->address, report->address);
+    wg_copy_name(host->data_centre, sizeof host->data_centre, report->data_centre);
     host->change = ++r->change;
     return true;
 }
 
 bool wg_roster_leave(wg_roster* r, const char* name) {
-    char copy[WG_NAME_MAX]; /* `name` may be that of the host */
+    char copy[WG_NAME_MAX]; /* `name` may point into the host that is removed */
     wg_copy_name(copy, sizeof copy, name);
     if (!wg_roster_remove(r, copy)) {
         return false;
     }
-    wg_roster_note_left(r, copy);
+    wg_roster_record_removal(r, copy);
     return true;
 }
 
@@ -163,7 +162,7 @@
         }
     }
     for (const GList* at = r->left.tail; at && !d.reset; at = at->prev) {
-        wg_roster_left* left = at->data;
+        wg_roster_removal* left = at->data;
         if (left->change <= since) {
             break;
         }
@@ -179,8 +178,7 @@
     g_clear_pointer(&d->left, g_ptr_array_unref);
 }
 
-/* ---- public functions: a copy's --------------------------------------------------------------
- */
+/* ---- public functions: copies ------------------------------------------------------------- */
 
 void wg_roster_copy_reset(wg_roster* r) {
     wg_roster_clear(r);
--- a/lib/roster/wg_roster_pick.c
+++ b/lib/roster/wg_roster_pick.c
@@ -1,8 +1,8 @@
-/* wg_roster_pick.c -- which entry hosts a caller is named
+/* wg_roster_pick.c -- selects the entry hosts for a caller
 
-   All of its data centre. Where these are more than one answer holds, each caller is named its own
-   part of them, by rendezvous hashing: no host is left out of all answers, and one that comes or
-   goes changes few. */
+   All hosts of the caller's data centre are returned. If they exceed one answer, rendezvous hashing
+   selects a subset for each caller, so that every host is used by some callers and a host that is
+   added or removed affects few of them. */
 #include <string.h>
 
 #include "wg_roster.h"
@@ -18,15 +18,15 @@
     return first > second ? -1 : first < second;
 }
 
-/* Add the caller's hosts of its own data centre, or of all others. */
-static void wg_roster_add_ranked(const wg_roster* r, const wg_roster_query* q, bool near,
+/* Adds the local or the remote hosts in the caller's rendezvous order. */
+static void wg_roster_add_ranked(const wg_roster* r, const wg_roster_query* q, bool local,
                                  GPtrArray* list) {
     GArray* ranked = g_array_new(FALSE, FALSE, sizeof(wg_roster_ranked));
     for (int i = 0; i < wg_roster_num(r); i++) {
         const wg_roster_host* host = wg_roster_at(r, i);
-        bool is_near = strcmp(host->data_centre, q->data_centre) == 0;
-        bool left_out = q->without && strcmp(host->name, q->without) == 0;
-        if (is_near == near && !left_out) {
+        bool is_local = strcmp(host->data_centre, q->data_centre) == 0;
+        bool excluded = q->without && strcmp(host->name, q->without) == 0;
+        if (is_local == local && !excluded) {
             wg_roster_ranked entry = {host, wg_hash(host->name, strlen(host->name), q->caller)};
             g_array_append_val(ranked, entry);
         }
