--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -6,48 +6,48 @@
 /* ---- types and constants ------------------------------------------------------------------- */
 
 enum {
-    WG_ADMIT_FRESH_TIME = 1500 * WG_USEC_PER_MSEC, /* an account this young may miss admissions */
+    WG_ADMIT_FRESH_TIME = 1500 * WG_USEC_PER_MSEC, /* younger accounts may lack admissions */
     WG_ADMIT_FIRST_EVENT_MIN = 12 * WG_USEC_PER_MSEC,
-    WG_ADMIT_RUNNING_TOKENS = 20, /* what each running request costs the next */
-    WG_ADMIT_TOLD_TOKENS = 1500,  /* fewer say little of the speed */
-    WG_ADMIT_FAILURES = 3,        /* in a row, of all hosts, before a target is put aside */
+    WG_ADMIT_RUNNING_TOKENS = 20, /* cost of each running request to the next */
+    WG_ADMIT_TOLD_TOKENS = 1500,  /* smaller samples are too noisy to estimate the speed */
+    WG_ADMIT_FAILURES = 3, /* consecutive failures over all hosts before a target is ejected */
     WG_ADMIT_ASIDE_MIN = 300 * WG_USEC_PER_MSEC,
     WG_ADMIT_ASIDE_DOUBLINGS = 4,
     WG_ADMIT_PARTS_HELD_MAX = 8192,
     WG_ADMIT_MEMORY_DEFAULT = 200000,
-    WG_ADMIT_RATE_WINDOW = WG_USEC_PER_SEC, /* in any such time a cold target's rate holds */
-    WG_ADMIT_RATE_MAX = 4096                /* a higher rate is no limit */
+    WG_ADMIT_RATE_WINDOW = WG_USEC_PER_SEC, /* period over which a cold target's rate is enforced */
+    WG_ADMIT_RATE_MAX = 4096                /* higher rates are not enforced */
 };
 
-/* Part of a target's memory that is taken to hold what was last used; running ones need the rest.
- */
+/* Fraction of a target's cache assumed to hold recently used parts; the rest is for running
+   requests. */
 static const double WG_ADMIT_MEMORY_PART = 0.7;
 
-/* Part of the rate that a cold target bears, and requests a second beside it, for one coordinator.
- */
+/* Requests per second that one coordinator grants to a cold target: a fraction of the target's
+   rate plus a constant. */
 static const double WG_ADMIT_COLD_SHARE = 0.75;
 static const double WG_ADMIT_COLD_SPARE = 2.5;
 
-/* Tokens read in a microsecond, until a target shows its own speed. */
+/* Prompt tokens processed per microsecond, initial value for a target. */
 static const double WG_ADMIT_SPEED_DEFAULT = 0.030;
 static const double WG_ADMIT_SPEED_MIN = 0.002;
 static const double WG_ADMIT_SPEED_MAX = 0.080;
-static const double WG_ADMIT_SPEED_WEIGHT = 0.05; /* of a new sample */
+static const double WG_ADMIT_SPEED_WEIGHT = 0.05; /* weight of a new sample */
 
-/* What the fleet has under way at one target. */
+/* The load of the fleet at one target. */
 typedef struct {
     uint32_t number;
     wg_time begun_at;
     uint64_t unread;
     uint32_t running;
-    uint64_t admitted; /* tokens so far: the clock by which parts are given up */
-    int failures;      /* in a row */
+    uint64_t admitted; /* total tokens admitted; the clock by which parts are evicted */
+    int failures;
     wg_time aside_until;
     double speed;
-    wg_time* lately; /* when the last `lately_num` requests were granted, as a ring */
+    wg_time* lately; /* ring of the times of the last `lately_num` grants */
     int lately_num;
-    int lately_at;     /* the oldest of them */
-    GHashTable* parts; /* part -> uint64_t* value of `admitted` at its last use */
+    int lately_at;     /* index of the oldest grant in `lately` */
+    GHashTable* parts; /* part id -> uint64_t*, value of `admitted` when the part was last used */
 } wg_admit_account;
 
 typedef struct {
@@ -55,18 +55,18 @@
     uint64_t ticket;
 } wg_admit_key;
 
-/* One request that was granted. */
+/* One granted request. */
 typedef struct {
     wg_admit_key key;
     uint32_t target;
-    uint32_t unread;   /* 0 once it is read */
-    uint32_t expected; /* tokens to be read until its first event, when it was granted */
+    uint32_t unread;   /* prompt tokens not yet processed; 0 after the first event */
+    uint32_t expected; /* tokens to be processed until the first event, as of the grant */
     wg_time granted_at;
 } wg_admission;
 
 struct wg_admit {
     wg_admit_desc desc;
-    GHashTable* accounts;   /* number of a target -> wg_admit_account* */
+    GHashTable* accounts;   /* target number -> wg_admit_account* */
     GHashTable* admissions; /* wg_admit_key* -> wg_admission* */
 };
 
@@ -114,7 +114,7 @@
     return account;
 }
 
-/* Tokens from the start of the prompt that the target should still hold. */
+/* Tokens at the start of the prompt that the target should still hold. */
 static uint32_t wg_admit_held(const wg_admit_account* account, const wg_admit_request* request) {
     double memory = request->memory > 0 ? (double)request->memory : WG_ADMIT_MEMORY_DEFAULT;
     uint64_t lasts = (uint64_t)(memory * WG_ADMIT_MEMORY_PART);
@@ -149,7 +149,7 @@
     }
 }
 
-/* Tokens of the shared parts beyond those that are held or copied. */
+/* Tokens of the shared parts that are neither held nor copied. */
 static uint32_t wg_admit_lacking(const wg_admit_request* request, uint32_t spared) {
     uint32_t shared = 0;
     for (int i = 0; i < request->parts_num; i++) {
@@ -194,7 +194,7 @@
     g_hash_table_insert(a->admissions, &admission->key, admission);
 }
 
-/* The tokens of an admission are no longer to be read. */
+/* Takes the tokens of an admission off the target's unprocessed tokens. */
 static void wg_admit_settle_read(wg_admit* a, wg_admission* admission) {
     wg_admit_account* account = wg_admit_find(a, admission->target);
     WG_ASSERT(account && account->unread >= admission->unread);
@@ -217,7 +217,8 @@
     account->aside_until = now + ((wg_time)WG_ADMIT_ASIDE_MIN << doublings);
 }
 
-/* Put aside, and most others are not: where half of all fail, the fault lies elsewhere. */
+/* True if the target is ejected. If more than half of all targets are, the cause lies elsewhere
+   and none counts as ejected. */
 static bool wg_admit_is_aside(const wg_admit* a, const wg_admit_account* account, wg_time now) {
     if (now >= account->aside_until) {
         return false;
@@ -232,14 +233,13 @@
     return aside * 2 <= g_hash_table_size(a->accounts);
 }
 
-/* Requests that a cold target is granted in a second. Hosts may disagree for a moment on who
-   coordinates it: two that grant this much each stay within one and a half times what the target
-   bears and five more, which it survives. */
+/* Requests per second granted to a cold target. Hosts may briefly disagree on who coordinates
+   it: two coordinators together stay within one and a half times its rate plus five requests. */
 static int wg_admit_cold_share(double rate) {
     return MAX((int)MIN(rate, WG_ADMIT_COLD_SHARE * rate + WG_ADMIT_COLD_SPARE), 1);
 }
 
-/* Has a cold target had as many requests as it is granted in a second? */
+/* True if a cold target has been granted its rate for the current window. */
 static bool wg_admit_is_over_rate(wg_admit_account* account, wg_time now, double rate) {
     if (!(rate > 0) || rate > WG_ADMIT_RATE_MAX) {
         return false;
--- a/lib/admit/wg_admit.h
+++ b/lib/admit/wg_admit.h
@@ -1,28 +1,30 @@
 #pragma once
 /*
-    wg_admit.h -- admission to targets by one host for the whole fleet, as a pure state machine
+    wg_admit.h -- fleet-wide admission control for targets, as a pure state machine
 
     WHAT IT DOES
-        Each target has one coordinating entry host. The others ask it before they send a prompt
-        there. It knows all that was admitted and not yet read, so that many hosts that decide at
-        once don't fill the same target; it answers with the wait that the request would have.
+        Each target has one coordinating entry host. The other hosts request an admission from it
+        before they send a prompt to the target. The coordinator knows everything that was admitted
+        and not yet processed, so that hosts that decide at the same time do not overload the same
+        target. Its answer contains the expected wait of the request.
 
     FEATURES
-        - an account of each target: prompt tokens to be read, requests under way
-        - which shared parts a target still holds, by the tokens that were admitted after them:
-          engines give up those that were unused for longest
-        - a target that is cold gets no more requests in any second than it bears
-        - the speed of a target, learnt from when prompts were read
-        - a target that fails several hosts in a row gets nothing for growing times, unless half of
-          all do
-        - an answer only advises, but for a cold target: whoever gets none in time decides by itself
-        - all that a host holds is given back when its link ends
+        - an account per target: prompt tokens not yet processed, requests in progress
+        - tracks which shared parts a target still holds by the tokens admitted since their last
+          use, as engines evict the least recently used parts
+        - limits the rate of admissions to a cold target
+        - learns the speed of a target from the times at which prompts were processed
+        - ejects a target that fails several requests in a row, for periods that grow with each
+          failure, unless more than half of all targets are ejected
+        - answers are advisory, except for cold targets: a host that receives no answer in time
+          decides on its own
+        - releases all admissions of a host when its link closes
 
     USE
         1. wg_admit* a = wg_admit_setup(&(wg_admit_desc){0});
         2. wg_admit_answer answer = wg_admit_ask(a, now, &request);
-        3. wg_admit_read(a, now, holder, ticket); wg_admit_end(a, holder, ticket);
-        4. wg_admit_drop_holder(a, holder);      // its link ended
+        3. wg_admit_read(a, now, holder, ticket); wg_admit_end(a, now, holder, ticket, failed);
+        4. wg_admit_drop_holder(a, holder);      // its link closed
 
     THE CALLER OWNS
         links, tickets and the choice of coordinators. Requests and answers are plain values.
@@ -34,40 +36,44 @@
     WG_ADMIT_TARGETS_MAX_DEFAULT = 4096
 };
 
-/* Longest waits at which a request is sent, in microseconds. */
+/* Longest waits in microseconds at which a request is admitted. */
 typedef struct {
-    wg_time whole;       /* to the first event */
-    wg_time ahead;       /* the part of it that is others' prompts; 0: not sent at all */
-    wg_time ahead_large; /* the same, when its own prompt alone takes longer than `whole` */
-    bool spares_shared;  /* shared parts that the target lacks count as others' prompts */
+    wg_time whole; /* limit for the complete wait until the first event */
+    /* limit for the part of the wait caused by prompts of other requests; 0: never admitted */
+    wg_time ahead;
+    /* replaces `ahead` when the request's own prompt alone takes longer than `whole` */
+    wg_time ahead_large;
+    bool spares_shared; /* shared parts that the target lacks count towards `ahead` */
 } wg_admit_limits;
 
 typedef struct {
-    uint64_t holder;                    /* of the admission: whoever asks */
-    uint64_t ticket;                    /* one request of the holder */
+    uint64_t holder;                    /* the host that requests the admission */
+    uint64_t ticket;                    /* identifies a request of the holder */
     uint32_t target;                    /* number in the registry */
-    uint64_t parts[WG_ADMIT_PARTS_MAX]; /* ids of the shared parts, in order */
+    uint64_t parts[WG_ADMIT_PARTS_MAX]; /* ids of the shared parts, in prompt order */
     uint32_t sizes[WG_ADMIT_PARTS_MAX]; /* tokens */
     int parts_num;
-    uint32_t tokens;       /* of the whole prompt */
-    uint32_t answer;       /* made at most */
-    uint32_t copied;       /* from the start of the prompt, taken from another target */
-    uint32_t running_most; /* requests that the target may have under way before; 0: any */
-    int64_t memory;        /* tokens that the target can hold, 0: not known */
-    double rate_most;      /* admissions a second, for a target that is cold; 0: any */
+    uint32_t tokens; /* length of the complete prompt */
+    uint32_t answer; /* maximum number of answer tokens */
+    /* tokens at the start of the prompt that are copied from another target */
+    uint32_t copied;
+    /* requests that the target may have in progress before this one; 0: any */
+    uint32_t running_most;
+    int64_t memory;   /* capacity of the target's cache in tokens; 0: not known */
+    double rate_most; /* admissions per second, for a cold target; 0: any */
     wg_admit_limits limits;
-    uint32_t floor_unread;  /* what a fresh account of the target counts at least */
-    uint32_t floor_running; /* the same, requests */
+    uint32_t floor_unread;  /* lower bound on unprocessed tokens while the account is fresh */
+    uint32_t floor_running; /* lower bound on requests in progress while the account is fresh */
 } wg_admit_request;
 
 typedef struct {
     bool granted;
-    wg_time wait;       /* to the first event */
-    wg_time wait_ahead; /* the part of it that is others' prompts */
-    uint32_t unread;    /* tokens that the target has to read for the request */
-    uint32_t held;      /* tokens from the start of the prompt that the target holds */
-    uint32_t ahead;     /* tokens to be read before, of all hosts */
-    uint32_t running;   /* requests under way before, of all hosts */
+    wg_time wait;       /* expected wait until the first event */
+    wg_time wait_ahead; /* the part of `wait` caused by prompts of other requests */
+    uint32_t unread;    /* prompt tokens of this request that the target has to process */
+    uint32_t held;      /* tokens at the start of the prompt that the target holds */
+    uint32_t ahead;     /* unprocessed prompt tokens of all hosts before this request */
+    uint32_t running;   /* requests of all hosts in progress before this one */
 } wg_admit_answer;
 
 typedef struct {
@@ -76,21 +82,22 @@
 
 typedef struct wg_admit wg_admit;
 
-/* Does a request with these waits stay within the limits? */
+/* True if a request with these waits stays within the limits. */
 bool wg_admit_fits(const wg_admit_limits* limits, wg_time wait, wg_time wait_ahead);
 
 wg_admit* wg_admit_setup(const wg_admit_desc* desc);
 void wg_admit_shutdown(wg_admit* admit);
-/* Decide on a request; when it is granted its tokens count until it is read or ends. */
+/* Decides on a request. A granted request counts until wg_admit_end(), its tokens until
+   wg_admit_read(). */
 wg_admit_answer wg_admit_ask(wg_admit* admit, wg_time now, const wg_admit_request* request);
-/* The first event came: the prompt is read. An unknown admission is passed over. */
+/* The first event was received: the target has processed the prompt. Ignores an unknown
+   admission. */
 void wg_admit_read(wg_admit* admit, wg_time now, uint64_t holder, uint64_t ticket);
-/* The request is over, or was never sent. `failed`: the target broke off or could not be reached.
- */
+/* The request ended or was never sent. `failed`: the target aborted it or was unreachable. */
 void wg_admit_end(wg_admit* admit, wg_time now, uint64_t holder, uint64_t ticket, bool failed);
-/* The target says that it holds these parts; others that are known stay. */
+/* The target reports that it holds these parts; other known parts are kept. */
 void wg_admit_learn(wg_admit* admit, wg_time now, uint32_t target, const uint64_t* parts, int num);
-/* Give back all that the holder was granted. */
+/* Releases all admissions of the holder. */
 void wg_admit_drop_holder(wg_admit* admit, uint64_t holder);
-/* Admissions that have not ended. */
+/* Returns the number of admissions that have not ended. */
 int wg_admit_num(const wg_admit* admit);
--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -9,15 +9,16 @@
 
 typedef struct {
     uint64_t target;
-    wg_time until; /* of its rest */
+    wg_time until; /* end of the backoff period */
     wg_time noted_at;
     bool leaving;
-    bool unreadable; /* it was told that its wish cannot be read */
+    bool unreadable; /* its unreadable Retry-After was reported */
 } _wg_backoff_target;
 
 enum {
-    _WG_SPREAD_PART = 8,                 /* of a rest, in which hosts come back */
-    _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* and no longer than that */
+    /* hosts return within the backoff period divided by this */
+    _WG_SPREAD_PART = 8,
+    _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* upper limit of that spread */
 };
 
 struct wg_backoff {
@@ -29,18 +30,18 @@
 /* ---- helpers: fields of an answer ------------------------------------------------------------ */
 
 enum {
-    _WG_FIELD_MAX = 64,   /* bytes of a Retry-After that are looked at; a date takes 29 */
-    _WG_UNAVAILABLE = 503 /* the status that turns a request away */
+    _WG_FIELD_MAX = 64,   /* maximum size of a field value; a date takes 29 bytes */
+    _WG_UNAVAILABLE = 503 /* status of a refused request */
 };
 
-/* The value without blanks around it; false when it is too long to be one of these. */
+/* Copies the value without surrounding blanks; false if it is too long to be valid. */
 static bool _wg_field_text(wg_text value, char text[_WG_FIELD_MAX]) {
     g_snprintf(text, _WG_FIELD_MAX, "%.*s", (int)MIN(value.size, _WG_FIELD_MAX - 1), value.text);
     g_strstrip(text);
     return value.size < _WG_FIELD_MAX;
 }
 
-/* Digits with a fraction or without; the time may be infinite. */
+/* Parses a decimal number with an optional fraction; the result may be infinite. */
 static bool _wg_read_seconds(const char* text, double* seconds) {
     size_t digits = strspn(text, "0123456789");
     size_t size = digits;
@@ -54,7 +55,7 @@
     return true;
 }
 
-/* A date in one of the three forms of HTTP (RFC 9110, 5.6.7), Unix seconds. */
+/* Parses a date in one of the three formats of HTTP (RFC 9110, 5.6.7) to Unix seconds. */
 static bool _wg_read_date(const char* text, int64_t* unix_time) {
     static const char* const forms[] = {"%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT",
                                         "%a %b %d %H:%M:%S %Y"};
@@ -69,7 +70,7 @@
     return false;
 }
 
-/* Microseconds of some seconds, as far as a time can hold them. */
+/* Converts seconds to microseconds, limited to the range of wg_time. */
 static wg_time _wg_time_of(double seconds) {
     double most = (double)(WG_TIME_NEVER / 2);
     return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, most);
@@ -114,7 +115,7 @@
     }
 }
 
-/* When the host comes back: not all of those that were asked in this moment at once. */
+/* Returns when backoff ends, with jitter so that hosts do not return at the same time. */
 static wg_time _wg_backoff_end(wg_backoff* b, wg_time now, wg_time rest) {
     wg_time spread = MIN(rest / _WG_SPREAD_PART, (wg_time)_WG_SPREAD_MAX);
     return now + rest + wg_jitter_range(b->desc.seed, ++b->counter, 0, spread);
@@ -156,8 +157,8 @@
     }
 }
 
-/* Only a request that was turned away says anything of those to come: elsewhere the field is meant
-   for the caller. */
+/* Retry-After applies to later requests only in a refusal; in other answers it is meant for the
+   caller. */
 wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time most) {
     if (wish->status != _WG_UNAVAILABLE) {
         return 0;
--- a/lib/backoff/wg_backoff.h
+++ b/lib/backoff/wg_backoff.h
@@ -1,22 +1,22 @@
 #pragma once
 /*
-    wg_backoff.h -- what targets ask of this host in their answers, as a pure state machine
+    wg_backoff.h -- backoff requested by targets in their answers, as a pure state machine
 
     WHAT IT DOES
-        A target that turns a request away may ask the host for a time without requests
-        (Retry-After, RFC 9110, 10.2.3), and any answer may say that the target leaves. Both hold
-        for one start of a target and for the host that was told. This library reads the fields of
-        an answer and remembers what they ask for.
+        A target that refuses a request may ask the host to back off for some time (Retry-After, RFC
+        9110, 10.2.3), and any answer may announce that the target is draining. Both apply to one
+        incarnation of a target and to the host that received the answer. This library parses the
+        header fields and remembers the backoff periods.
 
     FEATURES
-        - seconds, fractions of them, a date, several fields: the longest time counts, within a
-          bound; what cannot be read asks for nothing and is told once for each target
-        - a date counts from the answer's own date where it has one, so that clocks that differ do
-          not matter
-        - a rest never becomes shorter, and nothing but its end ends it
-        - hosts that were asked in one moment come back one after the other
-        - leaving is final
-        - bounded: rests that are over give way first, then what was noted longest ago
+        - seconds, fractions, dates, repeated fields: the longest period applies, up to a limit; an
+          unreadable value is ignored and reported once per target
+        - a date is relative to the answer's own Date if it has one, so that clock skew does not
+          matter
+        - a backoff period is never shortened, and ends only by its expiry
+        - hosts that back off at the same time return one after the other
+        - draining is final
+        - bounded: expired entries are evicted first, then the least recently updated
 
     USE
         1. wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
@@ -26,8 +26,8 @@
         4. if (now >= wg_backoff_free_at(b, now, target)) { it may be sent requests }
 
     THE CALLER OWNS
-        the texts of an answer, and what a target's key stands for: another start of a target has to
-        have another key.
+        the texts of an answer, and the keys of targets: each incarnation of a target needs a key of
+        its own.
 */
 #include "wg_message.h"
 
@@ -36,47 +36,47 @@
     WG_BACKOFF_REST_MAX_DEFAULT_S = 3600
 };
 
-/* What one answer asks for; zero-initialised but for the status. */
+/* Backoff hint of one answer; initialise all but `status` to 0. */
 typedef struct {
-    int status;      /* of the answer */
-    wg_time rest;    /* microseconds, as the longest number says; 0: none */
-    int64_t until;   /* Unix seconds, as the latest date says; 0: none */
-    int64_t date;    /* of the answer, Unix seconds; 0: it does not say */
-    bool unreadable; /* a Retry-After that is neither a number nor a date */
+    int status;      /* HTTP status of the answer */
+    wg_time rest;    /* longest period given in seconds, in microseconds; 0: none */
+    int64_t until;   /* latest date, Unix seconds; 0: none */
+    int64_t date;    /* Date of the answer, Unix seconds; 0: none */
+    bool unreadable; /* a Retry-After is neither a number nor a date */
     bool leaving;
 } wg_backoff_wish;
 
 typedef struct {
-    int targets_max;  /* remembered at once; default WG_BACKOFF_TARGETS_MAX_DEFAULT */
-    wg_time rest_max; /* microseconds, a longer wish counts as this; default 3600 s */
-    uint64_t seed;    /* of the ends of rests; another one on each host */
+    int targets_max;  /* targets remembered; default WG_BACKOFF_TARGETS_MAX_DEFAULT */
+    wg_time rest_max; /* maximum backoff period, microseconds; default 3600 s */
+    uint64_t seed;    /* for the jitter of backoff periods; has to differ between hosts */
 } wg_backoff_desc;
 
-/* What a wish has changed. */
+/* Changes caused by a hint. */
 typedef struct {
-    bool rests;      /* the target did not rest before */
-    bool leaves;     /* it was not known to leave */
-    bool unreadable; /* the first one of this target that cannot be read */
-    wg_time rest;    /* microseconds that the answer asks for; 0: none */
+    bool rests;      /* the target was not in backoff before */
+    bool leaves;     /* the target was not known to drain before */
+    bool unreadable; /* first unreadable Retry-After of this target */
+    wg_time rest;    /* requested backoff period, microseconds; 0: none */
 } wg_backoff_news;
 
 typedef struct wg_backoff wg_backoff;
 
-/* Take one field of an answer into account; `leaving` is the name of the field that says that the
-   target leaves. */
+/* Parses one header field of an answer. `leaving` is the name of the field that announces
+   draining. */
 void wg_backoff_read_field(wg_backoff_wish* wish, const char* leaving, wg_text name, wg_text value);
-/* Microseconds of rest that the answer asks for, at most `most`; 0: none. `unix_time`: seconds, for
-   answers that do not tell their date. */
+/* Returns the requested backoff period in microseconds, at most `most`; 0: none. `unix_time` is
+   the current time in seconds, used for answers without a Date. */
 wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time most);
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc);
 void wg_backoff_shutdown(wg_backoff* backoff);
-/* A target has answered. */
+/* Records the hint of an answer. */
 wg_backoff_news wg_backoff_note(wg_backoff* backoff, wg_time now, uint64_t target,
                                 const wg_backoff_wish* wish, int64_t unix_time);
-/* From when on the target is sent requests, up to an eighth of its rest after that; 0: now,
- * WG_TIME_NEVER: it leaves. */
+/* Returns when the target's backoff period ends, including jitter of up to an eighth of the
+   period; 0: not in backoff, WG_TIME_NEVER: draining. */
 wg_time wg_backoff_free_at(const wg_backoff* backoff, wg_time now, uint64_t target);
 bool wg_backoff_is_leaving(const wg_backoff* backoff, uint64_t target);
-/* Targets that rest now. */
+/* Returns the number of targets in backoff. */
 int wg_backoff_resting_num(const wg_backoff* backoff, wg_time now);
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -7,57 +7,57 @@
 /* ---- types and constants ------------------------------------------------------------------- */
 
 enum {
-    WG_CACHED_TIME = 8 * WG_USEC_PER_SEC,   /* how long a part that was sent counts as cached */
-    WG_WARM_TIME = 2500 * WG_USEC_PER_MSEC, /* after the first prompt, homes hold their parts */
-    WG_CACHED_MAX = 8192,                   /* parts remembered for one target */
+    WG_CACHED_TIME = 8 * WG_USEC_PER_SEC,   /* how long a sent part counts as cached */
+    WG_WARM_TIME = 2500 * WG_USEC_PER_MSEC, /* from the first prompt until homes count as warm */
+    WG_CACHED_MAX = 8192,                   /* parts remembered per target */
     WG_ASIDE_MIN = 300 * WG_USEC_PER_MSEC,
     WG_ASIDE_MAX = 4 * WG_USEC_PER_SEC,
-    WG_FRESH_TIME = 25 * WG_USEC_PER_MSEC, /* word of a coordinator */
+    WG_FRESH_TIME = 25 * WG_USEC_PER_MSEC, /* how long a coordinator's report counts as fresh */
     WG_OVER_LIMIT = 10 * WG_USEC_PER_SEC,
     WG_DRAWN_LEAST = 3,
-    WG_DRAWN_HOSTS = 11, /* of every so many hosts one weighs a given target */
+    WG_DRAWN_HOSTS = 11, /* expected number of hosts that sample a given target */
     WG_FAILURES_BEFORE_ASIDE = 2,
-    WG_FAR_TOKENS = 400, /* what another data centre costs, in tokens to read */
-    /* The same where a home stands in this one. It takes a tenth of a second of waiting to send the
-       bytes elsewhere: their price fell from 0.066 to 0.056 of worth on 96 hosts, worth +0.013 +-
-       0.003; at 1,500 tokens to 0.060, +0.006 +- 0.003. */
+    WG_FAR_TOKENS = 400, /* penalty of a remote target */
+    /* Penalty of a remote target if a home exists in this data centre. Higher, since waiting
+       locally is often cheaper than sending the bytes to a remote data centre. */
     WG_FAR_FROM_NEAR_HOME_TOKENS = 4000,
-    WG_RUNNING_TOKENS = 20,      /* what each running request costs the next */
-    WG_SECOND_HOME_TOKENS = 400, /* what the second home has to be better by */
-    WG_READ_AGAIN_FACTOR = 12,   /* what a shared token read again counts beside its own reading */
+    WG_RUNNING_TOKENS = 20,      /* cost of each running request to the next */
+    WG_SECOND_HOME_TOKENS = 400, /* penalty of the second home */
+    WG_READ_AGAIN_FACTOR = 12,   /* penalty for each shared token that has to be computed again */
     WG_FIRST_EVENT_MIN = 12 * WG_USEC_PER_MSEC
 };
 
-/* Tokens read in a microsecond, until a target shows its own speed. */
+/* Prompt tokens processed per microsecond, initial value for a target. */
 static const double WG_SPEED_DEFAULT = 0.030;
 static const double WG_SPEED_MIN = 0.002;
 static const double WG_SPEED_MAX = 0.080;
-static const double WG_SPEED_WEIGHT = 0.08; /* of a new sample */
+static const double WG_SPEED_WEIGHT = 0.08; /* weight of a new sample */
 
-/* Work of a request without a prompt in microseconds, until a target shows it. */
+/* Service time in microseconds of a request without a prompt, initial value for a target. */
 static const double WG_WORK_DEFAULT = 10 * WG_USEC_PER_MSEC;
 static const double WG_WORK_MIN = 500;
 static const double WG_WORK_MAX = 10.0 * WG_USEC_PER_SEC;
-static const double WG_WORK_WEIGHT = 0.05; /* of a new sample: single requests scatter widely */
+static const double WG_WORK_WEIGHT = 0.05; /* weight of a new sample; low, samples vary widely */
 
-/* Share of prompts whose third home held their prefix, until some have shown it, and the weight of
-   a new one. */
+/* Fraction of prompts whose third home held their prefix: initial value and weight of a new
+   sample. */
 static const double WG_THIRD_HELD_DEFAULT = 0.7;
 static const double WG_THIRD_HELD_WEIGHT = 0.03;
-/* Of that share's lack, given back at each choice of another target: so that it is tried again. */
+/* Fraction of the misses forgiven at each choice of another target, so that a third home is
+   tried again. */
 static const double WG_THIRD_HELD_BACK = 0.002;
 
-/* Of so many hosts each keeps 1/e of what others had from one report to the next. */
+/* With this many hosts, each keeps 1/e of the others' load from one report to the next. */
 static const double WG_FADE_HOSTS = 24;
 
 struct wg_balance {
     wg_balance_desc desc;
     GHashTable* targets;  /* number -> wg_balance_target* */
     GHashTable* services; /* name -> wg_balance_service* */
-    wg_time warm_at;      /* from when on homes count as holding their parts; 0: nothing was sent */
-    int hosts;            /* that decide on the same loads */
-    double third_held;    /* share of prompts whose third home held their prefix, lately */
-    GPtrArray* drawn;     /* wg_balance_target* that are left to draw from, of the present choice */
+    wg_time warm_at;      /* homes count as holding their prefixes from then on; 0: not set */
+    int hosts;            /* number of hosts that decide on the same loads */
+    double third_held;    /* recent fraction of prompts whose third home held their prefix */
+    GPtrArray* drawn;     /* wg_balance_target* not yet sampled in the current choice */
     uint64_t counter;
 };
 
@@ -73,7 +73,7 @@
     return g_hash_table_lookup(b->targets, GUINT_TO_POINTER(number));
 }
 
-/* Was a part noted in the table within `time`? */
+/* True if the part was recorded in the table less than `time` ago. */
 static bool wg_parts_have(GHashTable* parts, wg_time now, uint64_t part, wg_time time) {
     const wg_time* sent = g_hash_table_lookup(parts, &part);
     return sent && now - *sent < time;
@@ -117,17 +117,16 @@
     return false;
 }
 
-/* Where a new home finds what was read before it became one: at the home that is leaving, or at the
-   one that is second now. */
+/* Where a new first home copies a prefix from: the draining previous home, or the second home.
+ */
 static uint32_t wg_balance_former_home(const wg_balance_homes* homes) {
     const wg_balance_target* former = homes->leaving ? homes->leaving : homes->second;
     return former ? former->number : 0;
 }
 
-/* Where a target finds what it lacks of the shared parts: at the first home. It is named also when
-   the target should hold all of them, as the second home should, since only the target knows, and
-   what it holds is not copied. Whether the home still holds it is not known, so a copy shortens no
-   estimate. */
+/* Where a target copies missing shared parts from: the first home. Set even for a target
+   expected to hold everything, since only the target knows what it holds and copies only what it
+   lacks. The home may have evicted the parts, so the estimate does not count on the copy. */
 static uint32_t wg_balance_source(const wg_balance_target* t, const wg_balance_homes* homes) {
     if (t == homes->first) {
         return wg_balance_former_home(homes);
@@ -157,7 +156,7 @@
     return c;
 }
 
-/* Requests that a target with slots for all would work on at once, by the one that has to wait. */
+/* Returns the number of rounds in which a target works off `running` requests and one more. */
 static double wg_balance_rounds(const wg_balance_target* t, uint32_t running) {
     uint32_t slots = t->slots ? t->slots : 1;
     return MAX((running + 1.0) / slots, 1.0);
@@ -274,8 +273,9 @@
     }
 }
 
-/* Is there no place for the request, or are the slots taken that it may have? What others send
-   meanwhile is not known yet, so some are left for those who are owed them. */
+/* True if the target denied the request or the slots that the request may use are taken.
+   Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free for
+   workspaces below their fair share. */
 static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* need) {
     double slots = t->slots ? (double)t->slots : (double)need->slots;
     double share = need->slots_share > 0 ? need->slots_share : 1;
@@ -290,7 +290,7 @@
     return slots > 0 && running >= slots * share;
 }
 
-/* What a prompt's choice costs beside its wait, in tokens. */
+/* Penalty of sending a prompt to the target, in tokens, in addition to the wait. */
 static uint32_t wg_balance_extra(const wg_balance_target* t, const wg_balance_homes* homes,
                                  const wg_choice* choice, const wg_need* need) {
     uint32_t far = homes->near ? WG_FAR_FROM_NEAR_HOME_TOKENS : WG_FAR_TOKENS;
@@ -309,8 +309,8 @@
     return extra + (t == homes->first ? 0 : WG_READ_AGAIN_FACTOR * again);
 }
 
-/* The same in microseconds, of any request. Without a prompt, another data centre costs as much as
-   one more request before this one. */
+/* Penalty of sending any request to the target, in microseconds. Without a prompt, a remote data
+   centre costs as much as one more queued request. */
 static double wg_balance_extra_time(const wg_balance_target* t, const wg_balance_homes* homes,
                                     const wg_choice* choice, const wg_need* need) {
     if (need->prompt) {
@@ -319,7 +319,7 @@
     return t->near ? 0 : t->work;
 }
 
-/* A choice and what it costs; lower is better. */
+/* A choice and its cost in microseconds; lower is better. */
 typedef struct {
     wg_choice choice;
     int64_t cost;
@@ -332,7 +332,7 @@
     wg_choice c = wg_balance_estimate(b, t, now, need, homes);
     int64_t cost = c.wait + (int64_t)wg_balance_extra_time(t, homes, &c, need);
     if (now < t->aside_until) {
-        cost += WG_ASIDE_MAX; /* only when there is nothing else */
+        cost += WG_ASIDE_MAX; /* last resort */
     }
     if (need->limit && c.wait > need->limit) {
         cost += WG_OVER_LIMIT;
@@ -342,8 +342,8 @@
     }
 }
 
-/* The homes are weighed, and a few others drawn by lot: many hosts that all took the least loaded
-   by the same old report would fill it at once. */
+/* Considers a few targets at random beside the homes. If many hosts all picked the least loaded
+   target of the same outdated report, they would overload it at once. */
 static void wg_balance_draw(wg_balance* b, const wg_balance_service* service, wg_time now,
                             const wg_need* need, const wg_balance_homes* homes,
                             wg_candidate* best) {
@@ -429,7 +429,7 @@
         return;
     }
     enum {
-        TOKENS_TOLD = 1500 /* fewer say little of the speed */
+        TOKENS_TOLD = 1500 /* smaller samples are too noisy to estimate the speed */
     };
     uint32_t tokens = choice->ahead + choice->unread;
     if (tokens >= TOKENS_TOLD && took > WG_FIRST_EVENT_MIN) {
@@ -440,7 +440,7 @@
     wg_balance_take_read(t, choice);
 }
 
-/* What the request waited for others is taken off, as far as it was known. */
+/* Updates the service time from a complete answer, without the expected time in the queue. */
 static void wg_balance_learn_work(wg_balance_target* t, wg_time now, const wg_choice* choice) {
     if (!choice->plain) {
         return;
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -1,18 +1,13 @@
-/* wg_balance_homes.c -- which targets hold a prefix: rendezvous hashing, the same on every host
-
-   Two homes are the fleet's. A third one stands in the host's own data centre, for prefixes that
-   are small beside the bytes of the requests that begin with them.
-
-   A ranking of a service's targets is kept for each prefix that was asked for; who is up, put aside
-   or leaving is looked at with each request. */
+/* wg_balance_homes.c -- assigns prefixes to home targets by rendezvous hashing, the same on
+   every host. Rankings are cached per prefix and do not depend on the state of targets, which is
+   checked for each request. */
 #include "wg_balance_internal.h"
 
 enum {
-    WG_RANKINGS_MAX = 8192 /* of one service; beyond, all are made anew */
+    WG_RANKINGS_MAX = 8192 /* per service; the cache is emptied when full */
 };
 
-/* Bytes between data centres that cost as much as copying one token of a prompt between
-   targets: 1.2 to 3.8 by the prices of the users' logbook deployments, where bytes are dear. */
+/* Bytes sent between data centres that cost as much as copying one prompt token. */
 static const double WG_COPIED_TOKEN_BYTES = 2.5;
 
 static uint64_t wg_balance_rank(uint64_t part, const wg_balance_target* t) {
@@ -32,8 +27,8 @@
     return t->ready && !t->moved && !wg_need_tried(need, t->number);
 }
 
-/* A target that turns requests away at once has nothing under way: if its rest did not count it
-   would look the emptiest of all, and draw every request. */
+/* A target that refuses everything has nothing in progress. Without this check of its backoff it
+   would look idle and attract every request. */
 bool wg_balance_takes(const wg_balance_target* t, wg_time now, const wg_need* need) {
     return wg_balance_is_there(t, need) &&
            (!t->backoff || wg_backoff_free_at(t->backoff, now, t->key) == 0);
@@ -82,7 +77,8 @@
     return prompt->tokens > own ? prompt->tokens - own : 0;
 }
 
-/* Do the bytes of the request cost more between data centres than a copy of its shared parts? */
+/* True if sending the request to a remote data centre costs more than copying its shared parts.
+ */
 static bool wg_need_is_worth_a_copy(const wg_need* need) {
     const wg_prompt* prompt = need->prompt;
     if (!need->copies || !prompt || prompt->num < 2) {
@@ -114,7 +110,7 @@
         } else if (takes) {
             homes.second = t;
         } else if (wg_balance_is_leaving(t) && !homes.first && !homes.leaving) {
-            homes.leaving = t; /* it was the first home before */
+            homes.leaving = t; /* it was the first home before it drained */
         }
     }
     if (ranking && wg_need_is_worth_a_copy(need)) {
--- a/lib/balance/wg_balance_internal.h
+++ b/lib/balance/wg_balance_internal.h
@@ -3,64 +3,65 @@
 #include "wg_balance.h"
 
 enum {
-    WG_RANKED = 6 /* targets kept in a ranking: two homes, and some that fail or leave */
+    WG_RANKED = 6 /* targets kept per ranking: two homes and fallbacks for failures */
 };
 
 typedef struct {
     uint32_t number;
     uint64_t id_hash;
-    const wg_backoff* backoff; /* of the desc */
-    uint64_t key;              /* of this start, for `backoff` */
+    const wg_backoff* backoff; /* borrowed from wg_balance_desc; may be NULL */
+    uint64_t key;              /* key of this incarnation in `backoff` */
     char service[WG_NAME_MAX];
     bool ready;
     bool draining;
-    bool moved;      /* another incarnation answers at its address */
-    uint64_t change; /* of its record */
+    bool moved;      /* another incarnation answers at this target's address */
+    uint64_t change; /* change number of the registry record */
     bool near;
     uint32_t slots;
     uint32_t own_unread;
     uint32_t own_running;
     uint32_t other_unread;
     uint32_t other_running;
-    uint32_t lately_unread; /* of others, fading */
-    wg_time told_at;        /* loads were told by the target's coordinator; 0: never */
-    double speed;           /* prompt tokens read in a microsecond */
-    double work; /* microseconds of one request without a prompt, when it need not wait */
+    uint32_t lately_unread; /* recent prompt tokens of other hosts, decaying with each report */
+    wg_time told_at;        /* when the coordinator last reported the load; 0: never */
+    double speed;           /* prompt tokens processed per microsecond */
+    double work;            /* microseconds for one request without a prompt that does not queue */
     int failures;
     wg_time aside_until;
-    GHashTable* cached; /* part -> wg_time* when it was last sent there */
+    GHashTable* cached; /* part id -> wg_time*, when the part was last sent to the target */
 } wg_balance_target;
 
 /* The targets of a service that rank highest for one part, whatever their state. */
 typedef struct {
     uint64_t part;
-    wg_balance_target* best[WG_RANKED]; /* highest rank first; NULL behind the last */
-    wg_balance_target* near[WG_RANKED]; /* the same, in this host's data centre */
+    wg_balance_target* best[WG_RANKED]; /* highest rank first; NULL after the last */
+    wg_balance_target* near[WG_RANKED]; /* targets in this host's data centre, highest rank first;
+                                           NULL after the last */
 } wg_balance_ranking;
 
-/* Targets of one service. */
 typedef struct {
     char name[WG_NAME_MAX];
     GPtrArray* targets;   /* wg_balance_target* */
-    int ready;            /* of them */
-    GHashTable* rankings; /* part -> wg_balance_ranking* */
+    int ready;            /* targets in this list that are ready */
+    GHashTable* rankings; /* part id -> wg_balance_ranking* */
 } wg_balance_service;
 
-/* Homes of a prefix: the two targets of highest rank among those that are up, and one that drains,
-   whose rank is higher still. */
+/* Homes of a prefix: the two highest-ranked targets that are up, and a draining one that ranks
+   above both. */
 typedef struct {
     const wg_balance_target* first;
     const wg_balance_target* second;
     const wg_balance_target* leaving;
-    const wg_balance_target* near; /* of highest rank here, where it is worth a copy; or NULL */
-    uint32_t near_extra; /* what it costs, in tokens, that the near one often lacks the prefix */
+    const wg_balance_target*
+        near; /* highest-ranked target in this data centre, if a copy there pays off; or NULL */
+    uint32_t near_extra; /* penalty in tokens for the chance that `near` lacks the prefix */
 } wg_balance_homes;
 
-/* Could the target be sent the request if it does not rest? */
+/* True if the target could be sent the request, disregarding backoff. */
 bool wg_balance_is_there(const wg_balance_target* target, const wg_need* need);
-/* May the target be sent the request at all? */
+/* True if the target may be sent the request now. */
 bool wg_balance_takes(const wg_balance_target* target, wg_time now, const wg_need* need);
 void wg_balance_service_free(void* service);
-/* Homes of the prefix that ends with `part`; none when it is 0. */
+/* Finds the homes of the prefix that ends with `part`; none if `part` is 0. */
 wg_balance_homes wg_balance_find_homes(wg_balance_service* service, wg_time now,
                                        const wg_need* need, uint64_t part);
