--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -41,7 +41,7 @@
     uint64_t unread;
     uint32_t running;
     uint64_t admitted; /* total tokens admitted; the clock by which parts are evicted */
-    int failures;
+    int failures;      /* since the last success */
     wg_time aside_until;
     double speed;
     wg_time* lately; /* ring of the times of the last `lately_num` grants */
--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -4,16 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How patience falls with what a workspace has, in times of the level. */
+/* Wait tolerance as a function of usage divided by the level. */
 typedef struct {
-    double full_at;  /* up to here it is 1 */
-    double least_at; /* from here on it is `least` */
+    double full_at;  /* tolerance is 1 up to this ratio */
+    double least_at; /* tolerance is `least` from this ratio on */
     double least;
-    double none_at; /* from here on it is 0 */
+    double none_at; /* tolerance is 0 from this ratio on */
 } wg_fair_slope;
 
-/* Targets have room for some of what nobody is owed; with 0.25 shared parts are read again for it
-   and others wait (docs/DECISIONS.md). */
+/* Targets have capacity for some usage above the fair share. A higher minimum would cause shared
+   parts to be computed again and others to wait. */
 static const wg_fair_slope WG_FAIR_OWED = {
     .full_at = 1.0, .least_at = 1.2, .least = 0.11, .none_at = 1e9};
 static const wg_fair_slope WG_FAIR_SERVED = {
@@ -55,8 +55,8 @@
     return 1 - CLAMP(part, 0, 1) * (1 - slope->least);
 }
 
-/* Parts of the served level: below the first a workspace is behind others, at the second it has
-   caught up. */
+/* Fractions of the served level: below the first a workspace is behind others, at the second it
+   has caught up. */
 static const double WG_FAIR_BEHIND = 0.55;
 static const double WG_FAIR_CAUGHT_UP = 0.75;
 
@@ -64,7 +64,8 @@
     return used < WG_FAIR_BEHIND * levels->served;
 }
 
-/* Patience of one that has less than others: 1 with nothing, 0 where it has caught up. */
+/* Wait tolerance of a workspace that was served less than others: 1 without usage, 0 once it has
+   caught up. */
 static double wg_fair_catch_up(double used, const wg_fair_levels* levels) {
     double enough = WG_FAIR_CAUGHT_UP * levels->served;
     return used < enough ? 1 - used / enough : 0;
@@ -74,7 +75,7 @@
     double owed = wg_fair_fall(&WG_FAIR_OWED, used, levels->owed);
     owed = MAX(owed, wg_fair_catch_up(used, levels));
     double served = wg_fair_fall(&WG_FAIR_SERVED, used, levels->served);
-    /* Of two that both have more than they are owed, the one with more gives way. */
+    /* Of two workspaces above their fair share, the one with higher usage yields. */
     return owed * served;
 }
 
@@ -85,7 +86,7 @@
     return patience < 1 ? TRY_GAP : 0;
 }
 
-/* Part of the level below which a workspace counts as modest. */
+/* Fraction of the level below which requests are sent late rather than refused. */
 static const double WG_FAIR_MODEST = 0.5;
 
 bool wg_fair_is_modest(double used, const wg_fair_levels* levels) {
@@ -95,8 +96,8 @@
 
 /* ---- margin --------------------------------------------------------------------------------- */
 
-/* The margin rests where about one in eleven comes late. */
-static const double WG_MARGIN_LOSS = 0.06; /* part of it, for one that is late */
+/* The margin settles where about one first event in eleven is late. */
+static const double WG_MARGIN_LOSS = 0.06; /* fraction lost per late event */
 static const double WG_MARGIN_GAIN = 0.006;
 static const double WG_MARGIN_LEAST = 0.12;
 
--- a/lib/fair/wg_usage.c
+++ b/lib/fair/wg_usage.c
@@ -4,24 +4,24 @@
 #include <math.h>
 
 enum {
-    /* Between two steps of fading, microseconds: short beside the half-life. */
+    /* Microseconds between two decay steps; short compared to the half-life. */
     WG_USAGE_STEP = 100 * WG_USEC_PER_MSEC
 };
 
-/* Doubles, as they fade in small steps. */
+/* In doubles, as usage decays in small steps. */
 typedef struct {
     double tokens;
     double asked;
 } wg_usage_amount;
 
-/* What is known of a workspace. */
+/* Usage of one workspace in the whole fleet. */
 typedef struct {
     uint64_t workspace;
-    wg_usage_amount told;      /* by the leader */
-    wg_usage_amount estimated; /* since then, from this host's own work */
+    wg_usage_amount told;      /* reported by the leader */
+    wg_usage_amount estimated; /* estimated since that report from this host's own usage */
 } wg_usage_copy;
 
-/* This host's totals, and what of them the copy holds already. */
+/* This host's totals, and the part of them that the copy already contains. */
 typedef struct {
     wg_usage total;
     uint64_t tokens_counted;
@@ -95,7 +95,7 @@
     }
 }
 
-/* What this host did since the copy was last brought up to date, `times` over. */
+/* Adds this host's usage since the last update to the copy, multiplied by `times`. */
 static void wg_usage_count_own(wg_usage_book* b, double times) {
     GHashTableIter iter;
     gpointer value;
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -1,39 +1,36 @@
-/* wg_policy.c -- see wg_policy.h
-
-   The figures were found by trials on the users' deployments (docs/PLATFORM.md, docs/DECISIONS.md);
-   those beside them measured worse. */
+/* wg_policy.c -- see wg_policy.h */
 #include "wg_policy.h"
 
 enum {
-    /* Percent of the objective that a request may wait here before it is refused. Whoever is not
-       placed soon rarely is: of 18, 30, 50 and 70% each more was worth less (0.6374, 0.6311,
-       0.6251, 0.6205 on 96 hosts), 11% +0.0065 +- 0.0022 more than 18. */
+    /* Percentage of the objective that a request may be queued before it is refused. Low, since
+       requests that are not placed soon rarely succeed. */
     _WG_POLICY_WAIT_PERCENT = 11,
     _WG_POLICY_WAIT_MIN = 5 * WG_USEC_PER_MSEC,
-    _WG_POLICY_HONOURED_PART =
-        3, /* callers wait for one part of so many of the time that they have */
+    /* Callers honour a Retry-After of up to their remaining time divided by this. */
+    _WG_POLICY_HONOURED_PART = 3,
     _WG_POLICY_ASKS = 3,
-    _WG_POLICY_ASKS_IMPATIENT = 2 /* the same, of a workspace without full patience */
+    _WG_POLICY_ASKS_IMPATIENT = 2 /* used when the wait tolerance is below 1 */
 };
 
-/* Share of the objective that the first event may be expected to take, for a send now. */
+/* Fraction of the objective that the expected first event may take. */
 static const double _WG_POLICY_LIMIT = 0.95;
-/* The same for the answer to a request without a prompt: what others send meanwhile is not known,
-   and work scatters. */
+/* Fraction of the objective that the expected answer may take without a prompt. Lower, since
+   requests of other hosts are not known yet and service times vary. */
 static const double _WG_POLICY_PLAIN_LIMIT = 0.7;
-/* Part of that share which is left while estimates cannot be trusted at all. */
+/* Fraction of _WG_POLICY_LIMIT that remains when confidence in estimates is 0. */
 static const double _WG_POLICY_TRUSTLESS = 0.6;
-/* How much longer than the limit a modest workspace's request may be expected to take. */
+/* Factor on the limit of a request that is sent late rather than refused. */
 static const double _WG_POLICY_MODEST_FACTOR = 2;
-/* Part of a target's slots for those who have more than they are owed, by their patience. */
+/* Fraction of a target's slots for workspaces above their fair share: minimum, and the range by
+   wait tolerance. */
 static const double _WG_POLICY_SLOTS_LEAST = 0.55;
 static const double _WG_POLICY_SLOTS_SPAN = 0.35;
-/* Share of the objective that others' prompts may take before that of a request too large to be in
-   time. */
+/* Fraction of the objective that queued prompts may take before a request that is too large to
+   meet the objective. */
 static const double _WG_POLICY_LARGE = 0.3;
 
-/* How soon a refused request may come back. Targets have room again within tenths of a second: 1 to
-   2 s were worth -0.022 +- 0.003 against 0.25 to 0.7 s, 0.1 to 0.3 s +0.016 +- 0.002 (96 hosts). */
+/* Range of Retry-After times. Short, since targets have capacity again within tenths of a
+   second. */
 static const wg_time _WG_POLICY_RETRY_AFTER_MIN = 100 * WG_USEC_PER_MSEC;
 static const wg_time _WG_POLICY_RETRY_AFTER_MAX = 300 * WG_USEC_PER_MSEC;
 
@@ -57,7 +54,8 @@
 }
 
 wg_time wg_policy_plain_limit(const wg_policy_terms* t, wg_time now) {
-    wg_time left = MAX(t->started + t->objective - now, t->objective / 2); /* late counts too */
+    /* A late answer is still useful. */
+    wg_time left = MAX(t->started + t->objective - now, t->objective / 2);
     return (wg_time)(_WG_POLICY_PLAIN_LIMIT * (double)left);
 }
 
@@ -103,8 +101,9 @@
     return wg_jitter_range(seed, counter, _WG_POLICY_RETRY_AFTER_MIN, _WG_POLICY_RETRY_AFTER_MAX);
 }
 
-/* Who came back sooner would be refused again. All of them wait for the same moment, so each comes
-   a little later than it, and at the latest when it can still be served. */
+/* Callers that return before the end of the backoff period would be refused again. All of them
+   wait for the same moment, so each gets a random offset, limited so that the caller can still be
+   served. */
 wg_time wg_policy_retry_after_rest(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
     wg_time most = MAX(left, 0) / _WG_POLICY_HONOURED_PART;
     wg_time apart = wg_policy_retry_after(seed, counter);
--- a/lib/policy/wg_policy.h
+++ b/lib/policy/wg_policy.h
@@ -1,17 +1,16 @@
 #pragma once
 /*
-    wg_policy.h -- how long a request may wait, for what, and how hard it is tried, as pure
-   functions
+    wg_policy.h -- wait limits and retry behaviour of requests, as pure functions
 
     WHAT IT DOES
-        From what a request's workspace lately had, what it is owed, and the time that the request
-        has left, it gives the limits within which a target may be given the request.
+        Computes the limits within which a target may be given a request from the recent usage of
+        the request's workspace, its fair share, and the time that the request has left.
 
     FEATURES
-        - nobody fills targets beyond the tightest objective of the service
-        - whoever has more than others gives way: it waits behind less, takes fewer slots, is tried
-          less often, and has no shared parts read again for it
-        - whoever has far less than others is sent rather late than refused
+        - no workspace may fill targets beyond the tightest objective of the service
+        - a workspace above its fair share yields: its requests accept less queueing and fewer
+          slots, are tried less often, and do not cause shared parts to be computed again
+        - requests of a workspace with little usage are sent late rather than refused
 
     USE
         wg_policy_terms t = {.counts = true, .used = used, .levels = &levels, ...};
@@ -23,38 +22,41 @@
 #include "wg_admit.h"
 #include "wg_fair.h"
 
-/* What is known of a request. */
+/* The inputs of a policy decision for one request. */
 typedef struct {
-    bool counts; /* it has a prompt and is charged to a workspace */
-    double used; /* tokens that the workspace lately had in the whole fleet */
+    bool counts; /* the request has a prompt and is charged to a workspace */
+    double used; /* recent usage of the workspace in the whole fleet, tokens */
     const wg_fair_levels* levels;
     const wg_fair_margin* margin;
     bool has_prompt;
-    bool sent_before; /* another attempt went out: patience no longer matters */
-    bool relaxed;     /* no target would answer in time: rather late than refused */
+    /* an earlier attempt was sent; wait tolerance no longer limits coordinators */
+    bool sent_before;
+    /* no target would answer in time, and the request is sent late rather than refused */
+    bool relaxed;
     wg_time started;
-    wg_time objective; /* of its route, to the first event */
-    wg_time tightest;  /* the tightest objective of the service */
+    wg_time objective; /* objective of the request's route for the first event */
+    wg_time tightest;  /* the tightest objective of any route of the service */
 } wg_policy_terms;
 
-/* Longest wait here, after its start, before a request is refused. */
+/* Longest time that a request may be queued on this host before it is refused. */
 wg_time wg_policy_wait(wg_time objective);
 /* Longest expected wait for the first event at which the request is sent. */
 wg_time wg_policy_limit(const wg_policy_terms* terms, wg_time now);
 /* Longest expected time to the answer at which a request without a prompt is sent. */
 wg_time wg_policy_plain_limit(const wg_policy_terms* terms, wg_time now);
 wg_admit_limits wg_policy_limits(const wg_policy_terms* terms, wg_time now);
-/* Part of a target's slots that may be taken before this request. */
+/* Fraction of a target's slots that may be in use before this request. */
 double wg_policy_slots_share(const wg_policy_terms* terms);
-/* May shared parts be read again elsewhere rather than refuse the request? */
+/* True if the request may spill over to a target that has to compute its shared parts again. */
 bool wg_policy_may_spill(const wg_policy_terms* terms);
-/* Is it sent though it may come late, rather than refused? */
+/* True if the request is sent late rather than refused. */
 bool wg_policy_is_modest(const wg_policy_terms* terms);
-/* Coordinators that may be asked in one try; 0: it is not sent. */
+/* Maximum number of admissions requested in one try; 0: the request is not sent. */
 int wg_policy_asks_max(const wg_policy_terms* terms);
-/* Microseconds between two tries of a request that waits. */
+/* Microseconds between two tries of a queued request. */
 wg_time wg_policy_try_gap(const wg_policy_terms* terms);
-/* Microseconds after which a refused request may come back, drawn anew for each. */
+/* Returns a random time in microseconds after which a refused caller may retry. */
 wg_time wg_policy_retry_after(uint64_t seed, uint64_t counter);
-/* The same while all targets rest for `rest` microseconds, of a caller who has `left` of them. */
+/* Like wg_policy_retry_after() while all targets are in backoff for `rest` microseconds, for a
+   caller that has `left` microseconds until its deadline. */
 wg_time wg_policy_retry_after_rest(uint64_t seed, uint64_t counter, wg_time rest, wg_time left);
--- a/lib/quarantine/wg_fingerprint.c
+++ b/lib/quarantine/wg_fingerprint.c
@@ -6,7 +6,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* Its length goes first, so that no two lists of pieces read alike. */
+/* Hashes the length first, so that different splits into fields have different hashes. */
 static void _wg_fingerprint_add(XXH3_state_t* state, const void* bytes, size_t size) {
     uint64_t length = size;
     XXH3_64bits_update(state, &length, sizeof length);
--- a/lib/quarantine/wg_fingerprint.h
+++ b/lib/quarantine/wg_fingerprint.h
@@ -1,16 +1,16 @@
 #pragma once
 /*
-    wg_fingerprint.h -- what makes two requests the same, as one number
+    wg_fingerprint.h -- fingerprints that identify repeated requests
 
     WHAT IT DOES
-        Hashes host, path with query, workspace and body of a request. Callers that send a request
-        again, at any entry host, send the same fingerprint; another workspace never does, whatever
-        it sends.
+        Hashes host, path with query, workspace and body of a request. A request that a caller
+        repeats has the same fingerprint at every entry host; requests of different workspaces have
+        different ones, whatever they contain.
 
     FEATURES
-        - the seed comes out of the fleet key: the same on all hosts, and nobody outside can prepare
-          two requests that collide
-        - the body is hashed where it lies, however its buffer is cut
+        - the seed is derived from the fleet key: it is the same on all hosts, and outsiders cannot
+          construct collisions
+        - the body is hashed in place, independent of the segments of its buffer
 
     USE
         1. uint64_t seed = wg_fingerprint_seed(fleet_key);          // once
@@ -24,12 +24,12 @@
 typedef struct {
     uint64_t seed;
     wg_text host;
-    wg_text path;          /* with its query */
-    const char* workspace; /* its name; NULL: none */
+    wg_text path;          /* including the query */
+    const char* workspace; /* name of the workspace; NULL: none */
     struct evbuffer* body; /* NULL: none */
 } wg_fingerprint_desc;
 
-/* The seed that all hosts with this fleet key use. */
+/* Derives the seed shared by all hosts with this fleet key. */
 uint64_t wg_fingerprint_seed(const char* fleet_key);
-/* Never 0. */
+/* Returns the fingerprint, never 0. */
 uint64_t wg_fingerprint(const wg_fingerprint_desc* desc);
--- a/lib/quarantine/wg_quarantine.c
+++ b/lib/quarantine/wg_quarantine.c
@@ -6,7 +6,7 @@
 struct wg_quarantine {
     wg_quarantine_desc desc;
     GPtrArray* entries;         /* wg_quarantined*, oldest first */
-    GHashTable* by_fingerprint; /* the same */
+    GHashTable* by_fingerprint; /* fingerprint -> wg_quarantined* in `entries` */
     uint64_t change;
 };
 
@@ -35,7 +35,8 @@
     return NULL;
 }
 
-/* The workspace with most entries; of several the one whose first entry is oldest. */
+/* Returns the workspace with the most entries; if several have as many, the one with the oldest
+   entry. */
 static const char* _wg_quarantine_largest_workspace(const wg_quarantine* q) {
     const char* largest = NULL;
     int most = 0;
@@ -50,7 +51,7 @@
     return largest;
 }
 
-/* Who gives way to one more of the workspace; NULL: there is room. */
+/* Returns the entry to evict before one of the workspace is added; NULL if there is room. */
 static wg_quarantined* _wg_quarantine_excess(const wg_quarantine* q, const char* workspace) {
     if (_wg_quarantine_of_workspace(q, workspace) >= q->desc.per_workspace) {
         return _wg_quarantine_oldest_of(q, workspace);
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -1,30 +1,30 @@
 #pragma once
 /*
-    wg_quarantine.h -- requests that are refused because targets end under them, as replicated state
+    wg_quarantine.h -- requests that are refused because targets crash on them, as replicated state
 
     WHAT IT DOES
         Keeps which requests (by their fingerprint) are quarantined, and for how long. Every change
-        raises a number, so that a copy knows whether it is up to date; copies hold fingerprints
-        alone.
+        increments a change number, by which a copy knows whether it is up to date; copies hold
+        fingerprints only.
 
     FEATURES
-        - the same on every replica: bounds and order depend on what was agreed only
-        - bounded, and each workspace by itself: one that makes up harmful requests by the thousand
-          pushes out its own
-        - a quarantine ends with its time, by an operator, or because a copy of the request ended
-          well after all
+        - deterministic on every replica: limits and order depend on agreed changes only
+        - bounded, also per workspace: a workspace that creates many harmful requests evicts its own
+          entries
+        - a quarantine ends by its expiry, by an operator, or because a copy of the request ended
+          well
 
     USE
         1. wg_quarantine* q = wg_quarantine_setup(&(wg_quarantine_desc){0});
-        2. wg_quarantine_apply(q, now, &change, &dropped);     // agreed on
+        2. wg_quarantine_apply(q, now, &change, &dropped);     // an agreed change
         3. wg_quarantine_holds(q, fingerprint);
         4. wg_quarantine_fingerprints(q); at a copy: wg_quarantine_copy(q, change, list, num);
 
     THE CALLER OWNS
-        everything passed in. Entries that are returned are valid until the next change.
+        everything passed in. Returned entries are valid until the next change.
 
     CLOCKS
-        Times are those of one process. In messages stands what is left of them.
+        Times are local to one process. Messages carry the remaining time instead.
 */
 #include "wg_suspects.h"
 
@@ -32,13 +32,12 @@
 
 enum {
     WG_QUARANTINE_MAX_DEFAULT = 256,
-    /* A state for copies takes 2 KB at most, and no workspace has more than an eighth of it. */
+    /* An eighth of the entries, so that one workspace cannot fill the quarantine. */
     WG_QUARANTINE_PER_WORKSPACE_DEFAULT = 32,
-    /* Longest time that is believed, a week. Seconds. */
+    /* Upper limit of the duration in a message, one week. Seconds. */
     WG_QUARANTINE_LIFE_MAX_S = 604800
 };
 
-/* Why a quarantine ended. */
 typedef enum {
     WG_QUARANTINE_END_DEFAULT = 0,
     WG_QUARANTINE_END_TIME,
@@ -51,45 +50,46 @@
     uint64_t fingerprint;
     char workspace[WG_NAME_MAX];
     char path[WG_SUSPECT_PATH_MAX];
-    int ends; /* targets that ended under it */
+    int ends; /* number of targets that crashed while they had the request */
     wg_time until;
-    bool ended_well;  /* for the caller's use: a copy of it did, which is not agreed on yet */
-    wg_time asked_at; /* for the caller's use: when it last asked for the end */
+    bool ended_well;  /* for use by the caller: a copy of the request ended well, not agreed yet */
+    wg_time asked_at; /* for use by the caller: when it last proposed the end of the quarantine */
 } wg_quarantined;
 
 typedef struct {
-    int max;           /* entries; default WG_QUARANTINE_MAX_DEFAULT */
-    int per_workspace; /* default WG_QUARANTINE_PER_WORKSPACE_DEFAULT */
+    int max; /* maximum number of entries; default WG_QUARANTINE_MAX_DEFAULT */
+    /* maximum number of entries per workspace; default WG_QUARANTINE_PER_WORKSPACE_DEFAULT */
+    int per_workspace;
 } wg_quarantine_desc;
 
 typedef struct wg_quarantine wg_quarantine;
 
 wg_quarantine* wg_quarantine_setup(const wg_quarantine_desc* desc);
 void wg_quarantine_shutdown(wg_quarantine* quarantine);
-/* Take an agreed change; false when it changes nothing. `dropped` (fingerprint 0: none) is the
-   entry that had to give way. */
+/* Applies an agreed change; false if it changes nothing. `dropped` is set to the entry that was
+   evicted (fingerprint 0: none). */
 bool wg_quarantine_apply(wg_quarantine* quarantine, wg_time now, const Wgpb__Quarantine* change,
                          wg_quarantined* dropped);
 bool wg_quarantine_holds(const wg_quarantine* quarantine, uint64_t fingerprint);
-/* NULL: not quarantined. */
+/* Returns NULL if the request is not quarantined. */
 wg_quarantined* wg_quarantine_find(const wg_quarantine* quarantine, uint64_t fingerprint);
-/* The first one, the second and so on, oldest first; NULL behind the last. */
+/* Returns the entry at index `at`, oldest first; NULL after the last. */
 wg_quarantined* wg_quarantine_at(const wg_quarantine* quarantine, int at);
 int wg_quarantine_num(const wg_quarantine* quarantine);
 uint64_t wg_quarantine_change(const wg_quarantine* quarantine);
 const char* wg_quarantine_end_name(wg_quarantine_end end);
 
 /* ---- copies ---- */
-/* All fingerprints; the caller frees the array. */
+/* Returns all fingerprints; the caller frees the array. */
 uint64_t* wg_quarantine_fingerprints(const wg_quarantine* quarantine);
-/* Become a copy of the list that has this change number. */
+/* Replaces all entries by the fingerprints, as of this change number. */
 void wg_quarantine_copy(wg_quarantine* quarantine, uint64_t change, const uint64_t* fingerprints,
                         size_t num);
 
 /* ---- messages ---- */
-/* The packed entry borrows the texts. */
+/* Packs an entry; `out` borrows its texts. */
 void wg_quarantined_pack(const wg_quarantined* entry, wg_time now, Wgpb__Quarantine* out);
-/* For snapshots; freed with wgpb__quarantine_state__free_unpacked(). */
+/* Returns a snapshot; freed with wgpb__quarantine_state__free_unpacked(). */
 Wgpb__QuarantineState* wg_quarantine_dump(const wg_quarantine* quarantine, wg_time now);
-/* `state` NULL: of a snapshot that has none. */
+/* Loads a snapshot. `state` is NULL if the snapshot contains no quarantine. */
 void wg_quarantine_load(wg_quarantine* quarantine, wg_time now, const Wgpb__QuarantineState* state);
--- a/lib/quarantine/wg_suspects.c
+++ b/lib/quarantine/wg_suspects.c
@@ -4,23 +4,22 @@
 #include <string.h>
 
 enum {
-    /* Two early ends are enough, or three ends of any kind. */
+    /* Two early crashes are enough, or three crashes of any kind. */
     WG_SUSPECT_WEIGHT_EARLY = 3,
     WG_SUSPECT_WEIGHT = 2,
     WG_SUSPECT_WEIGHT_DUE = 6,
-    /* Requests that ended well, remembered by a slot of their fingerprint: at 100 requests a second
-       and host those of the last 30 s, as good as all of them; 64 KB. */
+    /* Recent requests that ended well, one per slot of the fingerprint modulo this number. */
     WG_CLEARED_SLOTS = 4096
 };
 
 typedef struct {
-    uint64_t fingerprint; /* 0: none yet */
+    uint64_t fingerprint; /* 0: the slot is empty */
     wg_time at;
 } wg_cleared;
 
 struct wg_suspects {
     wg_suspects_desc desc;
-    GHashTable* by_fingerprint; /* uint64_t* within wg_suspect -> wg_suspect* */
+    GHashTable* by_fingerprint; /* fingerprint (within the wg_suspect) -> wg_suspect* */
     wg_cleared cleared[WG_CLEARED_SLOTS];
 };
 
@@ -30,7 +29,7 @@
     return (wg_cleared*)&s->cleared[fingerprint % WG_CLEARED_SLOTS];
 }
 
-/* The workspace with most suspects; the same on each call while nothing changes. */
+/* Returns the workspace with the most suspects; the result is stable while nothing changes. */
 static const char* _wg_suspects_largest_workspace(const wg_suspects* s) {
     GHashTable* counts = g_hash_table_new(g_str_hash, g_str_equal);
     const char* largest = NULL;
@@ -51,7 +50,8 @@
     return largest;
 }
 
-/* One workspace with many suspects must not push out those of others. */
+/* Evicts the oldest suspect of the largest workspace, so that one workspace cannot evict the
+   suspects of others. */
 static void _wg_suspects_make_room(wg_suspects* s) {
     const char* workspace = _wg_suspects_largest_workspace(s);
     wg_suspect* oldest = NULL;
--- a/lib/quarantine/wg_suspects.h
+++ b/lib/quarantine/wg_suspects.h
@@ -1,50 +1,50 @@
 #pragma once
 /*
-    wg_suspects.h -- requests that were under way at targets that ended, as a pure state machine
+    wg_suspects.h -- requests in progress at targets that crashed, as a pure state machine
 
     WHAT IT DOES
-        Counts for each request (by its fingerprint) the targets that ended while they had it, until
-        it is due to be quarantined: one request that ends targets is told from those that were only
-        there. An entry host keeps one of what it saw itself, the leader one of what all hosts saw.
+        Counts for each request (by its fingerprint) the targets that crashed while they had it,
+        until it is due for quarantine. This separates requests that crash targets from requests
+        that were merely present. An entry host keeps the evidence it saw itself, the leader the
+        evidence of all hosts.
 
     FEATURES
-        - a target counts once for a request, however many copies of it were there
-        - a target that had just begun the request, and had sent no event of its answer, weighs
-   more: a request that ends targets when they begin it is due after two ends, any other after three
-        - a request that ended well is no suspect, and cannot become one for a while: one that ends
-          targets never ends well. What ran on half of all targets when they ended is cleared so.
-        - bounded: beyond the limit the oldest suspect of the workspace that has most of them goes
+        - a target counts once for a request, however many copies of the request it had
+        - a crash before the first event of the answer has more weight: two such crashes make a
+          request due, otherwise three
+        - a request that ended well is not a suspect, and cannot become one for some time, since a
+          request that crashes targets never ends well; this clears requests that were
+          merely running on many targets when they crashed
+        - bounded: beyond the limit the oldest suspect of the workspace with the most suspects is
+          evicted
 
     USE
         1. wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
         2. if (wg_suspects_add(s, now, &crash) != NULL && wg_suspect_is_due(suspect)) { quarantine }
         3. wg_suspects_clear(s, now, fingerprint);       // a copy of it ended well
-        4. wg_suspects_crashes(s, now);                  // all that is known, for another book
+        4. wg_suspects_crashes(s);                       // all evidence, to send to the leader
 
     THE CALLER OWNS
-        everything passed in. A suspect that is returned is valid until the next call that changes
-        the book.
+        everything passed in. A returned suspect is valid until the next change.
 */
 #include "wg_base.h"
 
 enum {
     WG_SUSPECTS_MAX_DEFAULT = 1024,
-    /* A request that comes seldom is caught too; longer than that between its copies it ends a
-       target each time. Seconds. */
+    /* Seconds until a suspect expires. Requests repeated less often than this are not caught. */
     WG_SUSPECT_LIFE_DEFAULT_S = 600,
-    /* A request that ended well so lately is not what ends targets. Seconds: callers that repeat a
-       request keep to less; longer would spare one that a new release of its targets cannot bear.
-     */
+    /* Seconds for which a request that ended well is no suspect. Longer would protect a request
+       that crashes a new release of its targets. */
     WG_SUSPECT_CLEARED_DEFAULT_S = 30,
-    WG_SUSPECT_PATH_MAX = 96, /* bytes with the final zero; longer paths are cut off */
+    WG_SUSPECT_PATH_MAX = 96, /* bytes including the terminating zero; longer paths are truncated */
     WG_SUSPECT_TARGETS_MAX = 3
 };
 
-/* A target that ended while it had a request. */
+/* A target that crashed while it had a request. */
 typedef struct {
     uint64_t fingerprint;
-    uint32_t target; /* number in the registry: one start of a target */
-    bool early;      /* it had begun to answer, and had sent no event */
+    uint32_t target; /* number in the registry, one incarnation of a target */
+    bool early;      /* the target had begun the request and had sent no event */
     char workspace[WG_NAME_MAX];
     char path[WG_SUSPECT_PATH_MAX];
 } wg_crash;
@@ -53,39 +53,41 @@
     uint64_t fingerprint;
     char workspace[WG_NAME_MAX];
     char path[WG_SUSPECT_PATH_MAX];
-    uint32_t targets[WG_SUSPECT_TARGETS_MAX]; /* that ended */
+    uint32_t targets[WG_SUSPECT_TARGETS_MAX]; /* numbers of targets that crashed */
     bool early[WG_SUSPECT_TARGETS_MAX];
     int targets_num;
     int weight;
-    wg_time seen_at;  /* the last end */
-    wg_time asked_at; /* for the caller's use: when it last asked for a quarantine */
+    wg_time seen_at;  /* time of the last crash */
+    wg_time asked_at; /* for use by the caller: when it last proposed a quarantine */
 } wg_suspect;
 
 typedef struct {
-    int max;              /* suspects; default WG_SUSPECTS_MAX_DEFAULT */
-    wg_time life;         /* microseconds after its last end; default WG_SUSPECT_LIFE_DEFAULT_S */
-    wg_time cleared_time; /* microseconds; default WG_SUSPECT_CLEARED_DEFAULT_S */
+    int max;      /* maximum number of suspects; default WG_SUSPECTS_MAX_DEFAULT */
+    wg_time life; /* microseconds after the last crash; default WG_SUSPECT_LIFE_DEFAULT_S */
+    /* microseconds for which a request that ended well is no suspect; default
+       WG_SUSPECT_CLEARED_DEFAULT_S */
+    wg_time cleared_time;
 } wg_suspects_desc;
 
 typedef struct wg_suspects wg_suspects;
 
 wg_suspects* wg_suspects_setup(const wg_suspects_desc* desc);
 void wg_suspects_shutdown(wg_suspects* suspects);
-/* Take evidence; the suspect as it stands then, or NULL when the request ended well lately. */
+/* Adds evidence and returns the updated suspect; NULL if the request recently ended well. */
 wg_suspect* wg_suspects_add(wg_suspects* suspects, wg_time now, const wg_crash* crash);
-/* Is the evidence enough? */
+/* True if there is enough evidence to quarantine the request. */
 bool wg_suspect_is_due(const wg_suspect* suspect);
-/* NULL: nothing is known of it. */
+/* Returns NULL if the request is not a suspect. */
 wg_suspect* wg_suspects_find(const wg_suspects* suspects, uint64_t fingerprint);
-/* A copy of the request ended well. True when it was a suspect. */
+/* Records that a copy of the request ended well. True if it was a suspect. */
 bool wg_suspects_clear(wg_suspects* suspects, wg_time now, uint64_t fingerprint);
 bool wg_suspects_ended_well(const wg_suspects* suspects, wg_time now, uint64_t fingerprint);
-/* Begin anew with the request, which did not end well. */
+/* Drops the evidence against the request without recording that it ended well. */
 void wg_suspects_forget(wg_suspects* suspects, uint64_t fingerprint);
-/* Drop suspects whose life is over. */
+/* Drops expired suspects. */
 void wg_suspects_tick(wg_suspects* suspects, wg_time now);
 int wg_suspects_num(const wg_suspects* suspects);
-/* All suspects, wg_suspect*, in no order; the caller frees the list alone. */
+/* Returns all suspects, wg_suspect*, in no particular order; the caller frees the list only. */
 GPtrArray* wg_suspects_list(const wg_suspects* suspects);
-/* All evidence that is kept, wg_crash; the caller unrefs it. */
+/* Returns all evidence, wg_crash; the caller unrefs the array. */
 GArray* wg_suspects_crashes(const wg_suspects* suspects);
--- a/lib/registry/wg_registry.c
+++ b/lib/registry/wg_registry.c
@@ -4,17 +4,18 @@
 #include <string.h>
 
 enum {
-    /* A heartbeat that was held up says that the target is cold for longer than it is. */
+    /* Tolerates delayed heartbeats, which report a cold time that ends later than it does. */
     WG_COLD_TOLERANCE = 100 * WG_USEC_PER_MSEC
 };
 
 struct wg_registry {
     wg_registry_desc desc;
     GPtrArray* evacuated; /* char*, names of data centres */
-    GPtrArray* records;   /* wg_target*, by number, rising */
-    GHashTable* by_id;    /* the last start of each id */
+    GPtrArray* records;   /* wg_target*, in ascending order of numbers */
+    GHashTable* by_id;    /* id -> wg_target*, latest incarnation */
     uint64_t change;
-    uint64_t floor; /* copies older than this lack a record that was dropped */
+    /* copies older than this change number may lack the removal of a dropped record */
+    uint64_t floor;
     uint32_t next_number;
     int ended;
 };
@@ -43,7 +44,7 @@
     }
 }
 
-/* Drop the longest ended records beyond the limit. */
+/* Drops the records that ended first, beyond the limit. */
 static void wg_registry_prune(wg_registry* r) {
     while (r->ended > r->desc.ended_max) {
         guint oldest = G_MAXUINT;
@@ -75,17 +76,18 @@
     return target;
 }
 
-/* A later start under the same id knows nothing of this one. */
+/* True if `heard` is from a later incarnation under the same id. */
 static bool wg_target_is_successor(const wg_target* of, const wg_target* heard) {
     return heard->born > of->born;
 }
 
-/* Said by an earlier start, or meant for one. Who does not say its start is taken at its word. */
+/* True if `heard` is from or meant for an earlier incarnation. A message without a start time
+   counts as current. */
 static bool wg_target_is_predecessor(const wg_target* of, const wg_target* heard) {
     return heard->born != 0 && heard->born < of->born;
 }
 
-/* An address has one holder. */
+/* Ends all other targets at the holder's address. */
 static void wg_registry_free_address(wg_registry* r, const wg_target* holder) {
     for (guint i = 0; i < r->records->len; i++) {
         wg_target* other = r->records->pdata[i];
@@ -97,7 +99,7 @@
     }
 }
 
-/* Who holds the address of a target that was replaced was heard of a moment ago. */
+/* True if another target at the address of the replaced one had contact recently. */
 static bool wg_registry_holder_lives(const wg_registry* r, wg_time now, const wg_target* replaced) {
     for (guint i = 0; i < r->records->len; i++) {
         const wg_target* other = r->records->pdata[i];
@@ -110,8 +112,8 @@
     return false;
 }
 
-/* What was ended by another's coming was perhaps ended wrongly. Depends on replicated fields only.
- */
+/* A replaced target may have been ended wrongly. Depends on replicated fields only, for
+   determinism. */
 static bool wg_registry_may_revive(const wg_target* target, const wg_target* record) {
     bool live = record->state == WG_TARGET_READY || record->state == WG_TARGET_DRAINING;
     return target->replaced && live && record->sequence > target->sequence;
@@ -171,7 +173,7 @@
     bool news =
         !wg_target_says_the_same(target, heard) || wg_target_turned_cold(target, heard, now);
     if (leave || (!went_back && news)) {
-        return WG_HEARD_CHANGE; /* its sequence counts once it is agreed on */
+        return WG_HEARD_CHANGE; /* its sequence number counts once the change is agreed on */
     }
     target->heard_sequence = heard->sequence;
     return WG_HEARD_SAME;
@@ -215,7 +217,7 @@
         return;
     }
     if (record->state == WG_TARGET_SILENT) {
-        /* Meant for the target as it stood: a heartbeat agreed on in between wins. */
+        /* Applies only to the state it was proposed for: a newer heartbeat wins. */
         if (record->sequence == target->sequence && target->state != WG_TARGET_SILENT) {
             bool draining = target->state == WG_TARGET_DRAINING;
             if (draining) {
@@ -248,7 +250,7 @@
     wg_registry_prune(r);
 }
 
-/* The data centre's targets may have been emptied or started anew meanwhile. */
+/* Marks the targets of a data centre cold, as they may have lost their caches or restarted. */
 static void wg_registry_chill(wg_registry* r, wg_time now, const wg_evacuation* evacuation) {
     for (guint i = 0; i < r->records->len; i++) {
         wg_target* target = r->records->pdata[i];
@@ -479,7 +481,7 @@
         }
     }
     r->change = state->change;
-    r->floor = state->change; /* what was dropped before is not known */
+    r->floor = state->change; /* records dropped before the snapshot are not known */
     r->next_number = MAX(state->next_number, 1);
     wg_registry_set_evacuated(r, state->evacuated, state->n_evacuated);
     return true;
--- a/lib/retry/wg_retry.c
+++ b/lib/retry/wg_retry.c
@@ -1,14 +1,12 @@
-/* wg_retry.c -- see wg_retry.h
-
-   A bucket that holds at most `cap` sends. In any window a host sends again at most what the bucket
-   held at its start, plus what first sends and time put in; the three parts are chosen so that
-   their sum over all hosts stays within the budget. */
+/* wg_retry.c -- see wg_retry.h. A token bucket that holds at most `cap` retries. In any window a
+   host sends at most the tokens in the bucket at the start plus the refill by first sends and time;
+   the three fractions below keep the sum over all hosts within the budget. */
 #include "wg_retry.h"
 
-/* Parts of the budget that the bucket may use. */
-static const double WG_RETRY_SHARE = 0.8;   /* of the percentage */
-static const double WG_RETRY_CAP = 0.45;    /* of the slack, held at once */
-static const double WG_RETRY_RETURN = 0.35; /* of the slack, in one window */
+/* Fractions of the budget that the bucket may use. */
+static const double WG_RETRY_SHARE = 0.8;   /* fraction of the percentage */
+static const double WG_RETRY_CAP = 0.45;    /* fraction of the slack, bucket size */
+static const double WG_RETRY_RETURN = 0.35; /* fraction of the slack, refilled per window */
 
 static double wg_retry_cap(const wg_retry_rules* rules) {
     double cap = WG_RETRY_CAP * (double)rules->slack / MAX(rules->hosts, 1);
--- a/lib/retry/wg_retry.h
+++ b/lib/retry/wg_retry.h
@@ -1,24 +1,24 @@
 #pragma once
 /*
-    wg_retry.h -- one host's part of the fleet's retry budget, as a pure state machine
+    wg_retry.h -- one host's share of the fleet's retry budget, as a pure state machine
 
     WHAT IT DOES
-        Allows a share of the first sends to be sent again, plus a small number at any time that all
-        hosts divide among themselves. Over any window the fleet then stays below
+        Allows retries for a fraction of the first sends, plus a small slack that all hosts share
+        equally. Over any window the fleet's retries stay below
         percent/100 * first sends + slack.
 
     USE
         1. wg_retry r = {0};
-        2. wg_retry_first(&r, now, &rules);   // a first send
-        3. if (wg_retry_take(&r, now, &rules)) { send again }
+        2. wg_retry_first(&r, &rules);   // a first send
+        3. if (wg_retry_take(&r, &rules)) { send again }
 */
 #include "wg_base.h"
 
 typedef struct {
-    int64_t percent; /* of the first sends */
-    int64_t slack;   /* sends beyond, of all hosts together, in one window */
+    int64_t percent; /* retries per 100 first sends */
+    int64_t slack;   /* additional retries of all hosts together in one window */
     wg_time window;
-    int hosts; /* that share the slack */
+    int hosts; /* number of hosts that share the slack */
 } wg_retry_rules;
 
 typedef struct {
@@ -27,7 +27,7 @@
 } wg_retry;
 
 void wg_retry_first(wg_retry* retry, const wg_retry_rules* rules);
-/* True when one more send is within the budget; it is then counted. */
+/* Takes one retry from the budget; false if none is left. */
 bool wg_retry_take(wg_retry* retry, const wg_retry_rules* rules);
-/* Let time pass: a part of the slack comes back. */
+/* Refills a part of the slack for the elapsed `time`. */
 void wg_retry_pass(wg_retry* retry, wg_time time, const wg_retry_rules* rules);
