--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -8,11 +8,11 @@
 enum {
     WG_ADMIT_FRESH_TIME = 1500 * WG_USEC_PER_MSEC, /* younger accounts may lack admissions */
     WG_ADMIT_FIRST_EVENT_MIN = 12 * WG_USEC_PER_MSEC,
-    WG_ADMIT_RUNNING_TOKENS = 20, /* cost of each running request to the next */
-    WG_ADMIT_TOLD_TOKENS = 1500,  /* smaller samples are too noisy to estimate the speed */
-    WG_ADMIT_FAILURES = 3, /* consecutive failures over all hosts before a target is ejected */
-    WG_ADMIT_ASIDE_MIN = 300 * WG_USEC_PER_MSEC,
-    WG_ADMIT_ASIDE_DOUBLINGS = 4,
+    WG_ADMIT_RUNNING_COST_TOKENS = 20,     /* cost of each running request to the next */
+    WG_ADMIT_SAMPLE_TOKENS_MIN = 1500,     /* smaller samples are too noisy to estimate the speed */
+    WG_ADMIT_FAILURES_BEFORE_EJECTION = 3, /* consecutive, over all hosts */
+    WG_ADMIT_EJECTION_MIN = 300 * WG_USEC_PER_MSEC,
+    WG_ADMIT_EJECTION_DOUBLINGS_MAX = 4,
     WG_ADMIT_PARTS_HELD_MAX = 8192,
     WG_ADMIT_MEMORY_DEFAULT = 200000,
     WG_ADMIT_RATE_WINDOW = WG_USEC_PER_SEC, /* period over which a cold target's rate is enforced */
@@ -21,12 +21,12 @@
 
 /* Fraction of a target's cache assumed to hold recently used parts; the rest is for running
    requests. */
-static const double WG_ADMIT_MEMORY_PART = 0.7;
+static const double WG_ADMIT_MEMORY_SHARE = 0.7;
 
 /* Requests per second that one coordinator grants to a cold target: a fraction of the target's
    rate plus a constant. */
 static const double WG_ADMIT_COLD_SHARE = 0.75;
-static const double WG_ADMIT_COLD_SPARE = 2.5;
+static const double WG_ADMIT_COLD_EXTRA = 2.5;
 
 /* Prompt tokens processed per microsecond, initial value for a target. */
 static const double WG_ADMIT_SPEED_DEFAULT = 0.030;
@@ -37,16 +37,16 @@
 /* The load of the fleet at one target. */
 typedef struct {
     uint32_t number;
-    wg_time begun_at;
+    wg_time created_at;
     uint64_t unread;
     uint32_t running;
     uint64_t admitted; /* total tokens admitted; the clock by which parts are evicted */
     int failures;      /* since the last success */
-    wg_time aside_until;
+    wg_time ejected_until;
     double speed;
-    wg_time* lately; /* ring of the times of the last `lately_num` grants */
-    int lately_num;
-    int lately_at;     /* index of the oldest grant in `lately` */
+    wg_time* grant_times; /* ring of the times of the last `grant_times_num` grants */
+    int grant_times_num;
+    int oldest_grant;  /* index of the oldest grant in `grant_times` */
     GHashTable* parts; /* part id -> uint64_t*, value of `admitted` when the part was last used */
 } wg_admit_account;
 
@@ -83,7 +83,7 @@
 static void wg_admit_account_free(void* data) {
     wg_admit_account* account = data;
     g_hash_table_unref(account->parts);
-    g_free(account->lately);
+    g_free(account->grant_times);
     g_free(account);
 }
 
@@ -107,7 +107,7 @@
     }
     account = g_new0(wg_admit_account, 1);
     account->number = target;
-    account->begun_at = now;
+    account->created_at = now;
     account->speed = WG_ADMIT_SPEED_DEFAULT;
     account->parts = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     g_hash_table_insert(a->accounts, GUINT_TO_POINTER(target), account);
@@ -117,11 +117,11 @@
 /* Tokens at the start of the prompt that the target should still hold. */
 static uint32_t wg_admit_held(const wg_admit_account* account, const wg_admit_request* request) {
     double memory = request->memory > 0 ? (double)request->memory : WG_ADMIT_MEMORY_DEFAULT;
-    uint64_t lasts = (uint64_t)(memory * WG_ADMIT_MEMORY_PART);
+    uint64_t capacity = (uint64_t)(memory * WG_ADMIT_MEMORY_SHARE);
     uint32_t held = 0;
     for (int i = 0; i < request->parts_num; i++) {
         const uint64_t* used_at = g_hash_table_lookup(account->parts, &request->parts[i]);
-        if (!used_at || account->admitted - *used_at > lasts) {
+        if (!used_at || account->admitted - *used_at > capacity) {
             break;
         }
         held += request->sizes[i];
@@ -129,7 +129,7 @@
     return MIN(held, request->tokens);
 }
 
-static void wg_admit_note_part(wg_admit_account* account, uint64_t part) {
+static void wg_admit_record_part(wg_admit_account* account, uint64_t part) {
     uint64_t* used_at = g_hash_table_lookup(account->parts, &part);
     if (!used_at) {
         if (g_hash_table_size(account->parts) >= WG_ADMIT_PARTS_HELD_MAX) {
@@ -143,37 +143,37 @@
     *used_at = account->admitted;
 }
 
-static void wg_admit_note_parts(wg_admit_account* account, const wg_admit_request* request) {
+static void wg_admit_record_parts(wg_admit_account* account, const wg_admit_request* request) {
     for (int i = 0; i < request->parts_num; i++) {
-        wg_admit_note_part(account, request->parts[i]);
+        wg_admit_record_part(account, request->parts[i]);
     }
 }
 
 /* Tokens of the shared parts that are neither held nor copied. */
-static uint32_t wg_admit_lacking(const wg_admit_request* request, uint32_t spared) {
+static uint32_t wg_admit_missing(const wg_admit_request* request, uint32_t available) {
     uint32_t shared = 0;
     for (int i = 0; i < request->parts_num; i++) {
         shared += request->sizes[i];
     }
-    return shared > spared ? shared - spared : 0;
+    return shared > available ? shared - available : 0;
 }
 
 static wg_admit_answer wg_admit_estimate(const wg_admit_account* account, wg_time now,
                                          const wg_admit_request* request) {
-    bool fresh = now - account->begun_at < WG_ADMIT_FRESH_TIME;
+    bool fresh = now - account->created_at < WG_ADMIT_FRESH_TIME;
     wg_admit_answer answer = {.ahead = (uint32_t)account->unread, .running = account->running};
     if (fresh) {
         answer.ahead = MAX(answer.ahead, request->floor_unread);
         answer.running = MAX(answer.running, request->floor_running);
     }
     answer.held = wg_admit_held(account, request);
-    uint32_t spared = MIN(MAX(answer.held, request->copied), request->tokens);
-    answer.unread = request->tokens - spared;
-    uint32_t tokens = answer.ahead + answer.unread + answer.running * WG_ADMIT_RUNNING_TOKENS;
+    uint32_t available = MIN(MAX(answer.held, request->copied), request->tokens);
+    answer.unread = request->tokens - available;
+    uint32_t tokens = answer.ahead + answer.unread + answer.running * WG_ADMIT_RUNNING_COST_TOKENS;
     answer.wait = WG_ADMIT_FIRST_EVENT_MIN + (wg_time)(tokens / account->speed);
     uint32_t before = answer.ahead;
     if (request->limits.spares_shared) {
-        before += wg_admit_lacking(request, spared);
+        before += wg_admit_missing(request, available);
     }
     answer.wait_ahead = (wg_time)(before / account->speed);
     return answer;
@@ -190,7 +190,7 @@
     account->unread += answer->unread;
     account->running++;
     account->admitted += answer->unread + request->answer;
-    wg_admit_note_parts(account, request);
+    wg_admit_record_parts(account, request);
     g_hash_table_insert(a->admissions, &admission->key, admission);
 }
 
@@ -209,34 +209,35 @@
     account->running--;
 }
 
-static void wg_admit_note_failure(wg_admit_account* account, wg_time now) {
-    if (++account->failures < WG_ADMIT_FAILURES) {
+static void wg_admit_record_failure(wg_admit_account* account, wg_time now) {
+    if (++account->failures < WG_ADMIT_FAILURES_BEFORE_EJECTION) {
         return;
     }
-    int doublings = MIN(account->failures - WG_ADMIT_FAILURES, WG_ADMIT_ASIDE_DOUBLINGS);
-    account->aside_until = now + ((wg_time)WG_ADMIT_ASIDE_MIN << doublings);
+    int doublings =
+        MIN(account->failures - WG_ADMIT_FAILURES_BEFORE_EJECTION, WG_ADMIT_EJECTION_DOUBLINGS_MAX);
+    account->ejected_until = now + ((wg_time)WG_ADMIT_EJECTION_MIN << doublings);
 }
 
 /* True if the target is ejected. If more than half of all targets are, the cause lies elsewhere
    and none counts as ejected. */
-static bool wg_admit_is_aside(const wg_admit* a, const wg_admit_account* account, wg_time now) {
-    if (now >= account->aside_until) {
+static bool wg_admit_is_ejected(const wg_admit* a, const wg_admit_account* account, wg_time now) {
+    if (now >= account->ejected_until) {
         return false;
     }
-    guint aside = 0;
+    guint ejected = 0;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, a->accounts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        aside += now < ((const wg_admit_account*)value)->aside_until;
+        ejected += now < ((const wg_admit_account*)value)->ejected_until;
     }
-    return aside * 2 <= g_hash_table_size(a->accounts);
+    return ejected * 2 <= g_hash_table_size(a->accounts);
 }
 
 /* Requests per second granted to a cold target. Hosts may briefly disagree on who coordinates
    it: two coordinators together stay within one and a half times its rate plus five requests. */
-static int wg_admit_cold_share(double rate) {
-    return MAX((int)MIN(rate, WG_ADMIT_COLD_SHARE * rate + WG_ADMIT_COLD_SPARE), 1);
+static int wg_admit_cold_rate(double rate) {
+    return MAX((int)MIN(rate, WG_ADMIT_COLD_SHARE * rate + WG_ADMIT_COLD_EXTRA), 1);
 }
 
 /* True if a cold target has been granted its rate for the current window. */
@@ -244,22 +245,22 @@
     if (!(rate > 0) || rate > WG_ADMIT_RATE_MAX) {
         return false;
     }
-    int most = wg_admit_cold_share(rate);
-    if (account->lately_num != most) {
-        account->lately = g_renew(wg_time, account->lately, most);
-        account->lately_num = most;
-        account->lately_at = 0;
-        for (int i = 0; i < most; i++) {
-            account->lately[i] = -WG_ADMIT_RATE_WINDOW;
+    int rate_limit = wg_admit_cold_rate(rate);
+    if (account->grant_times_num != rate_limit) {
+        account->grant_times = g_renew(wg_time, account->grant_times, rate_limit);
+        account->grant_times_num = rate_limit;
+        account->oldest_grant = 0;
+        for (int i = 0; i < rate_limit; i++) {
+            account->grant_times[i] = -WG_ADMIT_RATE_WINDOW;
         }
     }
-    return now - account->lately[account->lately_at] <= WG_ADMIT_RATE_WINDOW;
+    return now - account->grant_times[account->oldest_grant] <= WG_ADMIT_RATE_WINDOW;
 }
 
-static void wg_admit_note_rate(wg_admit_account* account, wg_time now) {
-    if (account->lately_num > 0) {
-        account->lately[account->lately_at] = now;
-        account->lately_at = (account->lately_at + 1) % account->lately_num;
+static void wg_admit_record_grant(wg_admit_account* account, wg_time now) {
+    if (account->grant_times_num > 0) {
+        account->grant_times[account->oldest_grant] = now;
+        account->oldest_grant = (account->oldest_grant + 1) % account->grant_times_num;
     }
 }
 
@@ -301,12 +302,12 @@
     wg_admit_answer answer = wg_admit_estimate(account, now, request);
     bool full = request->running_most > 0 && answer.running >= request->running_most;
     bool known = wg_admit_admission(a, request->holder, request->ticket) != NULL;
-    bool aside = wg_admit_is_aside(a, account, now);
+    bool ejected = wg_admit_is_ejected(a, account, now);
     bool cold = wg_admit_is_over_rate(account, now, request->rate_most);
-    answer.granted = !full && !known && !aside && !cold &&
+    answer.granted = !full && !known && !ejected && !cold &&
                      wg_admit_fits(&request->limits, answer.wait, answer.wait_ahead);
     if (answer.granted) {
-        wg_admit_note_rate(account, now);
+        wg_admit_record_grant(account, now);
         wg_admit_grant(a, account, now, request, &answer);
     }
     return answer;
@@ -319,14 +320,14 @@
     }
     wg_admit_account* account = wg_admit_find(a, admission->target);
     wg_time took = now - admission->granted_at - WG_ADMIT_FIRST_EVENT_MIN / 2;
-    if (admission->expected >= WG_ADMIT_TOLD_TOKENS && took > WG_ADMIT_FIRST_EVENT_MIN / 2) {
+    if (admission->expected >= WG_ADMIT_SAMPLE_TOKENS_MIN && took > WG_ADMIT_FIRST_EVENT_MIN / 2) {
         double sample = admission->expected / (double)took;
         sample = CLAMP(sample, WG_ADMIT_SPEED_MIN, WG_ADMIT_SPEED_MAX);
         account->speed += WG_ADMIT_SPEED_WEIGHT * (sample - account->speed);
     }
     admission->expected = 0;
     account->failures = 0;
-    account->aside_until = 0;
+    account->ejected_until = 0;
     wg_admit_settle_read(a, admission);
 }
 
@@ -334,7 +335,7 @@
     wg_admission* admission = wg_admit_admission(a, holder, ticket);
     if (admission) {
         if (failed) {
-            wg_admit_note_failure(wg_admit_find(a, admission->target), now);
+            wg_admit_record_failure(wg_admit_find(a, admission->target), now);
         }
         wg_admit_settle(a, admission);
         g_hash_table_remove(a->admissions, &admission->key);
@@ -344,7 +345,7 @@
 void wg_admit_learn(wg_admit* a, wg_time now, uint32_t target, const uint64_t* parts, int num) {
     wg_admit_account* account = wg_admit_account_of(a, now, target);
     for (int i = 0; i < num; i++) {
-        wg_admit_note_part(account, parts[i]);
+        wg_admit_record_part(account, parts[i]);
     }
 }
 
--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -10,14 +10,14 @@
 typedef struct {
     uint64_t target;
     wg_time until; /* end of the backoff period */
-    wg_time noted_at;
+    wg_time updated_at;
     bool leaving;
     bool unreadable; /* its unreadable Retry-After was reported */
 } _wg_backoff_target;
 
 enum {
     /* hosts return within the backoff period divided by this */
-    _WG_SPREAD_PART = 8,
+    _WG_SPREAD_DIVISOR = 8,
     _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* upper limit of that spread */
 };
 
@@ -57,11 +57,11 @@
 
 /* Parses a date in one of the three formats of HTTP (RFC 9110, 5.6.7) to Unix seconds. */
 static bool _wg_read_date(const char* text, int64_t* unix_time) {
-    static const char* const forms[] = {"%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT",
-                                        "%a %b %d %H:%M:%S %Y"};
-    for (size_t i = 0; i < G_N_ELEMENTS(forms); i++) {
+    static const char* const formats[] = {"%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT",
+                                          "%a %b %d %H:%M:%S %Y"};
+    for (size_t i = 0; i < G_N_ELEMENTS(formats); i++) {
         struct tm parts = {0};
-        const char* end = strptime(text, forms[i], &parts);
+        const char* end = strptime(text, formats[i], &parts);
         if (end && *end == 0) {
             *unix_time = timegm(&parts);
             return *unix_time > 0;
@@ -71,16 +71,16 @@
 }
 
 /* Converts seconds to microseconds, limited to the range of wg_time. */
-static wg_time _wg_time_of(double seconds) {
-    double most = (double)(WG_TIME_NEVER / 2);
-    return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, most);
+static wg_time _wg_time_from_seconds(double seconds) {
+    double max = (double)(WG_TIME_NEVER / 2);
+    return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, max);
 }
 
-static void _wg_read_rest(wg_backoff_wish* wish, const char* text) {
+static void _wg_read_retry_after(wg_backoff_wish* wish, const char* text) {
     double seconds;
     int64_t date;
     if (_wg_read_seconds(text, &seconds)) {
-        wish->rest = MAX(wish->rest, _wg_time_of(seconds));
+        wish->rest = MAX(wish->rest, _wg_time_from_seconds(seconds));
     } else if (_wg_read_date(text, &date)) {
         wish->until = MAX(wish->until, date);
     } else {
@@ -94,7 +94,7 @@
     return g_hash_table_lookup(b->targets, &target);
 }
 
-static gboolean _wg_backoff_is_over(gpointer key, gpointer value, gpointer now) {
+static gboolean _wg_backoff_is_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
     const _wg_backoff_target* t = value;
     return !t->leaving && t->until <= *(const wg_time*)now;
@@ -107,7 +107,7 @@
     g_hash_table_iter_init(&iter, b->targets);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const _wg_backoff_target* t = value;
-        oldest = !oldest || t->noted_at < oldest->noted_at ? t : oldest;
+        oldest = !oldest || t->updated_at < oldest->updated_at ? t : oldest;
     }
     if (oldest) {
         uint64_t key = oldest->target;
@@ -117,26 +117,26 @@
 
 /* Returns when backoff ends, with jitter so that hosts do not return at the same time. */
 static wg_time _wg_backoff_end(wg_backoff* b, wg_time now, wg_time rest) {
-    wg_time spread = MIN(rest / _WG_SPREAD_PART, (wg_time)_WG_SPREAD_MAX);
+    wg_time spread = MIN(rest / _WG_SPREAD_DIVISOR, (wg_time)_WG_SPREAD_MAX);
     return now + rest + wg_jitter_range(b->desc.seed, ++b->counter, 0, spread);
 }
 
 static _wg_backoff_target* _wg_backoff_get(wg_backoff* b, wg_time now, uint64_t target) {
     _wg_backoff_target* t = _wg_backoff_find(b, target);
     if (t) {
-        t->noted_at = now;
+        t->updated_at = now;
         return t;
     }
-    guint most = (guint)b->desc.targets_max;
-    if (g_hash_table_size(b->targets) >= most) {
-        g_hash_table_foreach_remove(b->targets, _wg_backoff_is_over, &now);
+    guint limit = (guint)b->desc.targets_max;
+    if (g_hash_table_size(b->targets) >= limit) {
+        g_hash_table_foreach_remove(b->targets, _wg_backoff_is_expired, &now);
     }
-    if (g_hash_table_size(b->targets) >= most) {
+    if (g_hash_table_size(b->targets) >= limit) {
         _wg_backoff_drop_oldest(b);
     }
     t = g_new0(_wg_backoff_target, 1);
     t->target = target;
-    t->noted_at = now;
+    t->updated_at = now;
     g_hash_table_insert(b->targets, &t->target, t);
     return t;
 }
@@ -147,7 +147,7 @@
                            wg_text value) {
     char text[_WG_FIELD_MAX];
     if (wg_text_is(name, "Retry-After")) {
-        _wg_read_rest(wish, _wg_field_text(value, text) ? text : "");
+        _wg_read_retry_after(wish, _wg_field_text(value, text) ? text : "");
     } else if (wg_text_is(name, "Date")) {
         _wg_field_text(value, text);
         _wg_read_date(text, &wish->date);
@@ -159,24 +159,24 @@
 
 /* Retry-After applies to later requests only in a refusal; in other answers it is meant for the
    caller. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time most) {
+wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time max) {
     if (wish->status != _WG_UNAVAILABLE) {
         return 0;
     }
     wg_time rest = wish->rest;
     if (wish->until > 0) {
         int64_t since = wish->date > 0 ? wish->date : unix_time;
-        rest = MAX(rest, _wg_time_of((double)(wish->until - since)));
+        rest = MAX(rest, _wg_time_from_seconds((double)(wish->until - since)));
     }
-    return CLAMP(rest, 0, most);
+    return CLAMP(rest, 0, max);
 }
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc) {
     wg_backoff* b = g_new0(wg_backoff, 1);
     b->desc = *desc;
     b->desc.targets_max = desc->targets_max ? desc->targets_max : WG_BACKOFF_TARGETS_MAX_DEFAULT;
-    b->desc.rest_max =
-        desc->rest_max ? desc->rest_max : WG_BACKOFF_REST_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    b->desc.rest_max = desc->rest_max ? desc->rest_max
+                                      : WG_BACKOFF_PERIOD_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     b->targets = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     return b;
 }
--- a/lib/backoff/wg_backoff.h
+++ b/lib/backoff/wg_backoff.h
@@ -33,7 +33,7 @@
 
 enum {
     WG_BACKOFF_TARGETS_MAX_DEFAULT = 4096,
-    WG_BACKOFF_REST_MAX_DEFAULT_S = 3600
+    WG_BACKOFF_PERIOD_MAX_DEFAULT_S = 3600
 };
 
 /* Backoff hint of one answer; initialise all but `status` to 0. */
@@ -65,9 +65,9 @@
 /* Parses one header field of an answer. `leaving` is the name of the field that announces
    draining. */
 void wg_backoff_read_field(wg_backoff_wish* wish, const char* leaving, wg_text name, wg_text value);
-/* Returns the requested backoff period in microseconds, at most `most`; 0: none. `unix_time` is
+/* Returns the requested backoff period in microseconds, at most `max`; 0: none. `unix_time` is
    the current time in seconds, used for answers without a Date. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time most);
+wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time max);
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc);
 void wg_backoff_shutdown(wg_backoff* backoff);
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -7,23 +7,23 @@
 /* ---- types and constants ------------------------------------------------------------------- */
 
 enum {
-    WG_CACHED_TIME = 8 * WG_USEC_PER_SEC,   /* how long a sent part counts as cached */
-    WG_WARM_TIME = 2500 * WG_USEC_PER_MSEC, /* from the first prompt until homes count as warm */
-    WG_CACHED_MAX = 8192,                   /* parts remembered per target */
-    WG_ASIDE_MIN = 300 * WG_USEC_PER_MSEC,
-    WG_ASIDE_MAX = 4 * WG_USEC_PER_SEC,
+    WG_CACHED_TIME = 8 * WG_USEC_PER_SEC,      /* how long a sent part counts as cached */
+    WG_WARM_UP_TIME = 2500 * WG_USEC_PER_MSEC, /* from the first prompt until homes count as warm */
+    WG_CACHED_MAX = 8192,                      /* parts remembered per target */
+    WG_EJECTION_MIN = 300 * WG_USEC_PER_MSEC,
+    WG_EJECTION_MAX = 4 * WG_USEC_PER_SEC,
     WG_FRESH_TIME = 25 * WG_USEC_PER_MSEC, /* how long a coordinator's report counts as fresh */
-    WG_OVER_LIMIT = 10 * WG_USEC_PER_SEC,
-    WG_DRAWN_LEAST = 3,
-    WG_DRAWN_HOSTS = 11, /* expected number of hosts that sample a given target */
-    WG_FAILURES_BEFORE_ASIDE = 2,
-    WG_FAR_TOKENS = 400, /* penalty of a remote target */
+    WG_OVER_LIMIT_PENALTY = 10 * WG_USEC_PER_SEC,
+    WG_SAMPLED_MIN = 3,
+    WG_SAMPLED_HOSTS = 11, /* expected number of hosts that sample a given target */
+    WG_FAILURES_BEFORE_EJECTION = 2,
+    WG_REMOTE_PENALTY_TOKENS = 400, /* penalty of a remote target */
     /* Penalty of a remote target if a home exists in this data centre. Higher, since waiting
        locally is often cheaper than sending the bytes to a remote data centre. */
-    WG_FAR_FROM_NEAR_HOME_TOKENS = 4000,
-    WG_RUNNING_TOKENS = 20,      /* cost of each running request to the next */
-    WG_SECOND_HOME_TOKENS = 400, /* penalty of the second home */
-    WG_READ_AGAIN_FACTOR = 12,   /* penalty for each shared token that has to be computed again */
+    WG_REMOTE_PENALTY_LOCAL_HOME_TOKENS = 4000,
+    WG_RUNNING_COST_TOKENS = 20,         /* cost of each running request to the next */
+    WG_SECOND_HOME_PENALTY_TOKENS = 400, /* penalty of the second home */
+    WG_RECOMPUTE_PENALTY_FACTOR = 12,    /* penalty per shared token that is computed again */
     WG_FIRST_EVENT_MIN = 12 * WG_USEC_PER_MSEC
 };
 
@@ -34,30 +34,31 @@
 static const double WG_SPEED_WEIGHT = 0.08; /* weight of a new sample */
 
 /* Service time in microseconds of a request without a prompt, initial value for a target. */
-static const double WG_WORK_DEFAULT = 10 * WG_USEC_PER_MSEC;
-static const double WG_WORK_MIN = 500;
-static const double WG_WORK_MAX = 10.0 * WG_USEC_PER_SEC;
-static const double WG_WORK_WEIGHT = 0.05; /* weight of a new sample; low, samples vary widely */
+static const double WG_SERVICE_TIME_DEFAULT = 10 * WG_USEC_PER_MSEC;
+static const double WG_SERVICE_TIME_MIN = 500;
+static const double WG_SERVICE_TIME_MAX = 10.0 * WG_USEC_PER_SEC;
+/* Weight of a new sample; low, since single requests vary widely. */
+static const double WG_SERVICE_TIME_WEIGHT = 0.05;
 
 /* Fraction of prompts whose third home held their prefix: initial value and weight of a new
    sample. */
-static const double WG_THIRD_HELD_DEFAULT = 0.7;
-static const double WG_THIRD_HELD_WEIGHT = 0.03;
+static const double WG_THIRD_HIT_RATE_DEFAULT = 0.7;
+static const double WG_THIRD_HIT_RATE_WEIGHT = 0.03;
 /* Fraction of the misses forgiven at each choice of another target, so that a third home is
    tried again. */
-static const double WG_THIRD_HELD_BACK = 0.002;
+static const double WG_THIRD_HIT_RATE_RECOVERY = 0.002;
 
 /* With this many hosts, each keeps 1/e of the others' load from one report to the next. */
-static const double WG_FADE_HOSTS = 24;
+static const double WG_DECAY_HOSTS = 24;
 
 struct wg_balance {
     wg_balance_desc desc;
-    GHashTable* targets;  /* number -> wg_balance_target* */
-    GHashTable* services; /* name -> wg_balance_service* */
-    wg_time warm_at;      /* homes count as holding their prefixes from then on; 0: not set */
-    int hosts;            /* number of hosts that decide on the same loads */
-    double third_held;    /* recent fraction of prompts whose third home held their prefix */
-    GPtrArray* drawn;     /* wg_balance_target* not yet sampled in the current choice */
+    GHashTable* targets;   /* number -> wg_balance_target* */
+    GHashTable* services;  /* name -> wg_balance_service* */
+    wg_time warm_at;       /* homes count as holding their prefixes from then on; 0: not set */
+    int hosts;             /* number of hosts that decide on the same loads */
+    double third_hit_rate; /* recent fraction of prompts whose third home held their prefix */
+    GPtrArray* unsampled;  /* wg_balance_target* not yet sampled in the current choice */
     uint64_t counter;
 };
 
@@ -74,12 +75,12 @@
 }
 
 /* True if the part was recorded in the table less than `time` ago. */
-static bool wg_parts_have(GHashTable* parts, wg_time now, uint64_t part, wg_time time) {
+static bool wg_parts_contain(GHashTable* parts, wg_time now, uint64_t part, wg_time time) {
     const wg_time* sent = g_hash_table_lookup(parts, &part);
     return sent && now - *sent < time;
 }
 
-static void wg_parts_note(GHashTable* parts, wg_time now, uint64_t part) {
+static void wg_parts_record(GHashTable* parts, wg_time now, uint64_t part) {
     wg_time* sent = g_hash_table_lookup(parts, &part);
     if (sent) {
         *sent = now;
@@ -100,7 +101,7 @@
     bool warm = home && b->warm_at > 0 && now >= b->warm_at;
     uint32_t cached = 0;
     for (int i = 0; i + 1 < prompt->num; i++) {
-        if (!warm && !wg_parts_have(t->cached, now, prompt->parts[i], WG_CACHED_TIME)) {
+        if (!warm && !wg_parts_contain(t->cached, now, prompt->parts[i], WG_CACHED_TIME)) {
             break;
         }
         cached += prompt->sizes[i];
@@ -119,9 +120,9 @@
 
 /* Where a new first home copies a prefix from: the draining previous home, or the second home.
  */
-static uint32_t wg_balance_former_home(const wg_balance_homes* homes) {
-    const wg_balance_target* former = homes->leaving ? homes->leaving : homes->second;
-    return former ? former->number : 0;
+static uint32_t wg_balance_previous_home(const wg_balance_homes* homes) {
+    const wg_balance_target* previous = homes->draining_home ? homes->draining_home : homes->second;
+    return previous ? previous->number : 0;
 }
 
 /* Where a target copies missing shared parts from: the first home. Set even for a target
@@ -129,7 +130,7 @@
    lacks. The home may have evicted the parts, so the estimate does not count on the copy. */
 static uint32_t wg_balance_source(const wg_balance_target* t, const wg_balance_homes* homes) {
     if (t == homes->first) {
-        return wg_balance_former_home(homes);
+        return wg_balance_previous_home(homes);
     }
     return homes->first ? homes->first->number : 0;
 }
@@ -137,11 +138,11 @@
 static wg_choice wg_balance_estimate_prompt(const wg_balance* b, const wg_balance_target* t,
                                             wg_time now, const wg_need* need,
                                             const wg_balance_homes* homes) {
-    bool home = t == homes->first || t == homes->second || t == homes->near;
+    bool home = t == homes->first || t == homes->second || t == homes->local;
     uint32_t running = t->own_running + t->other_running;
     uint32_t cached = wg_balance_cached(b, t, now, need->prompt, home);
     wg_choice c = {.target = t->number};
-    c.is_fresh = t->told_at > 0 && now - t->told_at < WG_FRESH_TIME;
+    c.is_fresh = t->reported_at > 0 && now - t->reported_at < WG_FRESH_TIME;
     if (need->copies && need->source_tokens > cached && need->source != t->number) {
         c.source = need->source;
         c.copied = MIN(need->source_tokens, need->prompt->tokens);
@@ -149,8 +150,8 @@
         c.source = wg_balance_source(t, homes);
     }
     c.unread = need->prompt->tokens - MAX(cached, c.copied);
-    c.ahead = t->own_unread + MAX(t->other_unread, t->lately_unread);
-    uint32_t tokens = c.unread + c.ahead + running * WG_RUNNING_TOKENS;
+    c.ahead = t->own_unread + MAX(t->other_unread, t->recent_unread);
+    uint32_t tokens = c.unread + c.ahead + running * WG_RUNNING_COST_TOKENS;
     c.wait = WG_FIRST_EVENT_MIN + (wg_time)(tokens / t->speed);
     c.wait_ahead = (wg_time)(c.ahead / t->speed);
     return c;
@@ -166,7 +167,7 @@
     return (wg_choice){.target = t->number,
                        .plain = true,
                        .running = running,
-                       .wait = (wg_time)(t->work * wg_balance_rounds(t, running))};
+                       .wait = (wg_time)(t->service_time * wg_balance_rounds(t, running))};
 }
 
 static wg_choice wg_balance_estimate(const wg_balance* b, const wg_balance_target* t, wg_time now,
@@ -184,20 +185,20 @@
     b->desc = *desc;
     b->targets = g_hash_table_new_full(NULL, NULL, NULL, wg_balance_target_free);
     b->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, wg_balance_service_free);
-    b->drawn = g_ptr_array_new();
+    b->unsampled = g_ptr_array_new();
     b->hosts = 1;
-    b->third_held = WG_THIRD_HELD_DEFAULT;
+    b->third_hit_rate = WG_THIRD_HIT_RATE_DEFAULT;
     return b;
 }
 
 void wg_balance_shutdown(wg_balance* b) {
     g_hash_table_unref(b->services);
     g_hash_table_unref(b->targets);
-    g_ptr_array_unref(b->drawn);
+    g_ptr_array_unref(b->unsampled);
     g_free(b);
 }
 
-static void wg_balance_list(wg_balance* b, wg_balance_target* t) {
+static void wg_balance_add_to_service(wg_balance* b, wg_balance_target* t) {
     wg_balance_service* service = g_hash_table_lookup(b->services, t->service);
     if (!service) {
         service = g_new0(wg_balance_service, 1);
@@ -210,7 +211,7 @@
     service->ready += t->ready;
 }
 
-static gboolean wg_balance_is_unknown(gpointer key, gpointer value, gpointer registry) {
+static gboolean wg_balance_is_removed(gpointer key, gpointer value, gpointer registry) {
     (void)value;
     const wg_target* target = wg_registry_find(registry, GPOINTER_TO_UINT(key));
     return !target || target->state == WG_TARGET_GONE;
@@ -219,7 +220,7 @@
 void wg_balance_sync(wg_balance* b, wg_time now, const wg_registry* registry) {
     (void)now;
     g_hash_table_remove_all(b->services);
-    g_hash_table_foreach_remove(b->targets, wg_balance_is_unknown, (gpointer)registry);
+    g_hash_table_foreach_remove(b->targets, wg_balance_is_removed, (gpointer)registry);
     const wg_target* record = NULL;
     while ((record = wg_registry_next(registry, record ? record->number : 0))) {
         if (record->state == WG_TARGET_GONE) {
@@ -233,29 +234,29 @@
             t->key = wg_target_key(record);
             t->backoff = b->desc.backoff;
             t->speed = WG_SPEED_DEFAULT;
-            t->work = WG_WORK_DEFAULT;
+            t->service_time = WG_SERVICE_TIME_DEFAULT;
             t->cached = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
             g_hash_table_insert(b->targets, GUINT_TO_POINTER(t->number), t);
         }
         wg_copy_name(t->service, sizeof t->service, record->service);
-        t->near = strcmp(record->data_centre, b->desc.data_centre) == 0;
+        t->local = strcmp(record->data_centre, b->desc.data_centre) == 0;
         t->ready = wg_registry_takes(registry, record);
         t->draining = record->state == WG_TARGET_DRAINING;
         t->moved = t->moved && t->change == record->change;
         t->change = record->change;
         t->slots = record->slots;
-        wg_balance_list(b, t);
+        wg_balance_add_to_service(b, t);
     }
 }
 
 void wg_balance_clear_others(wg_balance* b) {
-    double keep = exp(-WG_FADE_HOSTS / b->hosts);
+    double keep = exp(-WG_DECAY_HOSTS / b->hosts);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, b->targets);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_balance_target* t = value;
-        t->lately_unread = (uint32_t)(MAX(t->lately_unread, t->other_unread) * keep);
+        t->recent_unread = (uint32_t)(MAX(t->recent_unread, t->other_unread) * keep);
         t->other_unread = 0;
         t->other_running = 0;
     }
@@ -291,32 +292,33 @@
 }
 
 /* Penalty of sending a prompt to the target, in tokens, in addition to the wait. */
-static uint32_t wg_balance_extra(const wg_balance_target* t, const wg_balance_homes* homes,
-                                 const wg_choice* choice, const wg_need* need) {
-    uint32_t far = homes->near ? WG_FAR_FROM_NEAR_HOME_TOKENS : WG_FAR_TOKENS;
-    uint32_t extra = t->near ? 0 : far;
+static uint32_t wg_balance_penalty_tokens(const wg_balance_target* t, const wg_balance_homes* homes,
+                                          const wg_choice* choice, const wg_need* need) {
+    uint32_t remote_penalty =
+        homes->local ? WG_REMOTE_PENALTY_LOCAL_HOME_TOKENS : WG_REMOTE_PENALTY_TOKENS;
+    uint32_t penalty = t->local ? 0 : remote_penalty;
     if (!homes->first) {
-        return extra;
+        return penalty;
     }
-    if (t == homes->near) {
-        return extra + homes->near_extra;
+    if (t == homes->local) {
+        return penalty + homes->local_penalty;
     }
     if (t == homes->second) {
-        return extra + WG_SECOND_HOME_TOKENS;
+        return penalty + WG_SECOND_HOME_PENALTY_TOKENS;
     }
     uint32_t own = need->prompt->sizes[need->prompt->num - 1];
-    uint32_t again = choice->unread > own ? choice->unread - own : 0;
-    return extra + (t == homes->first ? 0 : WG_READ_AGAIN_FACTOR * again);
+    uint32_t recompute_tokens = choice->unread > own ? choice->unread - own : 0;
+    return penalty + (t == homes->first ? 0 : WG_RECOMPUTE_PENALTY_FACTOR * recompute_tokens);
 }
 
 /* Penalty of sending any request to the target, in microseconds. Without a prompt, a remote data
    centre costs as much as one more queued request. */
-static double wg_balance_extra_time(const wg_balance_target* t, const wg_balance_homes* homes,
-                                    const wg_choice* choice, const wg_need* need) {
+static double wg_balance_penalty_time(const wg_balance_target* t, const wg_balance_homes* homes,
+                                      const wg_choice* choice, const wg_need* need) {
     if (need->prompt) {
-        return wg_balance_extra(t, homes, choice, need) / t->speed;
+        return wg_balance_penalty_tokens(t, homes, choice, need) / t->speed;
     }
-    return t->near ? 0 : t->work;
+    return t->local ? 0 : t->service_time;
 }
 
 /* A choice and its cost in microseconds; lower is better. */
@@ -325,17 +327,17 @@
     int64_t cost;
 } wg_candidate;
 
-static void wg_balance_weigh(wg_balance* b, const wg_balance_target* t, wg_time now,
-                             const wg_need* need, const wg_balance_homes* homes,
-                             wg_candidate* best) {
+static void wg_balance_consider(wg_balance* b, const wg_balance_target* t, wg_time now,
+                                const wg_need* need, const wg_balance_homes* homes,
+                                wg_candidate* best) {
     WG_ASSERT(t != NULL);
     wg_choice c = wg_balance_estimate(b, t, now, need, homes);
-    int64_t cost = c.wait + (int64_t)wg_balance_extra_time(t, homes, &c, need);
-    if (now < t->aside_until) {
-        cost += WG_ASIDE_MAX; /* last resort */
+    int64_t cost = c.wait + (int64_t)wg_balance_penalty_time(t, homes, &c, need);
+    if (now < t->ejected_until) {
+        cost += WG_EJECTION_MAX; /* last resort */
     }
     if (need->limit && c.wait > need->limit) {
-        cost += WG_OVER_LIMIT;
+        cost += WG_OVER_LIMIT_PENALTY;
     }
     if (best->choice.target == 0 || cost < best->cost) {
         *best = (wg_candidate){c, cost};
@@ -344,18 +346,18 @@
 
 /* Considers a few targets at random beside the homes. If many hosts all picked the least loaded
    target of the same outdated report, they would overload it at once. */
-static void wg_balance_draw(wg_balance* b, const wg_balance_service* service, wg_time now,
-                            const wg_need* need, const wg_balance_homes* homes,
-                            wg_candidate* best) {
-    int left = MAX(WG_DRAWN_LEAST, service->ready * WG_DRAWN_HOSTS / b->hosts);
-    g_ptr_array_set_size(b->drawn, 0);
-    g_ptr_array_extend(b->drawn, service->targets, NULL, NULL);
-    while (left > 0 && b->drawn->len > 0) {
-        guint at = (guint)(wg_jitter(b->desc.seed, ++b->counter) % b->drawn->len);
-        const wg_balance_target* t = b->drawn->pdata[at];
-        g_ptr_array_remove_index_fast(b->drawn, at);
-        if (wg_balance_takes(t, now, need) && !wg_balance_is_full(t, need)) {
-            wg_balance_weigh(b, t, now, need, homes, best);
+static void wg_balance_sample(wg_balance* b, const wg_balance_service* service, wg_time now,
+                              const wg_need* need, const wg_balance_homes* homes,
+                              wg_candidate* best) {
+    int left = MAX(WG_SAMPLED_MIN, service->ready * WG_SAMPLED_HOSTS / b->hosts);
+    g_ptr_array_set_size(b->unsampled, 0);
+    g_ptr_array_extend(b->unsampled, service->targets, NULL, NULL);
+    while (left > 0 && b->unsampled->len > 0) {
+        guint at = (guint)(wg_jitter(b->desc.seed, ++b->counter) % b->unsampled->len);
+        const wg_balance_target* t = b->unsampled->pdata[at];
+        g_ptr_array_remove_index_fast(b->unsampled, at);
+        if (wg_balance_accepts(t, now, need) && !wg_balance_is_full(t, need)) {
+            wg_balance_consider(b, t, now, need, homes, best);
             left--;
         }
     }
@@ -370,43 +372,43 @@
         return best.choice;
     }
     wg_balance_homes homes = wg_balance_find_homes(service, now, need, part);
-    bool has_third = homes.near && homes.near != homes.first && homes.near != homes.second;
+    bool has_third = homes.local && homes.local != homes.first && homes.local != homes.second;
     if (has_third) {
-        double again = WG_READ_AGAIN_FACTOR * (double)wg_prompt_shared(prompt);
-        homes.near_extra = (uint32_t)((1 - b->third_held) * again);
+        double recompute_penalty = WG_RECOMPUTE_PENALTY_FACTOR * (double)wg_prompt_shared(prompt);
+        homes.local_penalty = (uint32_t)((1 - b->third_hit_rate) * recompute_penalty);
     }
     if (homes.first && !wg_balance_is_full(homes.first, need)) {
-        wg_balance_weigh(b, homes.first, now, need, &homes, &best);
+        wg_balance_consider(b, homes.first, now, need, &homes, &best);
     }
     if (homes.second && !wg_balance_is_full(homes.second, need)) {
-        wg_balance_weigh(b, homes.second, now, need, &homes, &best);
+        wg_balance_consider(b, homes.second, now, need, &homes, &best);
     }
-    if (has_third && !wg_balance_is_full(homes.near, need)) {
-        wg_balance_weigh(b, homes.near, now, need, &homes, &best);
+    if (has_third && !wg_balance_is_full(homes.local, need)) {
+        wg_balance_consider(b, homes.local, now, need, &homes, &best);
     }
-    wg_balance_draw(b, service, now, need, &homes, &best);
+    wg_balance_sample(b, service, now, need, &homes, &best);
     best.choice.home = part;
-    best.choice.at_third = has_third && best.choice.target == homes.near->number;
+    best.choice.at_third = has_third && best.choice.target == homes.local->number;
     if (has_third && !best.choice.at_third) {
-        b->third_held += WG_THIRD_HELD_BACK * (1 - b->third_held);
+        b->third_hit_rate += WG_THIRD_HIT_RATE_RECOVERY * (1 - b->third_hit_rate);
     }
     return best.choice;
 }
 
 void wg_balance_note_third(wg_balance* b, bool held) {
-    b->third_held += WG_THIRD_HELD_WEIGHT * ((held ? 1 : 0) - b->third_held);
+    b->third_hit_rate += WG_THIRD_HIT_RATE_WEIGHT * ((held ? 1 : 0) - b->third_hit_rate);
 }
 
 void wg_balance_begin(wg_balance* b, wg_time now, wg_choice* choice) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
-    choice->begun = now;
+    choice->started_at = now;
     if (t) {
         t->own_unread += choice->unread;
         t->own_running++;
     }
 }
 
-static void wg_balance_take_read(wg_balance_target* t, wg_choice* choice) {
+static void wg_balance_settle_unread(wg_balance_target* t, wg_choice* choice) {
     WG_ASSERT(t->own_unread >= choice->unread);
     t->own_unread -= choice->unread;
     choice->unread = 0;
@@ -414,40 +416,41 @@
 
 void wg_balance_note_prompt(wg_balance* b, wg_time now, uint32_t target, const wg_prompt* prompt) {
     if (b->warm_at == 0) {
-        b->warm_at = now + WG_WARM_TIME;
+        b->warm_at = now + WG_WARM_UP_TIME;
     }
     wg_balance_target* t = wg_balance_find(b, target);
     for (int i = 0; t && i + 1 < prompt->num; i++) {
-        wg_parts_note(t->cached, now, prompt->parts[i]);
+        wg_parts_record(t->cached, now, prompt->parts[i]);
     }
 }
 
 void wg_balance_read(wg_balance* b, wg_time now, wg_choice* choice) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
-    wg_time took = now - choice->begun;
+    wg_time took = now - choice->started_at;
     if (!t) {
         return;
     }
     enum {
-        TOKENS_TOLD = 1500 /* smaller samples are too noisy to estimate the speed */
+        SAMPLE_TOKENS_MIN = 1500 /* smaller samples are too noisy to estimate the speed */
     };
     uint32_t tokens = choice->ahead + choice->unread;
-    if (tokens >= TOKENS_TOLD && took > WG_FIRST_EVENT_MIN) {
+    if (tokens >= SAMPLE_TOKENS_MIN && took > WG_FIRST_EVENT_MIN) {
         double sample = tokens / ((double)took - WG_FIRST_EVENT_MIN / 2.0);
         sample = CLAMP(sample, WG_SPEED_MIN, WG_SPEED_MAX);
         t->speed += WG_SPEED_WEIGHT * (sample - t->speed);
     }
-    wg_balance_take_read(t, choice);
+    wg_balance_settle_unread(t, choice);
 }
 
 /* Updates the service time from a complete answer, without the expected time in the queue. */
-static void wg_balance_learn_work(wg_balance_target* t, wg_time now, const wg_choice* choice) {
+static void wg_balance_update_service_time(wg_balance_target* t, wg_time now,
+                                           const wg_choice* choice) {
     if (!choice->plain) {
         return;
     }
-    double sample = (double)(now - choice->begun) / wg_balance_rounds(t, choice->running);
-    sample = CLAMP(sample, WG_WORK_MIN, WG_WORK_MAX);
-    t->work += WG_WORK_WEIGHT * (sample - t->work);
+    double sample = (double)(now - choice->started_at) / wg_balance_rounds(t, choice->running);
+    sample = CLAMP(sample, WG_SERVICE_TIME_MIN, WG_SERVICE_TIME_MAX);
+    t->service_time += WG_SERVICE_TIME_WEIGHT * (sample - t->service_time);
 }
 
 void wg_balance_end(wg_balance* b, wg_time now, wg_choice* choice, wg_result result) {
@@ -455,17 +458,19 @@
     if (!t) {
         return;
     }
-    wg_balance_take_read(t, choice);
+    wg_balance_settle_unread(t, choice);
     WG_ASSERT(t->own_running > 0);
     t->own_running--;
     t->moved = t->moved || result == WG_RESULT_MOVED;
     if (result == WG_RESULT_GOOD) {
-        wg_balance_learn_work(t, now, choice);
+        wg_balance_update_service_time(t, now, choice);
         t->failures = 0;
-        t->aside_until = 0;
-    } else if (result == WG_RESULT_FAILED && ++t->failures >= WG_FAILURES_BEFORE_ASIDE) {
-        wg_time most = MIN((wg_time)WG_ASIDE_MIN << MIN(t->failures, 6), (wg_time)WG_ASIDE_MAX);
-        t->aside_until = now + wg_jitter_range(b->desc.seed, ++b->counter, most / 2, most);
+        t->ejected_until = 0;
+    } else if (result == WG_RESULT_FAILED && ++t->failures >= WG_FAILURES_BEFORE_EJECTION) {
+        wg_time max_ejection =
+            MIN((wg_time)WG_EJECTION_MIN << MIN(t->failures, 6), (wg_time)WG_EJECTION_MAX);
+        t->ejected_until =
+            now + wg_jitter_range(b->desc.seed, ++b->counter, max_ejection / 2, max_ejection);
     }
 }
 
@@ -481,8 +486,8 @@
     if (t) {
         t->other_unread = unread > t->own_unread ? unread - t->own_unread : 0;
         t->other_running = running > t->own_running ? running - t->own_running : 0;
-        t->lately_unread = 0;
-        t->told_at = now;
+        t->recent_unread = 0;
+        t->reported_at = now;
     }
 }
 
@@ -505,7 +510,7 @@
     wg_time back_at = WG_TIME_NEVER;
     for (guint i = 0; service && b->desc.backoff && i < service->targets->len; i++) {
         const wg_balance_target* t = service->targets->pdata[i];
-        if (!wg_balance_is_there(t, need)) {
+        if (!wg_balance_is_eligible(t, need)) {
             continue;
         }
         wg_time free_at = wg_backoff_free_at(b->desc.backoff, now, t->key);
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -87,7 +87,7 @@
     uint32_t copied;    /* tokens at the start of the prompt that can be copied for certain */
     wg_time wait;       /* estimated time to the first event */
     wg_time wait_ahead; /* the part of `wait` caused by prompts of other requests */
-    wg_time begun;
+    wg_time started_at;
     uint64_t home; /* id of the last shared part of the prompt; 0: none */
 } wg_choice;
 
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -23,24 +23,24 @@
     return false;
 }
 
-bool wg_balance_is_there(const wg_balance_target* t, const wg_need* need) {
+bool wg_balance_is_eligible(const wg_balance_target* t, const wg_need* need) {
     return t->ready && !t->moved && !wg_need_tried(need, t->number);
 }
 
 /* A target that refuses everything has nothing in progress. Without this check of its backoff it
    would look idle and attract every request. */
-bool wg_balance_takes(const wg_balance_target* t, wg_time now, const wg_need* need) {
-    return wg_balance_is_there(t, need) &&
+bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* need) {
+    return wg_balance_is_eligible(t, need) &&
            (!t->backoff || wg_backoff_free_at(t->backoff, now, t->key) == 0);
 }
 
-static bool wg_balance_is_leaving(const wg_balance_target* t) {
+static bool wg_balance_is_draining(const wg_balance_target* t) {
     return t->draining || (t->backoff && wg_backoff_is_leaving(t->backoff, t->key));
 }
 
 static void wg_balance_rank_in(uint64_t part, wg_balance_target** best, wg_balance_target* t) {
     uint64_t rank = wg_balance_rank(part, t);
-    for (int i = 0; t && i < WG_RANKED; i++) {
+    for (int i = 0; t && i < WG_RANKED_MAX; i++) {
         wg_balance_target* other = best[i];
         if (other && wg_balance_rank(part, other) >= rank) {
             continue;
@@ -64,8 +64,8 @@
     for (guint i = 0; i < service->targets->len; i++) {
         wg_balance_target* t = service->targets->pdata[i];
         wg_balance_rank_in(part, ranking->best, t);
-        if (t->near) {
-            wg_balance_rank_in(part, ranking->near, t);
+        if (t->local) {
+            wg_balance_rank_in(part, ranking->local, t);
         }
     }
     g_hash_table_insert(service->rankings, &ranking->part, ranking);
@@ -79,7 +79,7 @@
 
 /* True if sending the request to a remote data centre costs more than copying its shared parts.
  */
-static bool wg_need_is_worth_a_copy(const wg_need* need) {
+static bool wg_need_prefers_local_home(const wg_need* need) {
     const wg_prompt* prompt = need->prompt;
     if (!need->copies || !prompt || prompt->num < 2) {
         return false;
@@ -87,11 +87,11 @@
     return wg_prompt_shared(prompt) * WG_COPIED_TOKEN_BYTES <= need->bytes;
 }
 
-static const wg_balance_target* wg_balance_find_near(const wg_balance_ranking* ranking, wg_time now,
-                                                     const wg_need* need) {
-    for (int i = 0; i < WG_RANKED && ranking->near[i]; i++) {
-        const wg_balance_target* t = ranking->near[i];
-        if (wg_balance_takes(t, now, need) && now >= t->aside_until) {
+static const wg_balance_target* wg_balance_find_local(const wg_balance_ranking* ranking,
+                                                      wg_time now, const wg_need* need) {
+    for (int i = 0; i < WG_RANKED_MAX && ranking->local[i]; i++) {
+        const wg_balance_target* t = ranking->local[i];
+        if (wg_balance_accepts(t, now, need) && now >= t->ejected_until) {
             return t;
         }
     }
@@ -102,19 +102,19 @@
                                        const wg_need* need, uint64_t part) {
     wg_balance_homes homes = {0};
     const wg_balance_ranking* ranking = part ? wg_balance_ranking_of(service, part) : NULL;
-    for (int i = 0; ranking && i < WG_RANKED && ranking->best[i] && !homes.second; i++) {
+    for (int i = 0; ranking && i < WG_RANKED_MAX && ranking->best[i] && !homes.second; i++) {
         const wg_balance_target* t = ranking->best[i];
-        bool takes = wg_balance_takes(t, now, need) && now >= t->aside_until;
-        if (takes && !homes.first) {
+        bool accepts = wg_balance_accepts(t, now, need) && now >= t->ejected_until;
+        if (accepts && !homes.first) {
             homes.first = t;
-        } else if (takes) {
+        } else if (accepts) {
             homes.second = t;
-        } else if (wg_balance_is_leaving(t) && !homes.first && !homes.leaving) {
-            homes.leaving = t; /* it was the first home before it drained */
+        } else if (wg_balance_is_draining(t) && !homes.first && !homes.draining_home) {
+            homes.draining_home = t; /* it was the first home before it drained */
         }
     }
-    if (ranking && wg_need_is_worth_a_copy(need)) {
-        homes.near = wg_balance_find_near(ranking, now, need);
+    if (ranking && wg_need_prefers_local_home(need)) {
+        homes.local = wg_balance_find_local(ranking, now, need);
     }
     return homes;
 }
--- a/lib/balance/wg_balance_internal.h
+++ b/lib/balance/wg_balance_internal.h
@@ -3,7 +3,7 @@
 #include "wg_balance.h"
 
 enum {
-    WG_RANKED = 6 /* targets kept per ranking: two homes and fallbacks for failures */
+    WG_RANKED_MAX = 6 /* targets kept per ranking: two homes and fallbacks for failures */
 };
 
 typedef struct {
@@ -16,27 +16,28 @@
     bool draining;
     bool moved;      /* another incarnation answers at this target's address */
     uint64_t change; /* change number of the registry record */
-    bool near;
+    bool local;
     uint32_t slots;
     uint32_t own_unread;
     uint32_t own_running;
     uint32_t other_unread;
     uint32_t other_running;
-    uint32_t lately_unread; /* recent prompt tokens of other hosts, decaying with each report */
-    wg_time told_at;        /* when the coordinator last reported the load; 0: never */
+    uint32_t recent_unread; /* recent prompt tokens of other hosts, decaying with each report */
+    wg_time reported_at;    /* when the coordinator last reported the load; 0: never */
     double speed;           /* prompt tokens processed per microsecond */
-    double work;            /* microseconds for one request without a prompt that does not queue */
+    double service_time;    /* microseconds for one request without a prompt that does not queue */
     int failures;
-    wg_time aside_until;
+    wg_time ejected_until;
     GHashTable* cached; /* part id -> wg_time*, when the part was last sent to the target */
 } wg_balance_target;
 
 /* The targets of a service that rank highest for one part, whatever their state. */
 typedef struct {
     uint64_t part;
-    wg_balance_target* best[WG_RANKED]; /* highest rank first; NULL after the last */
-    wg_balance_target* near[WG_RANKED]; /* targets in this host's data centre, highest rank first;
-                                           NULL after the last */
+    /* Targets of all data centres and of this host's own; highest rank first, NULL after the last.
+     */
+    wg_balance_target* best[WG_RANKED_MAX];
+    wg_balance_target* local[WG_RANKED_MAX];
 } wg_balance_ranking;
 
 typedef struct {
@@ -51,16 +52,16 @@
 typedef struct {
     const wg_balance_target* first;
     const wg_balance_target* second;
-    const wg_balance_target* leaving;
-    const wg_balance_target*
-        near; /* highest-ranked target in this data centre, if a copy there pays off; or NULL */
-    uint32_t near_extra; /* penalty in tokens for the chance that `near` lacks the prefix */
+    const wg_balance_target* draining_home;
+    /* Highest-ranked target in this data centre, if a copy there pays off; or NULL. */
+    const wg_balance_target* local;
+    uint32_t local_penalty; /* penalty in tokens for the chance that `local` lacks the prefix */
 } wg_balance_homes;
 
 /* True if the target could be sent the request, disregarding backoff. */
-bool wg_balance_is_there(const wg_balance_target* target, const wg_need* need);
+bool wg_balance_is_eligible(const wg_balance_target* target, const wg_need* need);
 /* True if the target may be sent the request now. */
-bool wg_balance_takes(const wg_balance_target* target, wg_time now, const wg_need* need);
+bool wg_balance_accepts(const wg_balance_target* target, wg_time now, const wg_need* need);
 void wg_balance_service_free(void* service);
 /* Finds the homes of the prefix that ends with `part`; none if `part` is 0. */
 wg_balance_homes wg_balance_find_homes(wg_balance_service* service, wg_time now,
--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -6,18 +6,18 @@
 
 /* Wait tolerance as a function of usage divided by the level. */
 typedef struct {
-    double full_at;  /* tolerance is 1 up to this ratio */
-    double least_at; /* tolerance is `least` from this ratio on */
-    double least;
-    double none_at; /* tolerance is 0 from this ratio on */
+    double full_until; /* tolerance is 1 up to this ratio */
+    double min_from;   /* tolerance is `min` from this ratio on */
+    double min;
+    double zero_from; /* tolerance is 0 from this ratio on */
 } wg_fair_slope;
 
 /* Targets have capacity for some usage above the fair share. A higher minimum would cause shared
    parts to be computed again and others to wait. */
-static const wg_fair_slope WG_FAIR_OWED = {
-    .full_at = 1.0, .least_at = 1.2, .least = 0.11, .none_at = 1e9};
-static const wg_fair_slope WG_FAIR_SERVED = {
-    .full_at = 1.0, .least_at = 1.15, .least = 0.05, .none_at = 1.3};
+static const wg_fair_slope WG_FAIR_SHARE_SLOPE = {
+    .full_until = 1.0, .min_from = 1.2, .min = 0.11, .zero_from = 1e9};
+static const wg_fair_slope WG_FAIR_SERVED_SLOPE = {
+    .full_until = 1.0, .min_from = 1.15, .min = 0.05, .zero_from = 1.3};
 
 static int wg_fair_compare(const void* a, const void* b) {
     double first = *(const double*)a;
@@ -46,13 +46,13 @@
     return level;
 }
 
-static double wg_fair_fall(const wg_fair_slope* slope, double used, double level) {
-    double times = level > 0 ? used / level : 0;
-    if (times >= slope->none_at) {
+static double wg_fair_tolerance_at(const wg_fair_slope* slope, double used, double level) {
+    double ratio = level > 0 ? used / level : 0;
+    if (ratio >= slope->zero_from) {
         return 0;
     }
-    double part = (times - slope->full_at) / (slope->least_at - slope->full_at);
-    return 1 - CLAMP(part, 0, 1) * (1 - slope->least);
+    double part = (ratio - slope->full_until) / (slope->min_from - slope->full_until);
+    return 1 - CLAMP(part, 0, 1) * (1 - slope->min);
 }
 
 /* Fractions of the served level: below the first a workspace is behind others, at the second it
@@ -66,32 +66,32 @@
 
 /* Wait tolerance of a workspace that was served less than others: 1 without usage, 0 once it has
    caught up. */
-static double wg_fair_catch_up(double used, const wg_fair_levels* levels) {
+static double wg_fair_catch_up_tolerance(double used, const wg_fair_levels* levels) {
     double enough = WG_FAIR_CAUGHT_UP * levels->served;
     return used < enough ? 1 - used / enough : 0;
 }
 
 double wg_fair_patience(double used, const wg_fair_levels* levels) {
-    double owed = wg_fair_fall(&WG_FAIR_OWED, used, levels->owed);
-    owed = MAX(owed, wg_fair_catch_up(used, levels));
-    double served = wg_fair_fall(&WG_FAIR_SERVED, used, levels->served);
+    double owed = wg_fair_tolerance_at(&WG_FAIR_SHARE_SLOPE, used, levels->owed);
+    owed = MAX(owed, wg_fair_catch_up_tolerance(used, levels));
+    double served = wg_fair_tolerance_at(&WG_FAIR_SERVED_SLOPE, used, levels->served);
     /* Of two workspaces above their fair share, the one with higher usage yields. */
     return owed * served;
 }
 
-wg_time wg_fair_try_gap(double patience) {
+wg_time wg_fair_try_gap(double tolerance) {
     enum {
         TRY_GAP = 60 * WG_USEC_PER_MSEC
     };
-    return patience < 1 ? TRY_GAP : 0;
+    return tolerance < 1 ? TRY_GAP : 0;
 }
 
 /* Fraction of the level below which requests are sent late rather than refused. */
-static const double WG_FAIR_MODEST = 0.5;
+static const double WG_FAIR_LOW_USAGE = 0.5;
 
 bool wg_fair_is_modest(double used, const wg_fair_levels* levels) {
     double level = levels->owed > 0 ? MIN(levels->owed, levels->served) : levels->served;
-    return used < WG_FAIR_MODEST * level;
+    return used < WG_FAIR_LOW_USAGE * level;
 }
 
 /* ---- margin --------------------------------------------------------------------------------- */
@@ -99,7 +99,7 @@
 /* The margin settles where about one first event in eleven is late. */
 static const double WG_MARGIN_LOSS = 0.06; /* fraction lost per late event */
 static const double WG_MARGIN_GAIN = 0.006;
-static const double WG_MARGIN_LEAST = 0.12;
+static const double WG_MARGIN_MIN = 0.12;
 
 double wg_fair_trust(const wg_fair_margin* margin) {
     return margin->value > 0 ? margin->value : 1;
@@ -108,5 +108,5 @@
 void wg_fair_learn(wg_fair_margin* margin, bool in_time) {
     double value = wg_fair_trust(margin);
     value = in_time ? value + WG_MARGIN_GAIN : value * (1 - WG_MARGIN_LOSS);
-    margin->value = CLAMP(value, WG_MARGIN_LEAST, 1);
+    margin->value = CLAMP(value, WG_MARGIN_MIN, 1);
 }
--- a/lib/fair/wg_fair.h
+++ b/lib/fair/wg_fair.h
@@ -54,4 +54,4 @@
 /* Returns the microseconds between two tries of a queued request. Workspaces above their fair
    share retry at intervals, so that their share does not depend on how many requests their host has
    queued. */
-wg_time wg_fair_try_gap(double patience);
+wg_time wg_fair_try_gap(double tolerance);
--- a/lib/fair/wg_usage.c
+++ b/lib/fair/wg_usage.c
@@ -5,7 +5,7 @@
 
 enum {
     /* Microseconds between two decay steps; short compared to the half-life. */
-    WG_USAGE_STEP = 100 * WG_USEC_PER_MSEC
+    WG_USAGE_DECAY_STEP = 100 * WG_USEC_PER_MSEC
 };
 
 /* In doubles, as usage decays in small steps. */
@@ -17,7 +17,7 @@
 /* Usage of one workspace in the whole fleet. */
 typedef struct {
     uint64_t workspace;
-    wg_usage_amount told;      /* reported by the leader */
+    wg_usage_amount reported;  /* reported by the leader */
     wg_usage_amount estimated; /* estimated since that report from this host's own usage */
 } wg_usage_copy;
 
@@ -29,10 +29,10 @@
 } wg_usage_total;
 
 struct wg_usage_book {
-    GHashTable* fleet; /* workspace -> wg_usage_copy* */
-    GHashTable* own;   /* workspace -> wg_usage_total* */
-    wg_time heard_at;  /* 0: never */
-    wg_time faded_at;
+    GHashTable* fleet;   /* workspace -> wg_usage_copy* */
+    GHashTable* own;     /* workspace -> wg_usage_total* */
+    wg_time reported_at; /* 0: never */
+    wg_time decayed_at;
     wg_fair_levels levels;
 };
 
@@ -68,8 +68,8 @@
     g_hash_table_iter_init(&iter, b->fleet);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wg_usage_copy* copy = value;
-        double tokens = copy->told.tokens + copy->estimated.tokens;
-        asked[filled++] = MAX(copy->told.asked + copy->estimated.asked, tokens);
+        double tokens = copy->reported.tokens + copy->estimated.tokens;
+        asked[filled++] = MAX(copy->reported.asked + copy->estimated.asked, tokens);
         served += tokens;
     }
     b->levels.served = wg_fair_level(asked, filled, served);
@@ -77,26 +77,26 @@
     g_free(asked);
 }
 
-static wg_usage_amount wg_usage_times(wg_usage_amount amount, double times) {
-    return (wg_usage_amount){amount.tokens * times, amount.asked * times};
+static wg_usage_amount wg_usage_scale(wg_usage_amount amount, double factor) {
+    return (wg_usage_amount){amount.tokens * factor, amount.asked * factor};
 }
 
-static void wg_usage_fade_copy(wg_usage_book* b, double keep, bool drop) {
+static void wg_usage_decay_copy(wg_usage_book* b, double keep, bool drop) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, b->fleet);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_usage_copy* copy = value;
-        copy->told = wg_usage_times(copy->told, drop ? 0 : keep);
-        copy->estimated = wg_usage_times(copy->estimated, keep);
-        if (copy->told.asked + copy->estimated.asked < 1) {
+        copy->reported = wg_usage_scale(copy->reported, drop ? 0 : keep);
+        copy->estimated = wg_usage_scale(copy->estimated, keep);
+        if (copy->reported.asked + copy->estimated.asked < 1) {
             g_hash_table_iter_remove(&iter);
         }
     }
 }
 
-/* Adds this host's usage since the last update to the copy, multiplied by `times`. */
-static void wg_usage_count_own(wg_usage_book* b, double times) {
+/* Adds this host's usage since the last update to the copy, multiplied by `factor`. */
+static void wg_usage_count_own(wg_usage_book* b, double factor) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, b->own);
@@ -106,10 +106,10 @@
         uint64_t asked = own->total.asked - own->asked_counted;
         own->tokens_counted = own->total.tokens;
         own->asked_counted = own->total.asked;
-        if (times > 0 && (tokens > 0 || asked > 0)) {
+        if (factor > 0 && (tokens > 0 || asked > 0)) {
             wg_usage_copy* copy = wg_usage_copy_of(b, own->total.workspace);
-            copy->estimated.tokens += times * (double)tokens;
-            copy->estimated.asked += times * (double)asked;
+            copy->estimated.tokens += factor * (double)tokens;
+            copy->estimated.asked += factor * (double)asked;
         }
     }
 }
@@ -141,29 +141,29 @@
     g_hash_table_remove_all(b->fleet);
     for (size_t i = 0; i < num; i++) {
         wg_usage_copy* copy = wg_usage_copy_of(b, list[i].workspace);
-        copy->told = (wg_usage_amount){(double)list[i].tokens, (double)list[i].asked};
+        copy->reported = (wg_usage_amount){(double)list[i].tokens, (double)list[i].asked};
     }
     wg_usage_count_own(b, 0);
-    b->heard_at = now;
-    b->faded_at = now;
+    b->reported_at = now;
+    b->decayed_at = now;
     wg_usage_set_levels(b, owed);
 }
 
 void wg_usage_fade(wg_usage_book* b, wg_time now, int hosts, double owed) {
-    bool fresh = b->heard_at == 0 || now - b->heard_at < WG_USAGE_STALE;
-    if (fresh || now - b->faded_at < WG_USAGE_STEP) {
+    bool fresh = b->reported_at == 0 || now - b->reported_at < WG_USAGE_STALE_AFTER;
+    if (fresh || now - b->decayed_at < WG_USAGE_DECAY_STEP) {
         return;
     }
-    double keep = exp2(-(double)(now - b->faded_at) / WG_USAGE_HALF_LIFE);
-    wg_usage_fade_copy(b, keep, now - b->heard_at > WG_USAGE_DROPPED);
+    double keep = exp2(-(double)(now - b->decayed_at) / WG_USAGE_HALF_LIFE);
+    wg_usage_decay_copy(b, keep, now - b->reported_at > WG_USAGE_DROPPED_AFTER);
     wg_usage_count_own(b, MAX(hosts, 1));
-    b->faded_at = now;
+    b->decayed_at = now;
     wg_usage_set_levels(b, owed);
 }
 
 double wg_usage_of(const wg_usage_book* b, uint64_t workspace) {
     const wg_usage_copy* copy = g_hash_table_lookup(b->fleet, &workspace);
-    return copy ? copy->told.tokens + copy->estimated.tokens : 0;
+    return copy ? copy->reported.tokens + copy->estimated.tokens : 0;
 }
 
 const wg_fair_levels* wg_usage_levels(const wg_usage_book* b) {
--- a/lib/fair/wg_usage.h
+++ b/lib/fair/wg_usage.h
@@ -28,11 +28,11 @@
     WG_USAGE_HALF_LIFE = 1200 * WG_USEC_PER_MSEC,
     /* Microseconds since the last report until a copy decays. Longer than an election and than
        the interval between reports in a large fleet. */
-    WG_USAGE_STALE = WG_USEC_PER_SEC,
+    WG_USAGE_STALE_AFTER = WG_USEC_PER_SEC,
     /* Microseconds since the last report until the leader's part of a copy is dropped. Decay
        alone keeps the proportions of the copy, which would hold workspaces back where little else
        is served. */
-    WG_USAGE_DROPPED = 4 * WG_USAGE_HALF_LIFE
+    WG_USAGE_DROPPED_AFTER = 4 * WG_USAGE_HALF_LIFE
 };
 
 /* Usage of a workspace in tokens. */
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -7,9 +7,9 @@
     _WG_POLICY_WAIT_PERCENT = 11,
     _WG_POLICY_WAIT_MIN = 5 * WG_USEC_PER_MSEC,
     /* Callers honour a Retry-After of up to their remaining time divided by this. */
-    _WG_POLICY_HONOURED_PART = 3,
-    _WG_POLICY_ASKS = 3,
-    _WG_POLICY_ASKS_IMPATIENT = 2 /* used when the wait tolerance is below 1 */
+    _WG_POLICY_HONOURED_DIVISOR = 3,
+    _WG_POLICY_ADMISSIONS_MAX = 3,
+    _WG_POLICY_ADMISSIONS_MAX_LIMITED = 2 /* used when the wait tolerance is below 1 */
 };
 
 /* Fraction of the objective that the expected first event may take. */
@@ -18,28 +18,28 @@
    requests of other hosts are not known yet and service times vary. */
 static const double _WG_POLICY_PLAIN_LIMIT = 0.7;
 /* Fraction of _WG_POLICY_LIMIT that remains when confidence in estimates is 0. */
-static const double _WG_POLICY_TRUSTLESS = 0.6;
+static const double _WG_POLICY_NO_CONFIDENCE_FACTOR = 0.6;
 /* Factor on the limit of a request that is sent late rather than refused. */
-static const double _WG_POLICY_MODEST_FACTOR = 2;
+static const double _WG_POLICY_RELAXED_FACTOR = 2;
 /* Fraction of a target's slots for workspaces above their fair share: minimum, and the range by
    wait tolerance. */
-static const double _WG_POLICY_SLOTS_LEAST = 0.55;
+static const double _WG_POLICY_SLOTS_MIN = 0.55;
 static const double _WG_POLICY_SLOTS_SPAN = 0.35;
 /* Fraction of the objective that queued prompts may take before a request that is too large to
    meet the objective. */
-static const double _WG_POLICY_LARGE = 0.3;
+static const double _WG_POLICY_LARGE_LIMIT = 0.3;
 
 /* Range of Retry-After times. Short, since targets have capacity again within tenths of a
    second. */
 static const wg_time _WG_POLICY_RETRY_AFTER_MIN = 100 * WG_USEC_PER_MSEC;
 static const wg_time _WG_POLICY_RETRY_AFTER_MAX = 300 * WG_USEC_PER_MSEC;
 
-static double _wg_policy_patience(const wg_policy_terms* t) {
+static double _wg_policy_tolerance(const wg_policy_terms* t) {
     if (!t->counts) {
         return 1;
     }
-    double patience = wg_fair_patience(t->used, t->levels);
-    return patience < 1 ? patience * wg_fair_trust(t->margin) : 1;
+    double tolerance = wg_fair_patience(t->used, t->levels);
+    return tolerance < 1 ? tolerance * wg_fair_trust(t->margin) : 1;
 }
 
 wg_time wg_policy_wait(wg_time objective) {
@@ -48,8 +48,9 @@
 
 wg_time wg_policy_limit(const wg_policy_terms* t, wg_time now) {
     wg_time left = t->started + t->objective - now;
-    double trust = wg_fair_trust(t->margin);
-    double limit = _WG_POLICY_LIMIT * (_WG_POLICY_TRUSTLESS + (1 - _WG_POLICY_TRUSTLESS) * trust);
+    double confidence = wg_fair_trust(t->margin);
+    double limit = _WG_POLICY_LIMIT * (_WG_POLICY_NO_CONFIDENCE_FACTOR +
+                                       (1 - _WG_POLICY_NO_CONFIDENCE_FACTOR) * confidence);
     return (wg_time)(limit * (double)MIN(left, t->tightest));
 }
 
@@ -61,24 +62,24 @@
 
 wg_admit_limits wg_policy_limits(const wg_policy_terms* t, wg_time now) {
     double whole = (double)wg_policy_limit(t, now);
-    double patience = _wg_policy_patience(t);
-    double factor = t->relaxed ? _WG_POLICY_MODEST_FACTOR : 1;
-    double large = _WG_POLICY_LARGE * (double)t->tightest;
+    double tolerance = _wg_policy_tolerance(t);
+    double factor = t->relaxed ? _WG_POLICY_RELAXED_FACTOR : 1;
+    double large = _WG_POLICY_LARGE_LIMIT * (double)t->tightest;
     bool behind = t->counts && wg_fair_is_behind(t->used, t->levels);
     return (wg_admit_limits){.whole = (wg_time)(factor * whole),
-                             .ahead = (wg_time)(factor * patience * whole),
-                             .ahead_large = (wg_time)(factor * patience * large),
-                             .spares_shared = patience < 1 && !behind};
+                             .ahead = (wg_time)(factor * tolerance * whole),
+                             .ahead_large = (wg_time)(factor * tolerance * large),
+                             .spares_shared = tolerance < 1 && !behind};
 }
 
 double wg_policy_slots_share(const wg_policy_terms* t) {
-    double patience = _wg_policy_patience(t);
-    bool all = !t->has_prompt || patience >= 1;
-    return all ? 1 : _WG_POLICY_SLOTS_LEAST + _WG_POLICY_SLOTS_SPAN * patience;
+    double tolerance = _wg_policy_tolerance(t);
+    bool all = !t->has_prompt || tolerance >= 1;
+    return all ? 1 : _WG_POLICY_SLOTS_MIN + _WG_POLICY_SLOTS_SPAN * tolerance;
 }
 
 bool wg_policy_may_spill(const wg_policy_terms* t) {
-    return t->counts && _wg_policy_patience(t) >= 1;
+    return t->counts && _wg_policy_tolerance(t) >= 1;
 }
 
 bool wg_policy_is_modest(const wg_policy_terms* t) {
@@ -86,15 +87,15 @@
 }
 
 int wg_policy_asks_max(const wg_policy_terms* t) {
-    double patience = t->sent_before ? 1 : _wg_policy_patience(t);
-    if (patience <= 0) {
+    double tolerance = t->sent_before ? 1 : _wg_policy_tolerance(t);
+    if (tolerance <= 0) {
         return 0;
     }
-    return patience < 1 ? _WG_POLICY_ASKS_IMPATIENT : _WG_POLICY_ASKS;
+    return tolerance < 1 ? _WG_POLICY_ADMISSIONS_MAX_LIMITED : _WG_POLICY_ADMISSIONS_MAX;
 }
 
 wg_time wg_policy_try_gap(const wg_policy_terms* t) {
-    return wg_fair_try_gap(_wg_policy_patience(t));
+    return wg_fair_try_gap(_wg_policy_tolerance(t));
 }
 
 wg_time wg_policy_retry_after(uint64_t seed, uint64_t counter) {
@@ -105,8 +106,8 @@
    wait for the same moment, so each gets a random offset, limited so that the caller can still be
    served. */
 wg_time wg_policy_retry_after_rest(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
-    wg_time most = MAX(left, 0) / _WG_POLICY_HONOURED_PART;
-    wg_time apart = wg_policy_retry_after(seed, counter);
-    wg_time spread = wg_jitter_range(seed, counter, most * 4 / 5, most);
-    return rest + apart <= most ? rest + apart : spread;
+    wg_time max_wait = MAX(left, 0) / _WG_POLICY_HONOURED_DIVISOR;
+    wg_time jitter = wg_policy_retry_after(seed, counter);
+    wg_time spread = wg_jitter_range(seed, counter, max_wait * 4 / 5, max_wait);
+    return rest + jitter <= max_wait ? rest + jitter : spread;
 }
--- a/lib/quarantine/wg_quarantine.c
+++ b/lib/quarantine/wg_quarantine.c
@@ -17,7 +17,7 @@
     g_ptr_array_remove(q->entries, entry);
 }
 
-static int _wg_quarantine_of_workspace(const wg_quarantine* q, const char* workspace) {
+static int _wg_quarantine_num_of_workspace(const wg_quarantine* q, const char* workspace) {
     int num = 0;
     for (guint i = 0; i < q->entries->len; i++) {
         num += strcmp(((wg_quarantined*)q->entries->pdata[i])->workspace, workspace) == 0;
@@ -39,12 +39,12 @@
    entry. */
 static const char* _wg_quarantine_largest_workspace(const wg_quarantine* q) {
     const char* largest = NULL;
-    int most = 0;
+    int max_num = 0;
     for (guint i = 0; i < q->entries->len; i++) {
         const char* workspace = ((wg_quarantined*)q->entries->pdata[i])->workspace;
-        int num = _wg_quarantine_of_workspace(q, workspace);
-        if (num > most) {
-            most = num;
+        int num = _wg_quarantine_num_of_workspace(q, workspace);
+        if (num > max_num) {
+            max_num = num;
             largest = workspace;
         }
     }
@@ -52,8 +52,9 @@
 }
 
 /* Returns the entry to evict before one of the workspace is added; NULL if there is room. */
-static wg_quarantined* _wg_quarantine_excess(const wg_quarantine* q, const char* workspace) {
-    if (_wg_quarantine_of_workspace(q, workspace) >= q->desc.per_workspace) {
+static wg_quarantined* _wg_quarantine_entry_to_evict(const wg_quarantine* q,
+                                                     const char* workspace) {
+    if (_wg_quarantine_num_of_workspace(q, workspace) >= q->desc.per_workspace) {
         return _wg_quarantine_oldest_of(q, workspace);
     }
     if ((int)q->entries->len >= q->desc.max) {
@@ -70,10 +71,10 @@
 }
 
 static wg_quarantined _wg_quarantined_unpack(const Wgpb__Quarantine* in, wg_time now) {
-    uint64_t most = WG_QUARANTINE_LIFE_MAX_S * (uint64_t)WG_USEC_PER_SEC;
+    uint64_t max_life_us = WG_QUARANTINE_DURATION_MAX_S * (uint64_t)WG_USEC_PER_SEC;
     wg_quarantined entry = {.fingerprint = in->fingerprint,
                             .ends = (int)MIN(in->ends, (uint32_t)G_MAXINT),
-                            .until = now + (wg_time)MIN(in->life_us, most)};
+                            .until = now + (wg_time)MIN(in->life_us, max_life_us)};
     g_strlcpy(entry.workspace, in->workspace, sizeof entry.workspace);
     g_strlcpy(entry.path, in->path, sizeof entry.path);
     return entry;
@@ -117,10 +118,10 @@
         return true;
     }
     wg_quarantined entry = _wg_quarantined_unpack(change, now);
-    wg_quarantined* excess = _wg_quarantine_excess(q, entry.workspace);
-    if (excess) {
-        *dropped = *excess;
-        _wg_quarantine_remove(q, excess);
+    wg_quarantined* evicted = _wg_quarantine_entry_to_evict(q, entry.workspace);
+    if (evicted) {
+        *dropped = *evicted;
+        _wg_quarantine_remove(q, evicted);
     }
     _wg_quarantine_add(q, &entry);
     return true;
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -35,7 +35,7 @@
     /* An eighth of the entries, so that one workspace cannot fill the quarantine. */
     WG_QUARANTINE_PER_WORKSPACE_DEFAULT = 32,
     /* Upper limit of the duration in a message, one week. Seconds. */
-    WG_QUARANTINE_LIFE_MAX_S = 604800
+    WG_QUARANTINE_DURATION_MAX_S = 604800
 };
 
 typedef enum {
--- a/lib/quarantine/wg_suspects.c
+++ b/lib/quarantine/wg_suspects.c
@@ -33,7 +33,7 @@
 static const char* _wg_suspects_largest_workspace(const wg_suspects* s) {
     GHashTable* counts = g_hash_table_new(g_str_hash, g_str_equal);
     const char* largest = NULL;
-    int most = 0;
+    int max_num = 0;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, s->by_fingerprint);
@@ -41,8 +41,8 @@
         const char* workspace = ((wg_suspect*)value)->workspace;
         int num = GPOINTER_TO_INT(g_hash_table_lookup(counts, workspace)) + 1;
         g_hash_table_insert(counts, (gpointer)workspace, GINT_TO_POINTER(num));
-        if (num > most) {
-            most = num;
+        if (num > max_num) {
+            max_num = num;
             largest = workspace;
         }
     }
@@ -52,7 +52,7 @@
 
 /* Evicts the oldest suspect of the largest workspace, so that one workspace cannot evict the
    suspects of others. */
-static void _wg_suspects_make_room(wg_suspects* s) {
+static void _wg_suspects_evict(wg_suspects* s) {
     const char* workspace = _wg_suspects_largest_workspace(s);
     wg_suspect* oldest = NULL;
     GHashTableIter iter;
@@ -61,16 +61,16 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_suspect* suspect = value;
         bool counts = strcmp(suspect->workspace, workspace) == 0;
-        if (counts && (!oldest || suspect->seen_at < oldest->seen_at)) {
+        if (counts && (!oldest || suspect->last_crash_at < oldest->last_crash_at)) {
             oldest = suspect;
         }
     }
     g_hash_table_remove(s->by_fingerprint, &oldest->fingerprint);
 }
 
-static wg_suspect* _wg_suspects_begin(wg_suspects* s, const wg_crash* crash) {
+static wg_suspect* _wg_suspects_create(wg_suspects* s, const wg_crash* crash) {
     if ((int)g_hash_table_size(s->by_fingerprint) >= s->desc.max) {
-        _wg_suspects_make_room(s);
+        _wg_suspects_evict(s);
     }
     wg_suspect* suspect = g_new0(wg_suspect, 1);
     suspect->fingerprint = crash->fingerprint;
@@ -105,7 +105,8 @@
     wg_suspects* s = g_new0(wg_suspects, 1);
     s->desc = *desc;
     s->desc.max = desc->max ? desc->max : WG_SUSPECTS_MAX_DEFAULT;
-    s->desc.life = desc->life ? desc->life : WG_SUSPECT_LIFE_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    s->desc.life =
+        desc->life ? desc->life : WG_SUSPECT_LIFETIME_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     s->desc.cleared_time = desc->cleared_time
                                ? desc->cleared_time
                                : WG_SUSPECT_CLEARED_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
@@ -125,9 +126,9 @@
     }
     wg_suspect* suspect = wg_suspects_find(s, crash->fingerprint);
     if (!suspect) {
-        suspect = _wg_suspects_begin(s, crash);
+        suspect = _wg_suspects_create(s, crash);
     }
-    suspect->seen_at = now;
+    suspect->last_crash_at = now;
     _wg_suspect_add(suspect, crash);
     return suspect;
 }
@@ -159,7 +160,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, s->by_fingerprint);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (now - ((wg_suspect*)value)->seen_at >= s->desc.life) {
+        if (now - ((wg_suspect*)value)->last_crash_at >= s->desc.life) {
             g_hash_table_iter_remove(&iter);
         }
     }
--- a/lib/quarantine/wg_suspects.h
+++ b/lib/quarantine/wg_suspects.h
@@ -32,7 +32,7 @@
 enum {
     WG_SUSPECTS_MAX_DEFAULT = 1024,
     /* Seconds until a suspect expires. Requests repeated less often than this are not caught. */
-    WG_SUSPECT_LIFE_DEFAULT_S = 600,
+    WG_SUSPECT_LIFETIME_DEFAULT_S = 600,
     /* Seconds for which a request that ended well is no suspect. Longer would protect a request
        that crashes a new release of its targets. */
     WG_SUSPECT_CLEARED_DEFAULT_S = 30,
@@ -57,13 +57,13 @@
     bool early[WG_SUSPECT_TARGETS_MAX];
     int targets_num;
     int weight;
-    wg_time seen_at;  /* time of the last crash */
-    wg_time asked_at; /* for use by the caller: when it last proposed a quarantine */
+    wg_time last_crash_at; /* time of the last crash */
+    wg_time asked_at;      /* for use by the caller: when it last proposed a quarantine */
 } wg_suspect;
 
 typedef struct {
     int max;      /* maximum number of suspects; default WG_SUSPECTS_MAX_DEFAULT */
-    wg_time life; /* microseconds after the last crash; default WG_SUSPECT_LIFE_DEFAULT_S */
+    wg_time life; /* microseconds after the last crash; default WG_SUSPECT_LIFETIME_DEFAULT_S */
     /* microseconds for which a request that ended well is no suspect; default
        WG_SUSPECT_CLEARED_DEFAULT_S */
     wg_time cleared_time;
--- a/lib/registry/wg_registry.c
+++ b/lib/registry/wg_registry.c
@@ -26,7 +26,7 @@
     return target->state == WG_TARGET_GONE;
 }
 
-static void wg_registry_note_change(wg_registry* r, wg_target* target) {
+static void wg_registry_record_change(wg_registry* r, wg_target* target) {
     target->change = ++r->change;
 }
 
@@ -34,11 +34,11 @@
     if (!wg_target_ended(target)) {
         target->state = WG_TARGET_GONE;
         r->ended++;
-        wg_registry_note_change(r, target);
+        wg_registry_record_change(r, target);
     }
 }
 
-static void wg_registry_unlist(wg_registry* r, const wg_target* target) {
+static void wg_registry_remove_id(wg_registry* r, const wg_target* target) {
     if (g_hash_table_lookup(r->by_id, target->id) == target) {
         g_hash_table_remove(r->by_id, target->id);
     }
@@ -59,7 +59,7 @@
         WG_ASSERT(oldest != G_MAXUINT);
         wg_target* target = r->records->pdata[oldest];
         r->floor = MAX(r->floor, target->change);
-        wg_registry_unlist(r, target);
+        wg_registry_remove_id(r, target);
         g_ptr_array_remove_index(r->records, oldest);
         r->ended--;
     }
@@ -76,15 +76,15 @@
     return target;
 }
 
-/* True if `heard` is from a later incarnation under the same id. */
-static bool wg_target_is_successor(const wg_target* of, const wg_target* heard) {
-    return heard->born > of->born;
+/* True if `received` is from a later incarnation under the same id. */
+static bool wg_target_is_later_incarnation(const wg_target* current, const wg_target* received) {
+    return received->born > current->born;
 }
 
-/* True if `heard` is from or meant for an earlier incarnation. A message without a start time
+/* True if `received` is from or meant for an earlier incarnation. A message without a start time
    counts as current. */
-static bool wg_target_is_predecessor(const wg_target* of, const wg_target* heard) {
-    return heard->born != 0 && heard->born < of->born;
+static bool wg_target_is_earlier_incarnation(const wg_target* current, const wg_target* received) {
+    return received->born != 0 && received->born < current->born;
 }
 
 /* Ends all other targets at the holder's address. */
@@ -100,12 +100,13 @@
 }
 
 /* True if another target at the address of the replaced one had contact recently. */
-static bool wg_registry_holder_lives(const wg_registry* r, wg_time now, const wg_target* replaced) {
+static bool wg_registry_holder_is_live(const wg_registry* r, wg_time now,
+                                       const wg_target* replaced) {
     for (guint i = 0; i < r->records->len; i++) {
         const wg_target* other = r->records->pdata[i];
         bool holds = other != replaced && !wg_target_ended(other) &&
                      strcmp(other->address, replaced->address) == 0;
-        if (holds && now - other->heard_at <= r->desc.holder_time) {
+        if (holds && now - other->last_contact_at <= r->desc.holder_timeout) {
             return true;
         }
     }
@@ -119,11 +120,11 @@
     return target->replaced && live && record->sequence > target->sequence;
 }
 
-static bool wg_target_turned_cold(const wg_target* known, const wg_target* heard, wg_time now) {
-    return heard->cold_until > MAX(known->cold_until, now) + WG_COLD_TOLERANCE;
+static bool wg_target_became_cold(const wg_target* known, const wg_target* received, wg_time now) {
+    return received->cold_until > MAX(known->cold_until, now) + WG_COLD_TOLERANCE;
 }
 
-static bool wg_target_says_the_same(const wg_target* a, const wg_target* b) {
+static bool wg_target_is_unchanged(const wg_target* a, const wg_target* b) {
     return a->state == b->state && a->slots == b->slots && strcmp(a->service, b->service) == 0 &&
            strcmp(a->address, b->address) == 0 && strcmp(a->data_centre, b->data_centre) == 0;
 }
@@ -134,7 +135,8 @@
     wg_registry* r = g_new0(wg_registry, 1);
     r->desc = *desc;
     r->desc.ended_max = desc->ended_max ? desc->ended_max : WG_REGISTRY_ENDED_DEFAULT;
-    r->desc.holder_time = desc->holder_time ? desc->holder_time : WG_REGISTRY_HOLDER_TIME_DEFAULT;
+    r->desc.holder_timeout =
+        desc->holder_timeout ? desc->holder_timeout : WG_REGISTRY_HOLDER_TIMEOUT_DEFAULT;
     r->evacuated = g_ptr_array_new_with_free_func(g_free);
     r->records = g_ptr_array_new_with_free_func(g_free);
     r->by_id = g_hash_table_new(g_str_hash, g_str_equal);
@@ -149,44 +151,44 @@
     g_free(r);
 }
 
-wg_heard wg_registry_hear(wg_registry* r, wg_time now, const wg_target* heard) {
-    wg_target* target = g_hash_table_lookup(r->by_id, heard->id);
-    if (!target || wg_target_is_successor(target, heard)) {
+wg_heard wg_registry_hear(wg_registry* r, wg_time now, const wg_target* received) {
+    wg_target* target = g_hash_table_lookup(r->by_id, received->id);
+    if (!target || wg_target_is_later_incarnation(target, received)) {
         return WG_HEARD_CHANGE;
     }
-    if (wg_target_is_predecessor(target, heard)) {
+    if (wg_target_is_earlier_incarnation(target, received)) {
         return WG_HEARD_OLD;
     }
     if (wg_target_ended(target)) {
-        bool revive = heard->sequence > target->heard_sequence &&
-                      wg_registry_may_revive(target, heard) &&
-                      !wg_registry_holder_lives(r, now, target);
+        bool revive = received->sequence > target->received_sequence &&
+                      wg_registry_may_revive(target, received) &&
+                      !wg_registry_holder_is_live(r, now, target);
         return revive ? WG_HEARD_CHANGE : WG_HEARD_OLD;
     }
-    bool leave = heard->state == WG_TARGET_GONE;
-    uint64_t newest = MAX(target->sequence, target->heard_sequence);
-    if (!leave && heard->sequence <= newest && newest > 0) {
+    bool leave = received->state == WG_TARGET_GONE;
+    uint64_t newest = MAX(target->sequence, target->received_sequence);
+    if (!leave && received->sequence <= newest && newest > 0) {
         return WG_HEARD_OLD;
     }
-    target->heard_at = now;
-    bool went_back = target->state == WG_TARGET_DRAINING && heard->state == WG_TARGET_READY;
-    bool news =
-        !wg_target_says_the_same(target, heard) || wg_target_turned_cold(target, heard, now);
-    if (leave || (!went_back && news)) {
+    target->last_contact_at = now;
+    bool reverted = target->state == WG_TARGET_DRAINING && received->state == WG_TARGET_READY;
+    bool is_changed =
+        !wg_target_is_unchanged(target, received) || wg_target_became_cold(target, received, now);
+    if (leave || (!reverted && is_changed)) {
         return WG_HEARD_CHANGE; /* its sequence number counts once the change is agreed on */
     }
-    target->heard_sequence = heard->sequence;
+    target->received_sequence = received->sequence;
     return WG_HEARD_SAME;
 }
 
-static void wg_registry_begin(wg_registry* r, wg_time now, const wg_target* record) {
+static void wg_registry_create(wg_registry* r, wg_time now, const wg_target* record) {
     wg_target numbered = *record;
     numbered.number = r->next_number++;
     wg_target* target = wg_registry_add(r, &numbered);
-    target->heard_at = now;
-    target->heard_sequence = record->sequence;
+    target->last_contact_at = now;
+    target->received_sequence = record->sequence;
     r->ended += wg_target_ended(target);
-    wg_registry_note_change(r, target);
+    wg_registry_record_change(r, target);
     if (!wg_target_ended(target)) {
         wg_registry_free_address(r, target);
     }
@@ -195,16 +197,16 @@
 
 void wg_registry_apply(wg_registry* r, wg_time now, const wg_target* record) {
     wg_target* target = g_hash_table_lookup(r->by_id, record->id);
-    if (target && wg_target_is_predecessor(target, record)) {
+    if (target && wg_target_is_earlier_incarnation(target, record)) {
         return;
     }
-    if (target && wg_target_is_successor(target, record)) {
+    if (target && wg_target_is_later_incarnation(target, record)) {
         target->replaced = target->state != WG_TARGET_DRAINING && !wg_target_ended(target);
         wg_registry_end(r, target);
         target = NULL;
     }
     if (!target) {
-        wg_registry_begin(r, now, record);
+        wg_registry_create(r, now, record);
         return;
     }
     if (wg_target_ended(target) && !wg_registry_may_revive(target, record)) {
@@ -224,7 +226,7 @@
                 wg_registry_end(r, target);
             } else {
                 target->state = WG_TARGET_SILENT;
-                wg_registry_note_change(r, target);
+                wg_registry_record_change(r, target);
             }
         }
         return;
@@ -243,21 +245,21 @@
     target->cold_until = MAX(target->cold_until, record->cold_until);
     target->state = state;
     target->sequence = MAX(target->sequence, record->sequence);
-    target->heard_sequence = MAX(target->heard_sequence, target->sequence);
-    target->heard_at = now;
-    wg_registry_note_change(r, target);
+    target->received_sequence = MAX(target->received_sequence, target->sequence);
+    target->last_contact_at = now;
+    wg_registry_record_change(r, target);
     wg_registry_free_address(r, target);
     wg_registry_prune(r);
 }
 
 /* Marks the targets of a data centre cold, as they may have lost their caches or restarted. */
-static void wg_registry_chill(wg_registry* r, wg_time now, const wg_evacuation* evacuation) {
+static void wg_registry_mark_cold(wg_registry* r, wg_time now, const wg_evacuation* evacuation) {
     for (guint i = 0; i < r->records->len; i++) {
         wg_target* target = r->records->pdata[i];
-        bool there = strcmp(target->data_centre, evacuation->data_centre) == 0;
-        if (there && !wg_target_ended(target) && evacuation->cold_time > 0) {
+        bool is_inside = strcmp(target->data_centre, evacuation->data_centre) == 0;
+        if (is_inside && !wg_target_ended(target) && evacuation->cold_time > 0) {
             target->cold_until = MAX(target->cold_until, now + evacuation->cold_time);
-            wg_registry_note_change(r, target);
+            wg_registry_record_change(r, target);
         }
     }
 }
@@ -274,14 +276,15 @@
 
 bool wg_registry_evacuate(wg_registry* r, wg_time now, const wg_evacuation* evacuation) {
     guint at;
-    bool is = wg_registry_find_evacuated(r, evacuation->data_centre, &at);
-    if (is == evacuation->begins || (!is && r->evacuated->len >= WG_REGISTRY_EVACUATED_MAX)) {
+    bool is_evacuated = wg_registry_find_evacuated(r, evacuation->data_centre, &at);
+    if (is_evacuated == evacuation->begins ||
+        (!is_evacuated && r->evacuated->len >= WG_REGISTRY_EVACUATED_MAX)) {
         return false;
     }
     if (evacuation->begins) {
         g_ptr_array_add(r->evacuated, g_strdup(evacuation->data_centre));
     } else {
-        wg_registry_chill(r, now, evacuation);
+        wg_registry_mark_cold(r, now, evacuation);
         g_ptr_array_remove_index(r->evacuated, at);
     }
     r->change++;
@@ -303,14 +306,14 @@
 
 void wg_registry_hear_all(wg_registry* r, wg_time now) {
     for (guint i = 0; i < r->records->len; i++) {
-        ((wg_target*)r->records->pdata[i])->heard_at = now;
+        ((wg_target*)r->records->pdata[i])->last_contact_at = now;
     }
 }
 
 void wg_registry_spare(wg_registry* r, wg_time now, wg_time time) {
     for (guint i = 0; i < r->records->len; i++) {
         wg_target* target = r->records->pdata[i];
-        target->heard_at = MIN(target->heard_at + time, now);
+        target->last_contact_at = MIN(target->last_contact_at + time, now);
     }
 }
 
@@ -318,7 +321,7 @@
     for (guint i = 0; i < r->records->len; i++) {
         const wg_target* target = r->records->pdata[i];
         bool live = target->state == WG_TARGET_READY || target->state == WG_TARGET_DRAINING;
-        if (live && now - target->heard_at > limit) {
+        if (live && now - target->last_contact_at > limit) {
             return target;
         }
     }
@@ -328,7 +331,7 @@
 void wg_registry_note_asked(wg_registry* r, uint32_t number, wg_time now) {
     wg_target* target = (wg_target*)wg_registry_find(r, number);
     if (target) {
-        target->heard_at = now;
+        target->last_contact_at = now;
     }
 }
 
--- a/lib/registry/wg_registry.h
+++ b/lib/registry/wg_registry.h
@@ -40,7 +40,7 @@
     WG_REGISTRY_ENDED_DEFAULT = 512, /* maximum number of ended records */
     /* The holder of an address may be the wrong incarnation after this time without contact,
        about two heartbeat intervals. Microseconds. */
-    WG_REGISTRY_HOLDER_TIME_DEFAULT = 2500 * WG_USEC_PER_MSEC,
+    WG_REGISTRY_HOLDER_TIMEOUT_DEFAULT = 2500 * WG_USEC_PER_MSEC,
     WG_REGISTRY_EVACUATED_MAX = 64, /* data centres */
     /* Upper limit of the cold time in a message, microseconds. */
     WG_TARGET_COLD_MAX = 300 * WG_USEC_PER_SEC
@@ -69,8 +69,8 @@
     uint64_t change;         /* change number of the registry at the last change of this record */
     wg_time cold_until;      /* end of the period with reduced load; 0: not cold */
     bool replaced;           /* removed because another incarnation took its id or address */
-    wg_time heard_at;        /* not replicated */
-    uint64_t heard_sequence; /* not replicated */
+    wg_time last_contact_at; /* not replicated */
+    uint64_t received_sequence; /* not replicated */
 } wg_target;
 
 typedef enum {
@@ -80,8 +80,8 @@
 } wg_heard;
 
 typedef struct {
-    int ended_max;       /* default WG_REGISTRY_ENDED_DEFAULT */
-    wg_time holder_time; /* microseconds; default WG_REGISTRY_HOLDER_TIME_DEFAULT */
+    int ended_max;          /* default WG_REGISTRY_ENDED_DEFAULT */
+    wg_time holder_timeout; /* microseconds; default WG_REGISTRY_HOLDER_TIMEOUT_DEFAULT */
 } wg_registry_desc;
 
 /* Begins or ends the evacuation of a data centre, whose targets accept no requests meanwhile. */
@@ -96,7 +96,7 @@
 wg_registry* wg_registry_setup(const wg_registry_desc* desc);
 void wg_registry_shutdown(wg_registry* registry);
 /* Classifies a heartbeat or a leave message, and updates the target's last contact. */
-wg_heard wg_registry_hear(wg_registry* registry, wg_time now, const wg_target* heard);
+wg_heard wg_registry_hear(wg_registry* registry, wg_time now, const wg_target* received);
 /* Applies an agreed change; deterministic on every replica. */
 void wg_registry_apply(wg_registry* registry, wg_time now, const wg_target* record);
 /* Applies an agreed evacuation; false if it changes nothing or exceeds
--- a/lib/retry/wg_retry.c
+++ b/lib/retry/wg_retry.c
@@ -4,18 +4,18 @@
 #include "wg_retry.h"
 
 /* Fractions of the budget that the bucket may use. */
-static const double WG_RETRY_SHARE = 0.8;   /* fraction of the percentage */
-static const double WG_RETRY_CAP = 0.45;    /* fraction of the slack, bucket size */
-static const double WG_RETRY_RETURN = 0.35; /* fraction of the slack, refilled per window */
+static const double WG_RETRY_FIRST_SENDS_SHARE = 0.8; /* fraction of the percentage */
+static const double WG_RETRY_CAP = 0.45;              /* fraction of the slack, bucket size */
+static const double WG_RETRY_REFILL = 0.35; /* fraction of the slack, refilled per window */
 
 static double wg_retry_cap(const wg_retry_rules* rules) {
     double cap = WG_RETRY_CAP * (double)rules->slack / MAX(rules->hosts, 1);
     return MAX(cap, 1.0);
 }
 
-static void wg_retry_begin(wg_retry* r, const wg_retry_rules* rules) {
-    if (!r->begun) {
-        r->begun = true;
+static void wg_retry_init(wg_retry* r, const wg_retry_rules* rules) {
+    if (!r->initialized) {
+        r->initialized = true;
         r->tokens = wg_retry_cap(rules) / 2;
     }
 }
@@ -25,18 +25,18 @@
 }
 
 void wg_retry_first(wg_retry* r, const wg_retry_rules* rules) {
-    wg_retry_begin(r, rules);
-    wg_retry_add(r, WG_RETRY_SHARE * (double)rules->percent / 100, rules);
+    wg_retry_init(r, rules);
+    wg_retry_add(r, WG_RETRY_FIRST_SENDS_SHARE * (double)rules->percent / 100, rules);
 }
 
 void wg_retry_pass(wg_retry* r, wg_time time, const wg_retry_rules* rules) {
-    wg_retry_begin(r, rules);
-    double part = WG_RETRY_RETURN * (double)rules->slack / MAX(rules->hosts, 1);
+    wg_retry_init(r, rules);
+    double part = WG_RETRY_REFILL * (double)rules->slack / MAX(rules->hosts, 1);
     wg_retry_add(r, part * (double)time / (double)rules->window, rules);
 }
 
 bool wg_retry_take(wg_retry* r, const wg_retry_rules* rules) {
-    wg_retry_begin(r, rules);
+    wg_retry_init(r, rules);
     if (r->tokens < 1) {
         return false;
     }
--- a/lib/retry/wg_retry.h
+++ b/lib/retry/wg_retry.h
@@ -23,7 +23,7 @@
 
 typedef struct {
     double tokens;
-    bool begun;
+    bool initialized;
 } wg_retry;
 
 void wg_retry_first(wg_retry* retry, const wg_retry_rules* rules);
