--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -76,15 +76,15 @@
     return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, max);
 }
 
-static void _wg_read_retry_after(wg_backoff_wish* wish, const char* text) {
+static void _wg_read_retry_after(wg_backoff_wish* hint, const char* text) {
     double seconds;
     int64_t date;
     if (_wg_read_seconds(text, &seconds)) {
-        wish->rest = MAX(wish->rest, _wg_time_from_seconds(seconds));
+        hint->rest = MAX(hint->rest, _wg_time_from_seconds(seconds));
     } else if (_wg_read_date(text, &date)) {
-        wish->until = MAX(wish->until, date);
+        hint->until = MAX(hint->until, date);
     } else {
-        wish->unreadable = true;
+        hint->unreadable = true;
     }
 }
 
@@ -143,30 +143,30 @@
 
 /* ---- public functions ------------------------------------------------------------------------ */
 
-void wg_backoff_read_field(wg_backoff_wish* wish, const char* leaving, wg_text name,
+void wg_backoff_read_field(wg_backoff_wish* hint, const char* leaving, wg_text name,
                            wg_text value) {
     char text[_WG_FIELD_MAX];
     if (wg_text_is(name, "Retry-After")) {
-        _wg_read_retry_after(wish, _wg_field_text(value, text) ? text : "");
+        _wg_read_retry_after(hint, _wg_field_text(value, text) ? text : "");
     } else if (wg_text_is(name, "Date")) {
         _wg_field_text(value, text);
-        _wg_read_date(text, &wish->date);
+        _wg_read_date(text, &hint->date);
     } else if (wg_text_is(name, leaving)) {
         _wg_field_text(value, text);
-        wish->leaving = wish->leaving || strcmp(text, "1") == 0;
+        hint->leaving = hint->leaving || strcmp(text, "1") == 0;
     }
 }
 
 /* Retry-After applies to later requests only in a refusal; in other answers it is meant for the
    caller. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time max) {
-    if (wish->status != _WG_UNAVAILABLE) {
+wg_time wg_backoff_wish_rest(const wg_backoff_wish* hint, int64_t unix_time, wg_time max) {
+    if (hint->status != _WG_UNAVAILABLE) {
         return 0;
     }
-    wg_time rest = wish->rest;
-    if (wish->until > 0) {
-        int64_t since = wish->date > 0 ? wish->date : unix_time;
-        rest = MAX(rest, _wg_time_from_seconds((double)(wish->until - since)));
+    wg_time rest = hint->rest;
+    if (hint->until > 0) {
+        int64_t since = hint->date > 0 ? hint->date : unix_time;
+        rest = MAX(rest, _wg_time_from_seconds((double)(hint->until - since)));
     }
     return CLAMP(rest, 0, max);
 }
@@ -187,23 +187,23 @@
 }
 
 wg_backoff_news wg_backoff_note(wg_backoff* b, wg_time now, uint64_t target,
-                                const wg_backoff_wish* wish, int64_t unix_time) {
-    wg_backoff_news news = {.rest = wg_backoff_wish_rest(wish, unix_time, b->desc.rest_max)};
-    bool unreadable = wish->unreadable && wish->status == _WG_UNAVAILABLE;
-    if (news.rest == 0 && !wish->leaving && !unreadable) {
-        return news;
+                                const wg_backoff_wish* hint, int64_t unix_time) {
+    wg_backoff_news update = {.rest = wg_backoff_wish_rest(hint, unix_time, b->desc.rest_max)};
+    bool unreadable = hint->unreadable && hint->status == _WG_UNAVAILABLE;
+    if (update.rest == 0 && !hint->leaving && !unreadable) {
+        return update;
     }
     _wg_backoff_target* t = _wg_backoff_get(b, now, target);
-    news.rests = news.rest > 0 && t->until <= now;
-    news.leaves = wish->leaving && !t->leaving;
-    news.unreadable = unreadable && !t->unreadable;
-    if (news.rest > 0) {
-        t->until = MAX(t->until, _wg_backoff_end(b, now, news.rest));
+    update.rests = update.rest > 0 && t->until <= now;
+    update.leaves = hint->leaving && !t->leaving;
+    update.unreadable = unreadable && !t->unreadable;
+    if (update.rest > 0) {
+        t->until = MAX(t->until, _wg_backoff_end(b, now, update.rest));
     }
-    t->leaving = t->leaving || wish->leaving;
+    t->leaving = t->leaving || hint->leaving;
     t->unreadable = t->unreadable || unreadable;
     WG_ASSERT(g_hash_table_size(b->targets) <= (guint)b->desc.targets_max);
-    return news;
+    return update;
 }
 
 wg_time wg_backoff_free_at(const wg_backoff* b, wg_time now, uint64_t target) {
--- a/lib/backoff/wg_backoff.h
+++ b/lib/backoff/wg_backoff.h
@@ -20,9 +20,9 @@
 
     USE
         1. wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
-        2. wg_backoff_wish wish = {.status = status};
-           wg_backoff_read_field(&wish, "Target-Leaving", name, value);  // each field of the answer
-        3. wg_backoff_note(b, now, target, &wish, unix_time);
+        2. wg_backoff_wish hint = {.status = status};
+           wg_backoff_read_field(&hint, "Target-Leaving", name, value);  // each field of the answer
+        3. wg_backoff_note(b, now, target, &hint, unix_time);
         4. if (now >= wg_backoff_free_at(b, now, target)) { it may be sent requests }
 
     THE CALLER OWNS
@@ -64,16 +64,16 @@
 
 /* Parses one header field of an answer. `leaving` is the name of the field that announces
    draining. */
-void wg_backoff_read_field(wg_backoff_wish* wish, const char* leaving, wg_text name, wg_text value);
+void wg_backoff_read_field(wg_backoff_wish* hint, const char* leaving, wg_text name, wg_text value);
 /* Returns the requested backoff period in microseconds, at most `max`; 0: none. `unix_time` is
    the current time in seconds, used for answers without a Date. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time max);
+wg_time wg_backoff_wish_rest(const wg_backoff_wish* hint, int64_t unix_time, wg_time max);
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc);
 void wg_backoff_shutdown(wg_backoff* backoff);
 /* Records the hint of an answer. */
 wg_backoff_news wg_backoff_note(wg_backoff* backoff, wg_time now, uint64_t target,
-                                const wg_backoff_wish* wish, int64_t unix_time);
+                                const wg_backoff_wish* hint, int64_t unix_time);
 /* Returns when the target's backoff period ends, including jitter of up to an eighth of the
    period; 0: not in backoff, WG_TIME_NEVER: draining. */
 wg_time wg_backoff_free_at(const wg_backoff* backoff, wg_time now, uint64_t target);
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -118,8 +118,7 @@
     return false;
 }
 
-/* Where a new first home copies a prefix from: the draining previous home, or the second home.
- */
+/* Where a new first home copies a prefix from: the draining previous home or the second one. */
 static uint32_t wg_balance_previous_home(const wg_balance_homes* homes) {
     const wg_balance_target* previous = homes->draining_home ? homes->draining_home : homes->second;
     return previous ? previous->number : 0;
@@ -274,7 +273,7 @@
     }
 }
 
-/* True if the target denied the request or the slots that the request may use are taken.
+/* True if the target's coordinator denied the request or the slots that it may use are taken.
    Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free for
    workspaces below their fair share. */
 static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* need) {
@@ -387,7 +386,7 @@
         wg_balance_consider(b, homes.local, now, need, &homes, &best);
     }
     wg_balance_sample(b, service, now, need, &homes, &best);
-    best.choice.home = part;
+    best.choice.prefix = part;
     best.choice.at_third = has_third && best.choice.target == homes.local->number;
     if (has_third && !best.choice.at_third) {
         b->third_hit_rate += WG_THIRD_HIT_RATE_RECOVERY * (1 - b->third_hit_rate);
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -32,7 +32,7 @@
     USE
         1. wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = dc, .seed = s});
         2. wg_balance_sync(b, now, registry);            // after each change
-        3. wg_balance_set_others(b, now, number, unread, running);
+        3. wg_balance_set_others(b, number, unread, running);
         4. wg_choice c = wg_balance_choose(b, now, &need);
         5. wg_balance_begin(b, now, &c); wg_balance_read(b, now, &c); wg_balance_end(b, now, &c, r);
 
@@ -62,9 +62,9 @@
     const wg_prompt* prompt; /* NULL for plain services */
     int slots;               /* per target, for targets that report no slots of their own */
     bool copies;             /* targets can copy cached prompt parts from each other */
-    double slots_share;      /* fraction of a target's slots that others may occupy; 0: all */
-    /* Targets with a longer wait are chosen last, or never if there is no prompt. 0 or never: no
-       limit. */
+    double slots_share;      /* fraction of a target's slots that may be in use already; 0: all */
+    /* Targets with a longer wait are chosen last, or never if there is no prompt. 0 or
+       WG_TIME_NEVER: no limit. */
     wg_time limit;
     uint32_t bytes; /* estimated size of the request and its answer; 0: not known */
     uint32_t tried[WG_TRIED_MAX];
@@ -88,7 +88,7 @@
     wg_time wait;       /* estimated time to the first event */
     wg_time wait_ahead; /* the part of `wait` caused by prompts of other requests */
     wg_time started_at;
-    uint64_t home; /* id of the last shared part of the prompt; 0: none */
+    uint64_t prefix; /* id of the last shared part of the prompt; 0: none */
 } wg_choice;
 
 typedef enum {
@@ -121,8 +121,7 @@
 wg_balance* wg_balance_setup(const wg_balance_desc* desc);
 void wg_balance_shutdown(wg_balance* balance);
 void wg_balance_sync(wg_balance* balance, wg_time now, const wg_registry* registry);
-/* Resets the loads of other hosts. Targets without a later wg_balance_set_others() count as 0.
- */
+/* Resets the loads of other hosts. Targets not set again count as 0. */
 void wg_balance_clear_others(wg_balance* balance);
 /* Sets the number of hosts, including this one, that decide on the same loads; 1 by default. */
 void wg_balance_set_hosts(wg_balance* balance, int hosts);
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -77,8 +77,7 @@
     return prompt->tokens > own ? prompt->tokens - own : 0;
 }
 
-/* True if sending the request to a remote data centre costs more than copying its shared parts.
- */
+/* True if sending the request to a remote data centre costs more than copying shared parts. */
 static bool wg_need_prefers_local_home(const wg_need* need) {
     const wg_prompt* prompt = need->prompt;
     if (!need->copies || !prompt || prompt->num < 2) {
