--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -241,7 +241,7 @@
         t->local = strcmp(record->data_centre, b->desc.data_centre) == 0;
         t->ready = wg_registry_takes(registry, record);
         t->draining = record->state == WG_TARGET_DRAINING;
-        t->moved = t->moved && t->change == record->change;
+        t->replaced = t->replaced && t->change == record->change;
         t->change = record->change;
         t->slots = record->slots;
         wg_balance_add_to_service(b, t);
@@ -460,7 +460,7 @@
     wg_balance_settle_unread(t, choice);
     WG_ASSERT(t->own_running > 0);
     t->own_running--;
-    t->moved = t->moved || result == WG_RESULT_MOVED;
+    t->replaced = t->replaced || result == WG_RESULT_MOVED;
     if (result == WG_RESULT_GOOD) {
         wg_balance_update_service_time(t, now, choice);
         t->failures = 0;
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -24,7 +24,7 @@
 }
 
 bool wg_balance_is_eligible(const wg_balance_target* t, const wg_need* need) {
-    return t->ready && !t->moved && !wg_need_tried(need, t->number);
+    return t->ready && !t->replaced && !wg_need_tried(need, t->number);
 }
 
 /* A target that refuses everything has nothing in progress. Without this check of its backoff it
--- a/lib/balance/wg_balance_internal.h
+++ b/lib/balance/wg_balance_internal.h
@@ -14,7 +14,7 @@
     char service[WG_NAME_MAX];
     bool ready;
     bool draining;
-    bool moved;      /* another incarnation answers at this target's address */
+    bool replaced;   /* another incarnation answers at this target's address */
     uint64_t change; /* change number of the registry record */
     bool local;
     uint32_t slots;
@@ -34,8 +34,7 @@
 /* The targets of a service that rank highest for one part, whatever their state. */
 typedef struct {
     uint64_t part;
-    /* Targets of all data centres and of this host's own; highest rank first, NULL after the last.
-     */
+    /* Targets of all data centres and of this host's own; highest rank first, then NULL. */
     wg_balance_target* best[WG_RANKED_MAX];
     wg_balance_target* local[WG_RANKED_MAX];
 } wg_balance_ranking;
