--- a/lib/quarantine/wg_suspects.h
+++ b/lib/quarantine/wg_suspects.h
@@ -33,8 +33,9 @@
     WG_SUSPECTS_MAX_DEFAULT = 1024,
     /* Seconds until a suspect expires. Requests repeated less often than this are not caught. */
     WG_SUSPECT_LIFETIME_DEFAULT_S = 600,
-    /* Seconds for which a request that ended well is no suspect. Longer would protect a request
-       that crashes a new release of its targets. */
+    /* Seconds for which a request that ended well is no suspect. Covers the time in which callers
+       repeat a request; longer would protect a request that crashes a new release of its targets.
+     */
     WG_SUSPECT_CLEARED_DEFAULT_S = 30,
     WG_SUSPECT_PATH_MAX = 96, /* bytes including the terminating zero; longer paths are truncated */
     WG_SUSPECT_TARGETS_MAX = 3
