--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -9,15 +9,16 @@
 
 typedef struct {
     uint64_t target;
-    wg_time until; /* of its rest */
-    wg_time noted_at;
+    wg_time until; /* end of the backoff period */
+    wg_time updated_at;
     bool leaving;
-    bool unreadable; /* it was told that its wish cannot be read */
+    bool unreadable; /* its unreadable Retry-After was reported */
 } _wg_backoff_target;
 
 enum {
-    _WG_SPREAD_PART = 8,                 /* of a rest, in which hosts come back */
-    _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* and no longer than that */
+    /* hosts return within the backoff period divided by this */
+    _WG_SPREAD_DIVISOR = 8,
+    _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* upper limit of that spread */
 };
 
 struct wg_backoff {
@@ -29,18 +30,18 @@
 /* ---- helpers: fields of an answer ------------------------------------------------------------ */
 
 enum {
-    _WG_FIELD_MAX = 64,   /* bytes of a Retry-After that are looked at; a date takes 29 */
-    _WG_UNAVAILABLE = 503 /* the status that turns a request away */
+    _WG_FIELD_MAX = 64,   /* maximum size of a field value; a date takes 29 bytes */
+    _WG_UNAVAILABLE = 503 /* status of a refused request */
 };
 
-/* The value without blanks around it; false when it is too long to be one of these. */
+/* Copies the value without surrounding blanks; false if it is too long to be valid. */
 static bool _wg_field_text(wg_text value, char text[_WG_FIELD_MAX]) {
     g_snprintf(text, _WG_FIELD_MAX, "%.*s", (int)MIN(value.size, _WG_FIELD_MAX - 1), value.text);
     g_strstrip(text);
     return value.size < _WG_FIELD_MAX;
 }
 
-/* Digits with a fraction or without; the time may be infinite. */
+/* Parses a decimal number with an optional fraction; the result may be infinite. */
 static bool _wg_read_seconds(const char* text, double* seconds) {
     size_t digits = strspn(text, "0123456789");
     size_t size = digits;
@@ -54,13 +55,13 @@
     return true;
 }
 
-/* A date in one of the three forms of HTTP (RFC 9110, 5.6.7), Unix seconds. */
+/* Parses a date in one of the three formats of HTTP (RFC 9110, 5.6.7) to Unix seconds. */
 static bool _wg_read_date(const char* text, int64_t* unix_time) {
-    static const char* const forms[] = {"%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT",
-                                        "%a %b %d %H:%M:%S %Y"};
-    for (size_t i = 0; i < G_N_ELEMENTS(forms); i++) {
+    static const char* const formats[] = {"%a, %d %b %Y %H:%M:%S GMT", "%A, %d-%b-%y %H:%M:%S GMT",
+                                          "%a %b %d %H:%M:%S %Y"};
+    for (size_t i = 0; i < G_N_ELEMENTS(formats); i++) {
         struct tm parts = {0};
-        const char* end = strptime(text, forms[i], &parts);
+        const char* end = strptime(text, formats[i], &parts);
         if (end && *end == 0) {
             *unix_time = timegm(&parts);
             return *unix_time > 0;
@@ -69,21 +70,21 @@
     return false;
 }
 
-/* Microseconds of some seconds, as far as a time can hold them. */
-static wg_time _wg_time_of(double seconds) {
-    double most = (double)(WG_TIME_NEVER / 2);
-    return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, most);
+/* Converts seconds to microseconds, limited to the range of wg_time. */
+static wg_time _wg_time_from_seconds(double seconds) {
+    double max = (double)(WG_TIME_NEVER / 2);
+    return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, max);
 }
 
-static void _wg_read_rest(wg_backoff_wish* wish, const char* text) {
+static void _wg_read_retry_after(wg_backoff_wish* hint, const char* text) {
     double seconds;
     int64_t date;
     if (_wg_read_seconds(text, &seconds)) {
-        wish->rest = MAX(wish->rest, _wg_time_of(seconds));
+        hint->rest = MAX(hint->rest, _wg_time_from_seconds(seconds));
     } else if (_wg_read_date(text, &date)) {
-        wish->until = MAX(wish->until, date);
+        hint->until = MAX(hint->until, date);
     } else {
-        wish->unreadable = true;
+        hint->unreadable = true;
     }
 }
 
@@ -93,7 +94,7 @@
     return g_hash_table_lookup(b->targets, &target);
 }
 
-static gboolean _wg_backoff_is_over(gpointer key, gpointer value, gpointer now) {
+static gboolean _wg_backoff_is_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
     const _wg_backoff_target* t = value;
     return !t->leaving && t->until <= *(const wg_time*)now;
@@ -106,7 +107,7 @@
     g_hash_table_iter_init(&iter, b->targets);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const _wg_backoff_target* t = value;
-        oldest = !oldest || t->noted_at < oldest->noted_at ? t : oldest;
+        oldest = !oldest || t->updated_at < oldest->updated_at ? t : oldest;
     }
     if (oldest) {
         uint64_t key = oldest->target;
@@ -114,68 +115,68 @@
     }
 }
 
-/* When the host comes back: not all of those that were asked in this moment at once. */
+/* Returns when backoff ends, with jitter so that hosts do not return at the same time. */
 static wg_time _wg_backoff_end(wg_backoff* b, wg_time now, wg_time rest) {
-    wg_time spread = MIN(rest / _WG_SPREAD_PART, (wg_time)_WG_SPREAD_MAX);
+    wg_time spread = MIN(rest / _WG_SPREAD_DIVISOR, (wg_time)_WG_SPREAD_MAX);
     return now + rest + wg_jitter_range(b->desc.seed, ++b->counter, 0, spread);
 }
 
 static _wg_backoff_target* _wg_backoff_get(wg_backoff* b, wg_time now, uint64_t target) {
     _wg_backoff_target* t = _wg_backoff_find(b, target);
     if (t) {
-        t->noted_at = now;
+        t->updated_at = now;
         return t;
     }
-    guint most = (guint)b->desc.targets_max;
-    if (g_hash_table_size(b->targets) >= most) {
-        g_hash_table_foreach_remove(b->targets, _wg_backoff_is_over, &now);
+    guint limit = (guint)b->desc.targets_max;
+    if (g_hash_table_size(b->targets) >= limit) {
+        g_hash_table_foreach_remove(b->targets, _wg_backoff_is_expired, &now);
     }
-    if (g_hash_table_size(b->targets) >= most) {
+    if (g_hash_table_size(b->targets) >= limit) {
         _wg_backoff_drop_oldest(b);
     }
     t = g_new0(_wg_backoff_target, 1);
     t->target = target;
-    t->noted_at = now;
+    t->updated_at = now;
     g_hash_table_insert(b->targets, &t->target, t);
     return t;
 }
 
 /* ---- public functions ------------------------------------------------------------------------ */
 
-void wg_backoff_read_field(wg_backoff_wish* wish, const char* leaving, wg_text name,
+void wg_backoff_read_field(wg_backoff_wish* hint, const char* leaving, wg_text name,
                            wg_text value) {
     char text[_WG_FIELD_MAX];
     if (wg_text_is(name, "Retry-After")) {
-        _wg_read_rest(wish, _wg_field_text(value, text) ? text : "");
+        _wg_read_retry_after(hint, _wg_field_text(value, text) ? text : "");
     } else if (wg_text_is(name, "Date")) {
         _wg_field_text(value, text);
-        _wg_read_date(text, &wish->date);
+        _wg_read_date(text, &hint->date);
     } else if (wg_text_is(name, leaving)) {
         _wg_field_text(value, text);
-        wish->leaving = wish->leaving || strcmp(text, "1") == 0;
+        hint->leaving = hint->leaving || strcmp(text, "1") == 0;
     }
 }
 
-/* Only a request that was turned away says anything of those to come: elsewhere the field is meant
-   for the caller. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* wish, int64_t unix_time, wg_time most) {
-    if (wish->status != _WG_UNAVAILABLE) {
+/* Retry-After applies to later requests only in a refusal; in other answers it is meant for the
+   caller. */
+wg_time wg_backoff_wish_rest(const wg_backoff_wish* hint, int64_t unix_time, wg_time max) {
+    if (hint->status != _WG_UNAVAILABLE) {
         return 0;
     }
-    wg_time rest = wish->rest;
-    if (wish->until > 0) {
-        int64_t since = wish->date > 0 ? wish->date : unix_time;
-        rest = MAX(rest, _wg_time_of((double)(wish->until - since)));
+    wg_time rest = hint->rest;
+    if (hint->until > 0) {
+        int64_t since = hint->date > 0 ? hint->date : unix_time;
+        rest = MAX(rest, _wg_time_from_seconds((double)(hint->until - since)));
     }
-    return CLAMP(rest, 0, most);
+    return CLAMP(rest, 0, max);
 }
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc) {
     wg_backoff* b = g_new0(wg_backoff, 1);
     b->desc = *desc;
     b->desc.targets_max = desc->targets_max ? desc->targets_max : WG_BACKOFF_TARGETS_MAX_DEFAULT;
-    b->desc.rest_max =
-        desc->rest_max ? desc->rest_max : WG_BACKOFF_REST_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    b->desc.rest_max = desc->rest_max ? desc->rest_max
+                                      : WG_BACKOFF_PERIOD_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     b->targets = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     return b;
 }
@@ -186,23 +187,23 @@
 }
 
 wg_backoff_news wg_backoff_note(wg_backoff* b, wg_time now, uint64_t target,
-                                const wg_backoff_wish* wish, int64_t unix_time) {
-    wg_backoff_news news = {.rest = wg_backoff_wish_rest(wish, unix_time, b->desc.rest_max)};
-    bool unreadable = wish->unreadable && wish->status == _WG_UNAVAILABLE;
-    if (news.rest == 0 && !wish->leaving && !unreadable) {
-        return news;
+                                const wg_backoff_wish* hint, int64_t unix_time) {
+    wg_backoff_news update = {.rest = wg_backoff_wish_rest(hint, unix_time, b->desc.rest_max)};
+    bool unreadable = hint->unreadable && hint->status == _WG_UNAVAILABLE;
+    if (update.rest == 0 && !hint->leaving && !unreadable) {
+        return update;
     }
     _wg_backoff_target* t = _wg_backoff_get(b, now, target);
-    news.rests = news.rest > 0 && t->until <= now;
-    news.leaves = wish->leaving && !t->leaving;
-    news.unreadable = unreadable && !t->unreadable;
-    if (news.rest > 0) {
-        t->until = MAX(t->until, _wg_backoff_end(b, now, news.rest));
+    update.rests = update.rest > 0 && t->until <= now;
+    update.leaves = hint->leaving && !t->leaving;
+    update.unreadable = unreadable && !t->unreadable;
+    if (update.rest > 0) {
+        t->until = MAX(t->until, _wg_backoff_end(b, now, update.rest));
     }
-    t->leaving = t->leaving || wish->leaving;
+    t->leaving = t->leaving || hint->leaving;
     t->unreadable = t->unreadable || unreadable;
     WG_ASSERT(g_hash_table_size(b->targets) <= (guint)b->desc.targets_max);
-    return news;
+    return update;
 }
 
 wg_time wg_backoff_free_at(const wg_backoff* b, wg_time now, uint64_t target) {
--- a/lib/quarantine/wg_suspects.c
+++ b/lib/quarantine/wg_suspects.c
@@ -4,23 +4,22 @@
 #include <string.h>
 
 enum {
-    /* Two early ends are enough, or three ends of any kind. */
+    /* Two early crashes are enough, or three crashes of any kind. */
     WG_SUSPECT_WEIGHT_EARLY = 3,
     WG_SUSPECT_WEIGHT = 2,
     WG_SUSPECT_WEIGHT_DUE = 6,
-    /* Requests that ended well, remembered by a slot of their fingerprint: at 100 requests a second
-       and host those of the last 30 s, as good as all of them; 64 KB. */
+    /* Recent requests that ended well, one per slot of the fingerprint modulo this number. */
     WG_CLEARED_SLOTS = 4096
 };
 
 typedef struct {
-    uint64_t fingerprint; /* 0: none yet */
+    uint64_t fingerprint; /* 0: the slot is empty */
     wg_time at;
 } wg_cleared;
 
 struct wg_suspects {
     wg_suspects_desc desc;
-    GHashTable* by_fingerprint; /* uint64_t* within wg_suspect -> wg_suspect* */
+    GHashTable* by_fingerprint; /* fingerprint (within the wg_suspect) -> wg_suspect* */
     wg_cleared cleared[WG_CLEARED_SLOTS];
 };
 
@@ -30,11 +29,11 @@
     return (wg_cleared*)&s->cleared[fingerprint % WG_CLEARED_SLOTS];
 }
 
-/* The workspace with most suspects; the same on each call while nothing changes. */
+/* Returns the workspace with the most suspects; the result is stable while nothing changes. */
 static const char* _wg_suspects_largest_workspace(const wg_suspects* s) {
     GHashTable* counts = g_hash_table_new(g_str_hash, g_str_equal);
     const char* largest = NULL;
-    int most = 0;
+    int max_num = 0;
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, s->by_fingerprint);
@@ -42,8 +41,8 @@
         const char* workspace = ((wg_suspect*)value)->workspace;
         int num = GPOINTER_TO_INT(g_hash_table_lookup(counts, workspace)) + 1;
         g_hash_table_insert(counts, (gpointer)workspace, GINT_TO_POINTER(num));
-        if (num > most) {
-            most = num;
+        if (num > max_num) {
+            max_num = num;
             largest = workspace;
         }
     }
@@ -51,8 +50,9 @@
     return largest;
 }
 
-/* One workspace with many suspects must not push out those of others. */
-static void _wg_suspects_make_room(wg_suspects* s) {
+/* Evicts the oldest suspect of the largest workspace, so that one workspace cannot evict the
+   suspects of others. */
+static void _wg_suspects_evict(wg_suspects* s) {
     const char* workspace = _wg_suspects_largest_workspace(s);
     wg_suspect* oldest = NULL;
     GHashTableIter iter;
@@ -61,16 +61,16 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_suspect* suspect = value;
         bool counts = strcmp(suspect->workspace, workspace) == 0;
-        if (counts && (!oldest || suspect->seen_at < oldest->seen_at)) {
+        if (counts && (!oldest || suspect->last_crash_at < oldest->last_crash_at)) {
             oldest = suspect;
         }
     }
     g_hash_table_remove(s->by_fingerprint, &oldest->fingerprint);
 }
 
-static wg_suspect* _wg_suspects_begin(wg_suspects* s, const wg_crash* crash) {
+static wg_suspect* _wg_suspects_create(wg_suspects* s, const wg_crash* crash) {
     if ((int)g_hash_table_size(s->by_fingerprint) >= s->desc.max) {
-        _wg_suspects_make_room(s);
+        _wg_suspects_evict(s);
     }
     wg_suspect* suspect = g_new0(wg_suspect, 1);
     suspect->fingerprint = crash->fingerprint;
@@ -105,7 +105,8 @@
     wg_suspects* s = g_new0(wg_suspects, 1);
     s->desc = *desc;
     s->desc.max = desc->max ? desc->max : WG_SUSPECTS_MAX_DEFAULT;
-    s->desc.life = desc->life ? desc->life : WG_SUSPECT_LIFE_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    s->desc.life =
+        desc->life ? desc->life : WG_SUSPECT_LIFETIME_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     s->desc.cleared_time = desc->cleared_time
                                ? desc->cleared_time
                                : WG_SUSPECT_CLEARED_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
@@ -125,9 +126,9 @@
     }
     wg_suspect* suspect = wg_suspects_find(s, crash->fingerprint);
     if (!suspect) {
-        suspect = _wg_suspects_begin(s, crash);
+        suspect = _wg_suspects_create(s, crash);
     }
-    suspect->seen_at = now;
+    suspect->last_crash_at = now;
     _wg_suspect_add(suspect, crash);
     return suspect;
 }
@@ -159,7 +160,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, s->by_fingerprint);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (now - ((wg_suspect*)value)->seen_at >= s->desc.life) {
+        if (now - ((wg_suspect*)value)->last_crash_at >= s->desc.life) {
             g_hash_table_iter_remove(&iter);
         }
     }
