--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -1,11 +1,11 @@
-/* wg_entry_attempt.c -- where and when a request is sent: limits, the queue, targets, retries */
+/* wg_entry_attempt.c -- request dispatch: latency limits, queueing, target selection, retries */
 #include "wg_entry_internal.h"
 
 enum {
-    WG_RETRY_WAIT = 15 * WG_USEC_PER_MSEC, /* a request with less time left is not sent again */
-    WG_ANSWER_TOKENS_FACTOR = 2,           /* a token made counts as two that are read */
-    WG_CHOICES_MAX = 6,                    /* targets looked at for one try */
-    WG_UNSENT_MAX = 4                      /* attempts of one request that reached no target */
+    WG_RETRY_WAIT = 15 * WG_USEC_PER_MSEC, /* minimum time left for a retry */
+    WG_ANSWER_TOKENS_FACTOR = 2,           /* cost of a generated token in prompt tokens */
+    WG_CHOICES_MAX = 6,                    /* targets considered per selection */
+    WG_UNSENT_MAX = 4                      /* attempts per request that reached no target */
 };
 
 static void wg_call_choose(wg_call* call, wg_time now);
@@ -83,8 +83,7 @@
 
 /* ---- helpers: attempts ----------------------------------------------------------------------- */
 
-/* Seconds after which a refused request may come back. Where it comes back it is a new one, also to
-   targets that were tried. */
+/* Tried targets are considered again, as the caller's next request is a new one. */
 double wg_call_retry_after(const wg_call* call) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
@@ -97,7 +96,7 @@
     return (double)after / WG_USEC_PER_SEC;
 }
 
-/* Wait for a target; what none can take in time is refused at once. */
+/* Queues the request, or refuses it at once if every target stays in backoff past its deadline. */
 static void wg_call_enqueue(wg_call* call, wg_time now) {
     wg_time wait_until = call->started + wg_policy_wait(call->route->objective);
     wg_time back_at = wg_balance_back_at(call->entry->balance, now, &call->need);
@@ -153,7 +152,7 @@
     wg_upstream_send(up, call);
 }
 
-/* The proposed target is not asked for again in this try. */
+/* Excludes the proposed target for the rest of this selection. */
 static void wg_call_pass_over(wg_call* call) {
     wg_need* need = &call->need;
     if (need->denied_num < WG_DENIED_MAX) {
@@ -161,7 +160,7 @@
     }
 }
 
-/* Send to the target that was chosen, if it still takes work. */
+/* Sends the request to the proposed target, or selects another one if it no longer accepts work. */
 static void wg_call_go(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
     const wg_target* target = wg_registry_find(e->registry, call->proposed.target);
@@ -176,11 +175,11 @@
     call->choice = call->proposed;
     wg_call_send(call, target, now);
     if (waited) {
-        wg_call_queue_run(e); /* there may be room for the next one too */
+        wg_call_queue_run(e); /* there may be capacity for the next request */
     }
 }
 
-/* The coordinator's answer counts for more than this host's estimate. */
+/* The coordinator's figures replace this host's estimate. */
 static void wg_call_take_answer(wg_call* call, const wg_admit_answer* answer) {
     wg_choice* choice = &call->proposed;
     wg_balance_note_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
@@ -196,8 +195,8 @@
     }
 }
 
-/* Denied: the next target, but for those who have more than others only one that needs not read the
-   shared parts again. */
+/* Selects another target after a denial. A workspace above its fair share may only use one that can
+   copy the shared prompt parts instead of reading them again. */
 static void wg_call_denied(wg_call* call, const wg_admit_answer* answer, wg_time now) {
     wg_need* need = &call->need;
     call->entry->counters.cold_denials +=
@@ -226,8 +225,8 @@
     }
 }
 
-/* Nobody coordinates the target, or the answer did not come in time: this host decides alone. Not
-   about a cold target: all hosts together may send it no more than it bears. */
+/* Without a coordinator's answer this host decides alone, except for a cold target, whose request
+   rate is limited across all hosts. */
 void wg_call_admit_unanswered(wg_call* call, wg_time now) {
     if (wg_entry_cold_rate(call->entry, call->proposed.target) > 0) {
         wg_call_denied(call, &(wg_admit_answer){0}, now);
@@ -248,8 +247,7 @@
     wg_entry_admit_ask(call, &limits, now);
 }
 
-/* Choose among targets that were not denied; one that was told to be full a moment ago is not asked
-   again. */
+/* Skips targets that were recently reported as too busy to meet the limits. */
 static wg_choice wg_call_next_choice(wg_call* call, wg_time now) {
     wg_need* need = &call->need;
     while (need->denied_num < WG_CHOICES_MAX) {
@@ -264,7 +262,7 @@
     return (wg_choice){0};
 }
 
-/* No target would answer in time: once more, for one that answers late. */
+/* Selects again without the latency limit, as no target meets it. */
 static void wg_call_relax(wg_call* call, wg_time now) {
     call->relaxed = true;
     call->asks = 0;
@@ -272,7 +270,7 @@
     wg_call_choose(call, now);
 }
 
-/* Choose a target and send, or ask its coordinator first, or wait for another one. */
+/* Selects a target, then sends, requests an admission from its coordinator, or queues. */
 static void wg_call_choose(wg_call* call, wg_time now) {
     wg_choice choice = {0};
     wg_policy_terms terms = wg_call_terms(call);
@@ -324,7 +322,8 @@
     wg_call_choose(call, now);
 }
 
-/* An attempt that reached no target counts neither as one nor against the fleet's budget. */
+/* An attempt that reached no target counts neither against the route's attempts nor against the
+   fleet's retry budget. */
 static bool wg_call_may_attempt(const wg_call* call, bool unsent) {
     if (unsent) {
         return call->unsent <= WG_UNSENT_MAX;
@@ -348,7 +347,7 @@
     return true;
 }
 
-/* The lightest workspace's oldest request goes first. */
+/* Returns the oldest request of the workspace with the least usage. */
 static wg_call* wg_call_queue_first(GQueue* queue) {
     wg_call* best = NULL;
     double best_usage = 0;
@@ -375,7 +374,7 @@
         GQueue* queue = value;
         wg_call* call = wg_call_queue_first(queue);
         if (call && !call->retry_at) {
-            call->retry_at = wg_now(); /* tried from the loop, not from within another call */
+            call->retry_at = wg_now(); /* runs from the event loop, to avoid recursion */
             wg_call_set_timer(call, call->retry_at);
         }
     }
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -1,20 +1,20 @@
-/* wg_entry_call.c -- one request's life: route, wait, attempts, answer */
+/* wg_entry_call.c -- lifecycle of a request: routing, waiting, attempts, answer */
 #include "wg_entry_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 enum {
-    WG_ANSWER_TOKEN_TIME = 12 * WG_USEC_PER_MSEC, /* to make one, on the safe side */
-    WG_ANSWER_TOKEN_BYTES = 8 /* on the wire, of the most that the answer may have; half is usual */
+    WG_ANSWER_TOKEN_TIME = 12 * WG_USEC_PER_MSEC, /* upper estimate to generate one token */
+    WG_ANSWER_TOKEN_BYTES = 8                     /* upper estimate per token on the wire */
 };
 
-/* Seconds; other entry hosts take the request at once. */
+/* Seconds. Short, as other entry hosts can accept the request at once. */
 static const double WG_STOPPING_RETRY_AFTER = 0.02;
 
 /* ---- helpers: the end of a call -------------------------------------------------------------- */
 
-/* Give the target's account back. */
+/* Releases the load accounted to the target, and the admission. */
 static void wg_call_settle(wg_call* call, wg_result result) {
     if (call->choice.target) {
         wg_balance_end(call->entry->balance, wg_now(), &call->choice, result);
@@ -78,7 +78,7 @@
     wg_call_free(call);
 }
 
-/* May a target have begun to work on the request, as far as this host knows? */
+/* Whether a target may have started to process the request. */
 static bool wg_call_may_have_run(const wg_call* call) {
     return call->may_have_run || (call->upstream && call->upstream->written);
 }
@@ -92,7 +92,7 @@
         call->entry->counters.cut++;
         call->client = NULL;
         client->call = NULL;
-        wg_client_close(client); /* an answer that ends early must not look whole */
+        wg_client_close(client); /* a truncated answer must not look complete */
     } else if (client) {
         bool keep = wg_call_keeps(call);
         struct evbuffer* out = evbuffer_new();
@@ -154,9 +154,8 @@
 static void wg_call_read_times(wg_call* call) {
     int64_t ms;
     wg_time now = wg_now();
-    /* It came before it was read. Else a host that is behind serves all of them late, and targets
-       work for callers whose time is over: worth 0.35 and 0.42 of three days with a flooded host,
-       +0.071 +- 0.020 paired, and five broken rules of which none is left. */
+    /* Counted from arrival, not from when it is read: otherwise an overloaded host would forward
+       requests whose callers have already timed out. */
     call->started = now - wg_entry_turn_wait(call->entry, now);
     call->deadline = WG_TIME_NEVER;
     if (wg_text_number(wg_message_field(&call->head, call->entry->names->deadline), &ms)) {
@@ -212,7 +211,7 @@
            wg_message_field(&up->head, call->entry->names->not_run).text != NULL;
 }
 
-/* The answer says that the request did not run: try elsewhere, or refuse. */
+/* The target did not run the request: retry on another target, or refuse. */
 static void wg_call_take_refusal(wg_call* call, wg_upstream* up) {
     int status = up->head.status;
     wg_log(WG_EVENT_ATTEMPT_ENDED,
@@ -262,7 +261,7 @@
     }
 }
 
-/* Wrap what is in `data` as one chunk. */
+/* Moves `data` to `out` as one chunk. */
 static void wg_call_add_chunk(struct evbuffer* out, struct evbuffer* data) {
     evbuffer_add_printf(out, "%zx\r\n", evbuffer_get_length(data));
     evbuffer_add_buffer(out, data);
@@ -282,11 +281,12 @@
     wg_balance_read(call->entry->balance, wg_now(), &call->choice);
     wg_entry_admit_read(call);
     if (first) {
-        wg_call_queue_run(call->entry); /* its prompt is read: there may be room for another one */
+        wg_call_queue_run(
+            call->entry); /* prompt was read: there may be capacity for another request */
     }
 }
 
-/* Pass whole events on. False when the stream is malformed. */
+/* Relays complete events. False if the stream is malformed. */
 static bool wg_call_relay_events(wg_call* call, wg_upstream* up) {
     struct evbuffer* data = evbuffer_new();
     wg_event_stream_result result;
@@ -319,7 +319,7 @@
     }
     call->may_have_run = true;
     if (call->head_sent && !wg_call_is_stream(call, up)) {
-        /* Only events may follow events, whatever this target says. */
+        /* A resumed event stream can only be continued with events. */
         wg_call_attempt_failed(call, up, "resume-failed");
     }
 }
@@ -350,7 +350,7 @@
     }
 }
 
-/* A failure of the target itself, of a request that may run again. */
+/* Whether an error answer may be discarded and the request retried. */
 static bool wg_call_may_replace(const wg_call* call, const wg_upstream* up) {
     return up->head.status >= 500 && !call->head_sent && wg_route_is_repeatable(call->route);
 }
@@ -459,7 +459,7 @@
 static void wg_call_log_denial(wg_entry* e, const wg_message_head* head, int status,
                                const char* code) {
     enum {
-        ID_SHOWN = 64 /* bytes; ids longer than that are cut off in the log */
+        ID_SHOWN = 64 /* bytes; longer ids are truncated in the log */
     };
     wg_time now = wg_now();
     wg_text id = wg_message_field(head, e->names->request_id);
@@ -485,7 +485,8 @@
     wg_client_call_over(client, keep);
 }
 
-/* The configuration has no such route or key; one that no leader vouched for may just be older. */
+/* Denies an unknown route or key. A configuration taken from a replica without a leader may be
+   outdated, so the answer is then a retryable 503. */
 static void wg_call_deny_unknown(wg_client* client, char* bytes, struct evbuffer* body,
                                  const wg_message_head* head, int status, const char* code) {
     if (client->entry->on_standby) {
@@ -571,7 +572,7 @@
     wg_call_queue_run(e);
 }
 
-/* Timers of the loop leave out time in which the host was suspended, and would fire late by it. */
+/* Event-loop timers do not advance while the host is suspended and would fire late. */
 void wg_call_wake_all(wg_entry* e, wg_time now) {
     for (guint i = 0; i < e->clients->len; i++) {
         const wg_client* client = e->clients->pdata[i];
--- a/lib/entry/wg_entry_cold.c
+++ b/lib/entry/wg_entry_cold.c
@@ -1,22 +1,21 @@
-/* wg_entry_cold.c -- targets that are cold: what they bear, and who may grant it
+/* wg_entry_cold.c -- cold targets: their request rate, and which host may grant requests to them
 
-   All hosts together may send a cold target no more than it bears in any second. So one host grants
-   it, the target's coordinator; and a host that has just become that grants nothing until the
-   former one has heard of it, and what that one granted last is a second old. */
+   The request rate of a cold target is limited across all hosts, so only its coordinator grants
+   requests. A new coordinator grants nothing until the previous one knows of the change and its
+   last grants have left the one-second rate window. */
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
 enum {
-    /* A second that the former coordinator granted, and the 0.2 s in which hosts hear of a change.
-       Without it a third host granted beside two where hosts came up one after the other, four
-       coordinators in 0.2 s: 24 requests in a second where two may grant 16. */
+    /* The rate window of one second, plus the time until all hosts know of a change. Prevents
+       several successive coordinators from granting within the same second. */
     WG_COLD_OWNED = 1200 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* Rank of the host that coordinates a target, by rendezvous hashing; 0: the list is empty. */
+/* Rank of the host that coordinates `target`, by rendezvous hashing; 0 if there is none. */
 static uint64_t _wg_coordinating_rank(const uint64_t* ranks, int num, uint32_t target) {
     uint64_t best = 0;
     uint64_t best_weight = 0;
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -1,5 +1,5 @@
 #pragma once
-/* wg_entry_internal.h -- state shared by the files of lib/entry; not installed */
+/* wg_entry_internal.h -- state and functions shared within lib/entry; not installed */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -23,12 +23,12 @@
 
 enum {
     WG_CONTROLS_MAX = 24,
-    WG_HEAD_BYTES_START = 16 * 1024, /* limit of a head while there is no configuration */
-    WG_WHOLE_MAX = 64 * 1024,        /* answers up to this size are relayed only when whole */
-    WG_OUTPUT_HIGH = 256 * 1024,     /* unsent bytes at which reading from a target pauses */
+    WG_HEAD_BYTES_START = 16 * 1024, /* limit of a request head before a configuration is known */
+    WG_WHOLE_MAX = 64 * 1024,        /* answers up to this size are relayed only when complete */
+    WG_OUTPUT_HIGH = 256 * 1024,     /* unsent bytes at which reading from the target pauses */
     WG_EVENT_ID_MAX = 32,
     WG_COORDINATORS_MAX = 16,
-    WG_FORMER_COORDINATORS_MAX = 16 /* lists; hosts that start at one moment come one by one */
+    WG_FORMER_COORDINATORS_MAX = 16 /* lists; hosts that start together join one by one */
 };
 
 typedef struct wg_call wg_call;
@@ -36,35 +36,35 @@
 typedef struct wg_upstream wg_upstream;
 
 typedef enum {
-    WG_CLIENT_HEAD = 0, /* waits for a request */
-    WG_CLIENT_BODY,     /* reads its body */
-    WG_CLIENT_BUSY,     /* it has a call */
-    WG_CLIENT_ENDING    /* the last answer is on its way out, then it closes */
+    WG_CLIENT_HEAD = 0, /* waits for a request head */
+    WG_CLIENT_BODY,     /* reads a request body */
+    WG_CLIENT_BUSY,     /* a call is in progress */
+    WG_CLIENT_ENDING    /* flushes the last answer, then closes */
 } wg_client_state;
 
 /* A caller's connection. */
 struct wg_client {
     wg_entry* entry;
     struct bufferevent* bev;
-    struct event* watch; /* for the end of the connection while a request is under way */
+    struct event* watch; /* detects that the caller closed while a call is in progress */
     bool watched;
     wg_client_state state;
     wg_call* call;
     wg_body body;
-    char* head_bytes; /* of the request that is being read */
+    char* head_bytes; /* head of the request being read */
     size_t head_size;
     struct evbuffer* body_bytes;
-    bool keep;        /* the connection may be used again after the present answer */
-    bool answered;    /* it has had an answer before */
-    wg_time since;    /* start of the present state, or first byte of a head */
-    bool begun;       /* some bytes of a head came */
-    size_t looked_at; /* of the bytes that came, part of a head */
-    guint at;         /* place in entry->clients */
-    bool idle;        /* it stands in entry->idle_clients */
+    bool keep;        /* connection may be reused after the current answer */
+    bool answered;    /* at least one answer was sent */
+    wg_time since;    /* start of the current state, or arrival of the first byte of a head */
+    bool begun;       /* part of a head was received */
+    size_t looked_at; /* bytes of an incomplete head that were examined */
+    guint at;         /* index in entry->clients */
+    bool idle;        /* linked in entry->idle_clients */
     GList idle_link;
 };
 
-/* Why a call ended, as its last log line says. */
+/* Outcome of a call, as logged at its end. */
 typedef struct {
     int status;
     wg_verdict verdict;
@@ -74,50 +74,50 @@
 /* One request of a caller. */
 struct wg_call {
     wg_entry* entry;
-    wg_client* client; /* NULL when the caller left */
+    wg_client* client; /* NULL after the caller disconnected */
     wg_config* config;
     const wg_route* route;
     const wg_workspace* workspace; /* NULL on open routes */
     int service;
-    char* bytes; /* of the head */
+    char* bytes; /* storage that `head` points into */
     wg_message_head head;
     struct evbuffer* body;
     char id[WG_NAME_MAX];
-    uint64_t fingerprint; /* the same for each copy of the request, at any host */
-    bool head_only;       /* a HEAD request */
+    uint64_t fingerprint; /* equal for identical requests on all hosts */
+    bool head_only;       /* HEAD request */
     wg_time started;
-    wg_time until;    /* final answer at the latest */
-    wg_time deadline; /* of the caller, WG_TIME_NEVER when it named none */
+    wg_time until;    /* the call ends at this time at the latest */
+    wg_time deadline; /* deadline set by the caller, or WG_TIME_NEVER */
     wg_prompt prompt;
     bool has_prompt;
     wg_need need;
     wg_choice choice;
-    wg_choice proposed;   /* asked for, not sent yet */
-    uint64_t asked;       /* ticket of a question to a coordinator; 0: none waits */
-    wg_time asked_until;  /* then this host decides alone */
-    uint64_t admitted;    /* ticket of the admission that is held; 0: none */
-    bool admitted_read;   /* its prompt was read */
-    uint64_t admitted_by; /* rank of the coordinator that gave it */
-    int asks;             /* questions of the present try */
-    int asks_all;         /* questions so far */
+    wg_choice proposed;   /* selected, but not sent yet */
+    uint64_t asked;       /* ticket of the pending admission request; 0: none */
+    wg_time asked_until;  /* without an answer until then, this host decides alone */
+    uint64_t admitted;    /* ticket of the admission held; 0: none */
+    bool admitted_read;   /* the coordinator was notified that the prompt was read */
+    uint64_t admitted_by; /* rank of the coordinator of the pending request or the admission */
+    int asks;             /* admission requests of the current selection */
+    int asks_all;         /* admission requests of all selections */
     bool was_admitted;
-    wg_time expected; /* wait for the first event, as of the last choice */
-    wg_time limit;    /* the longest at which it would have been sent */
+    wg_time expected; /* expected time to the first event, as of the last selection */
+    wg_time limit;    /* longest expected time at which the request may be sent */
     wg_upstream* upstream;
     int attempts;
-    wg_time sent_at;     /* the last of them */
-    int unsent;          /* of them, no byte left this host */
-    wg_time next_try_at; /* not earlier, while it waits in the queue */
-    bool relaxed;        /* no target would answer in time: rather late than refused */
+    wg_time sent_at;     /* time of the last attempt */
+    int unsent;          /* attempts of which no byte left this host */
+    wg_time next_try_at; /* earliest time of the next selection while queued */
+    bool relaxed;        /* latency limit waived, as no target meets it */
     bool may_have_run;
     bool was_offered;
     bool queued;
     wg_time queued_until;
     wg_time first_event_at;
-    wg_time retry_at; /* of a next attempt that waits; 0 none */
+    wg_time retry_at; /* time of the next attempt; 0: none scheduled */
     bool head_sent;
-    bool chunked;                     /* the answer goes out in chunks */
-    char last_event[WG_EVENT_ID_MAX]; /* last whole event that was passed on; "" none */
+    bool chunked;                     /* answer is sent with chunked encoding */
+    char last_event[WG_EVENT_ID_MAX]; /* id of the last event relayed; "": none */
     int64_t events;
     struct event* timer;
     GList queue_link;
@@ -125,7 +125,7 @@
 
 typedef enum {
     WG_UPSTREAM_CONNECTING = 0,
-    WG_UPSTREAM_HEAD, /* the request was written, or is being */
+    WG_UPSTREAM_HEAD, /* sends the request, or waits for the answer's head */
     WG_UPSTREAM_BODY,
     WG_UPSTREAM_IDLE
 } wg_upstream_state;
@@ -137,56 +137,56 @@
     struct bufferevent* bev;
     wg_upstream_state state;
     wg_call* call;
-    bool far;     /* the target stands in another data centre */
-    bool used;    /* it served a request before */
-    bool written; /* a byte of the present request may have left */
-    char* bytes;  /* of the answer's head */
+    bool far;     /* the target is in another data centre */
+    bool used;    /* connection served an earlier request */
+    bool written; /* bytes of the current request may have left this host */
+    char* bytes;  /* storage that `head` points into */
     wg_message_head head;
-    wg_time rest; /* that the answer asks for, microseconds; 0: none */
+    wg_time rest; /* backoff period requested by the answer; 0: none */
     wg_body body;
-    struct evbuffer* content; /* of the answer, not passed on yet */
-    bool events;              /* the answer is a stream of events */
+    struct evbuffer* content; /* answer body not relayed yet */
+    bool events;              /* answer is an event stream */
     bool paused;
     wg_time idle_since;
     wg_time idle_limit;
     GList idle_link;
 };
 
-/* Addresses of processes that may know the leader. */
+/* Addresses of processes that may know the leader, each at most once. */
 typedef struct {
     char list[WG_CONTROLS_MAX][WG_ADDRESS_MAX];
     int num;
 } wg_addresses;
 
-/* The entry host that admits prompts to some targets, for all. */
+/* Entry host that admits prompts to a part of the targets on behalf of all entry hosts. */
 typedef struct {
     char name[WG_NAME_MAX];
-    char address[WG_ADDRESS_MAX]; /* of its fleet port */
-    uint64_t rank;                /* hash of its name */
+    char address[WG_ADDRESS_MAX]; /* ip:port of its fleet listener */
+    uint64_t rank;                /* hash of `name` */
     bool self;
     wgn_link link;
     bool up;
     wg_time dial_at;
-    int missed; /* answers in a row that did not come in time */
+    int missed; /* consecutive admission requests that timed out */
     wg_time silent_until;
 } wg_coordinator;
 
-/* Coordinators as they were until a moment ago. */
+/* Previous list of coordinators, in force until `until`. */
 typedef struct {
     uint64_t ranks[WG_COORDINATORS_MAX];
     int num;
     wg_time until;
 } wg_former_coordinators;
 
-/* An order that waits for the leader's answer. */
+/* Order that waits for the leader's answer. */
 typedef struct {
     uint64_t ticket;
-    struct evhttp_request* request; /* NULL when its sender left */
-    GByteArray* packed;             /* Order */
+    struct evhttp_request* request; /* NULL after the sender disconnected */
+    GByteArray* packed;             /* serialized Wgpb__Order */
     bool sent;
     bool read;
-    bool of_target;   /* a heartbeat or a leave */
-    uint64_t version; /* of the configuration that it carries; 0: none */
+    bool of_target;   /* heartbeat or deregistration of a target */
+    uint64_t version; /* version of the configuration carried; 0: none */
     wg_time since;
     wg_time until;
 } wg_entry_order;
@@ -198,28 +198,28 @@
     uint64_t failed;
     uint64_t cut;
     uint64_t left;
-    uint64_t tries; /* choices of a target for a request, also those that came to nothing */
+    uint64_t tries; /* target selections, also those without a result */
     uint64_t retries;
     uint64_t resumes;
     uint64_t connects;
-    uint64_t target_bytes_out; /* to targets, and from them */
-    uint64_t target_bytes_in;
-    uint64_t target_far_bytes_out; /* the same, of targets in other data centres */
-    uint64_t target_far_bytes_in;
-    uint64_t cold_denials;        /* requests that a cold target was not given */
-    uint64_t callers_replaced;    /* idle ones closed to make room */
-    uint64_t callers_turned_away; /* closed at once: none was idle */
+    uint64_t target_bytes_out;     /* bytes sent to targets */
+    uint64_t target_bytes_in;      /* bytes received from targets */
+    uint64_t target_far_bytes_out; /* bytes sent to targets in other data centres */
+    uint64_t target_far_bytes_in;  /* bytes received from targets in other data centres */
+    uint64_t cold_denials;         /* admissions denied for cold targets */
+    uint64_t callers_replaced;     /* idle connections closed in favour of new ones */
+    uint64_t callers_turned_away;  /* connections refused because none was idle */
     uint64_t lines_left_out;
-    uint64_t targets_ended;  /* after they broke off a request of this host */
-    uint64_t targets_stayed; /* that broke off a request, but take connections */
+    uint64_t targets_ended;  /* targets found ended after they aborted a request */
+    uint64_t targets_stayed; /* targets that aborted a request, but accept connections */
     uint64_t checks_left_out;
     uint64_t quarantine_refusals;
-    uint64_t rests;         /* that targets asked this host for */
-    uint64_t leaves_told;   /* targets that said in an answer that they leave */
-    uint64_t rest_refusals; /* requests refused because all targets rest */
+    uint64_t rests;         /* backoff periods requested by targets */
+    uint64_t leaves_told;   /* targets that reported in an answer that they are draining */
+    uint64_t rest_refusals; /* requests refused because all targets are in backoff */
 } wg_entry_counters;
 
-/* Evidence within a report; the arrays are the reporter's. */
+/* Crash evidence in a report. The arrays are released by the function that sends the report. */
 typedef struct {
     Wgpb__Crash* items;
     Wgpb__Crash** list;
@@ -235,84 +235,85 @@
     uint64_t counter;
     uint64_t fingerprint_seed;
     wg_time started_at;
-    bool served; /* a request, since the start */
+    bool served; /* a request was served since the start */
     bool stopping;
     wg_time stop_at;
 
     struct evconnlistener* listener;
     GPtrArray* clients;
-    GQueue idle_clients; /* wg_client that wait for a request; the longest idle is first */
+    GQueue idle_clients; /* wg_client in state HEAD; longest idle first */
     GHashTable* idle;    /* target -> GQueue of wg_upstream */
     GHashTable* queues;  /* name of a service -> GQueue of wg_call */
     int calls_num;
     int upstreams_num;
 
-    /* what this host believes */
+    /* copy of the fleet state */
     wg_config* config;
-    GBytes* document; /* of the configuration: the next one may come as what changed since */
+    GBytes*
+        document; /* text of `config`; base for the next configuration if sent as a difference */
     wg_registry* registry;
     bool registry_known;
     wg_balance* balance;
     wg_backoff* backoff;
     GHashTable* retries; /* name of a service -> wg_retry* */
     wg_roster* roster;
-    wg_usage_book* usage; /* of workspaces, here and in the whole fleet */
+    wg_usage_book* usage; /* usage of workspaces on this host and in the fleet */
     wg_fair_margin margin;
 
     /* link to the leader */
     wgn_net* net;
     wgn_link link;
     bool link_up;
-    bool on_standby; /* configuration and targets are a replica's, no leader has vouched for them */
-    uint64_t term_followed; /* of the last leader */
+    bool on_standby;        /* state was taken from a replica without a leader */
+    uint64_t term_followed; /* term of the last leader followed */
     bool leader_known;
-    wg_addresses controls; /* replicas, as a leader or a follower named them */
-    wg_addresses others;   /* seeds, and the entry hosts there: asked now and then */
+    wg_addresses controls; /* replicas named by other processes */
+    wg_addresses others;   /* seeds and entry hosts at their addresses; dialled occasionally */
     int control_next;
     int other_next;
     char dial_address[WG_ADDRESS_MAX];
     wg_time dial_at;
     wg_time report_at;
-    wg_time state_at;      /* last word of a leader */
-    wg_absence leaderless; /* what is told of a leader that is missing */
-    wg_time leaderless_at; /* the control at the other end knew no leader first then; 0: it does */
+    wg_time state_at;      /* last contact with a leader */
+    wg_absence leaderless; /* outage without a leader */
+    wg_time leaderless_at; /* when the linked control first reported no leader; 0: it knows one */
     wg_time report_gap;
     uint64_t report_seq;
-    uint64_t state_seen; /* seq of the last state on this link */
+    uint64_t state_seen; /* sequence of the last state received on this link */
     GQueue orders;       /* wg_entry_order* */
 
     /* admission: wg_entry_admit.c */
-    wg_admit* admit;                                  /* to targets that this host coordinates */
+    wg_admit* admit; /* admission to targets that this host coordinates */
     wg_coordinator coordinators[WG_COORDINATORS_MAX]; /* highest rank first */
     int coordinators_num;
     wg_former_coordinators former_coordinators[WG_FORMER_COORDINATORS_MAX]; /* oldest first */
     int former_coordinators_num;
     GHashTable* asks;       /* ticket -> wg_call* */
-    GHashTable* cache_asks; /* target -> what wg_entry_cache.c knows of its list */
+    GHashTable* cache_asks; /* target -> private data of wg_entry_cache.c */
 
-    /* requests that end targets: wg_entry_quarantine.c */
-    wg_quarantine* quarantine; /* copy of what was agreed on */
-    wg_suspects* suspects;     /* what this host saw */
-    GArray* crashes;           /* wg_crash, not told to the leader on this link yet */
-    GArray* ended_well;        /* uint64_t, fingerprints; the same */
-    wg_time suspects_at;       /* when the suspects were last looked through */
+    /* requests that crash targets: wg_entry_quarantine.c */
+    wg_quarantine* quarantine; /* copy of the leader's list */
+    wg_suspects* suspects;     /* evidence seen by this host */
+    GArray* crashes;           /* wg_crash, not reported on this link yet */
+    GArray* ended_well;        /* uint64_t, fingerprints not reported on this link yet */
+    wg_time suspects_at;       /* last time that suspects were expired */
 
-    GHashTable* checks;   /* target -> what wg_entry_check.c has under way */
-    GArray* doubts;       /* what broke off at targets of which that is not known yet */
-    wg_time checks_since; /* start of the second that is counted */
-    int checks_num;       /* begun in it */
+    GHashTable* checks;   /* target -> check in progress, see wg_entry_check.c */
+    GArray* doubts;       /* aborted requests whose targets are not known to have ended */
+    wg_time checks_since; /* start of the current one-second window */
+    int checks_num;       /* checks started in the current window */
 
     wgh_server ready_server;
     wgh_server entry_server;
     wgh_server orders_server;
 
     wg_entry_counters counters;
-    wg_pulse pulse;     /* how late the tick comes */
-    struct event* turn; /* stands in line with what callers send, to tell how long that waits */
-    wg_time turn_since; /* 0: it stands in no line */
-    wg_pulse behind;    /* how long it waited */
-    wg_time woke_at;    /* the last tick before which this process stood still; 0: none */
-    wg_hist first_time; /* microseconds to the first byte of an answer */
+    wg_pulse pulse;     /* delay of the tick */
+    struct event* turn; /* queued behind callers' input to measure its delay */
+    wg_time turn_since; /* 0: the probe is not queued */
+    wg_pulse behind;    /* delay of callers' input in the event loop */
+    wg_time woke_at;    /* first tick after the last stall of this process; 0: none */
+    wg_hist first_time; /* microseconds to the first byte of the answer */
     wg_hist total_time;
     wg_time log_second;
     int log_lines;
@@ -320,12 +321,12 @@
 
 /* wg_entry.c */
 bool wg_entry_is_ready(const wg_entry* e);
-/* A planned stop is so far on that callers have long had newer entry answers, or that a request
-   that takes so long could be cut off by its end. */
+/* Whether a planned stop refuses a new request that takes `takes` microseconds: callers have newer
+   entry answers by now, or the stop would abort the request. */
 bool wg_entry_refuses_new(const wg_entry* e, wg_time takes);
-/* How long what callers send waits for its turn in the loop, microseconds, as last seen. */
+/* Last measured event-loop delay of callers' input, microseconds. */
 wg_time wg_entry_turn_wait(const wg_entry* e, wg_time now);
-/* May another line about a request be logged this second? */
+/* Rate limit of log lines about requests. */
 bool wg_entry_may_log(wg_entry* e, wg_time now);
 
 /* wg_entry_link.c */
@@ -333,59 +334,59 @@
 bool wg_entry_link_setup(wg_entry* e, GError** error);
 void wg_entry_link_tick(wg_entry* e, wg_time now);
 void wg_entry_report(wg_entry* e, wg_time now);
-/* Without word of a leader, what it said of usage fades. */
+/* Decays the fleet usage last received, while there is no contact with a leader. */
 void wg_entry_fade_usage(wg_entry* e, wg_time now);
 
-/* Has this host been without a leader for so long that it takes what a replica holds? */
+/* Whether the leader has been missing long enough to accept state from a replica. */
 bool wg_entry_takes_standby(const wg_entry* e, wg_time now);
 
 /* wg_entry_orders.c */
 void wg_entry_order_begin(wg_entry* e, struct evhttp_request* request, const Wgpb__Order* order);
-/* A leader is known: send all that waits. */
+/* Sends all pending orders; called when a leader becomes known. */
 void wg_entry_orders_send(wg_entry* e);
 void wg_entry_orders_take_answer(wg_entry* e, const Wgpb__OrderAnswer* answer);
-/* What was sent has to be sent again. */
+/* Marks all pending orders to be sent again. */
 void wg_entry_orders_link_lost(wg_entry* e);
 void wg_entry_orders_tick(wg_entry* e, wg_time now);
 void wg_entry_orders_drop(wg_entry* e);
-/* `document` NULL: none is part of the answer. */
+/* Answers the sender of an order. `document` may be NULL. */
 void wg_entry_order_answer(struct evhttp_request* request, wg_order_outcome outcome,
                            GBytes* document);
 
 /* wg_entry_admit.c */
-/* The list of entry hosts has changed. */
+/* Updates the coordinators after a change of the roster. */
 void wg_entry_admit_members(wg_entry* e);
 void wg_entry_admit_tick(wg_entry* e, wg_time now);
-/* Ask who coordinates call->proposed.target; the answer comes through wg_call_admit_answered() or
-   wg_call_admit_unanswered(), also before this returns. */
+/* Requests an admission from the coordinator of call->proposed.target. Ends in
+   wg_call_admit_answered() or wg_call_admit_unanswered(), possibly before this returns. */
 void wg_entry_admit_ask(wg_call* call, const wg_admit_limits* limits, wg_time now);
-/* No answer came in time. */
+/* The pending admission request timed out. */
 void wg_entry_admit_unanswered(wg_call* call, wg_time now);
-/* The prompt of the call's admission is read; its request is over; the call itself is. */
+/* Notify the coordinator that the prompt was read, and that the attempt ended. _forget also drops
+   a pending admission request. */
 void wg_entry_admit_read(wg_call* call);
 void wg_entry_admit_end(wg_call* call, bool failed);
 void wg_entry_admit_forget(wg_call* call);
-/* False when the link or the frame is none of admission. */
+/* The functions that return bool return false if the link or frame does not concern admission. */
 bool wg_entry_admit_on_up(wg_entry* e, wgn_link link);
-/* Another process has come, perhaps to ask for admissions. */
+/* Another process has connected, possibly to request admissions. */
 void wg_entry_admit_on_asker(wg_entry* e, wgn_link link, const wgn_peer* peer);
 void wg_entry_admit_on_down(wg_entry* e, wgn_link link);
 bool wg_entry_admit_on_frame(wg_entry* e, wgn_link link, const wgw_frame* frame);
 
-/* Does this host coordinate the target? */
 bool wg_entry_admit_coordinates(wg_entry* e, uint32_t target);
 
 /* wg_entry_cold.c */
-/* Requests a second that the target bears now, of all hosts together; 0: any, it is not cold. */
+/* Requests per second that all hosts together may send to a cold target; 0 if it is not cold. */
 double wg_entry_cold_rate(const wg_entry* e, uint32_t target);
-/* May this host send to cold targets? After a start the lists of entry hosts are not whole: many
-   would take themselves for the coordinator of the same target. */
+/* Whether this host may send to cold targets. Not shortly after its start, when the roster is
+   incomplete and several hosts could consider themselves coordinator of the same target. */
 bool wg_entry_feeds_cold(const wg_entry* e, wg_time now);
-/* May it grant this one, which is cold, to others and to itself? */
+/* Whether this host may admit requests to a cold target. */
 bool wg_entry_grants_cold(const wg_entry* e, uint32_t target, wg_time now);
-/* The list of coordinators is about to be replaced. */
+/* Keeps the current list of coordinators before it is replaced by `list`. */
 void wg_entry_note_coordinators(wg_entry* e, const wg_coordinator* list, int num, wg_time now);
-/* Service of a target, as the configuration in force has it; NULL when either is not known. */
+/* NULL if the target or its service is unknown. */
 const wg_service* wg_entry_service_of(const wg_entry* e, uint32_t target);
 
 /* wg_entry_cache.c */
@@ -396,55 +397,54 @@
 /* wg_entry_check.c */
 void wg_entry_check_setup(wg_entry* e);
 void wg_entry_check_shutdown(wg_entry* e);
-/* Look what the registry says of targets that broke off. */
+/* Resolves unresolved failures from the registry's state of their targets. */
 void wg_entry_check_doubts(wg_entry* e, wg_time now);
-/* The connection on which the call's request was sent has ended without a whole answer: find out
-   whether the target has ended too. */
+/* Checks whether a target has ended after it closed the connection of `call` mid-request. */
 void wg_entry_check_broken(wg_entry* e, const wg_call* call, const wg_upstream* up);
 
 /* wg_entry_backoff.c */
-/* A target has answered: take in what it asks of this host. `id`: of the request. Returns the
-   microseconds of rest that it asks for; 0: none. */
+/* Applies the backoff hint of a target's answer. `id` is the request's id, for the log. Returns the
+   backoff period in microseconds; 0: none. */
 wg_time wg_entry_note_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* wish,
                              const char* id);
-/* May the target be sent requests now? Whatever sends one asks this first: requests, those that go
-   on or are sent again, and questions for cached prompts. */
+/* Whether the target accepts requests now. Checked before every request to a target: first
+   attempts, retries, resumed streams, and cache queries. */
 bool wg_entry_may_send(const wg_entry* e, const wg_target* target, wg_time now);
-/* May connections to it be kept for later? */
+/* Whether idle connections to the target may be kept. */
 bool wg_entry_may_keep(const wg_entry* e, const wg_target* target);
 
 /* wg_entry_quarantine.c */
 void wg_entry_quarantine_setup(wg_entry* e);
 void wg_entry_quarantine_shutdown(wg_entry* e);
 void wg_entry_quarantine_tick(wg_entry* e, wg_time now);
-/* Is a request with this fingerprint to be refused at once? */
 bool wg_entry_is_quarantined(const wg_entry* e, uint64_t fingerprint);
-/* Final answer to a call of a quarantined request, whatever it waits for. */
+/* Refuses a quarantined request in any state of its call. */
 void wg_entry_refuse_quarantined(wg_call* call);
-/* A target ended while it had a request of this host. */
+/* Records that a target ended while it processed a request of this host. */
 void wg_entry_note_crash(wg_entry* e, const wg_crash* crash);
-/* The request was answered as a whole: it does not end targets. */
+/* Records a complete answer, which shows that the request does not crash targets. */
 void wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint);
-/* The leader's list. */
+/* Applies the leader's quarantine list. */
 void wg_entry_take_quarantine(wg_entry* e, const Wgpb__EntryState* in);
-/* A new link: all that this host saw is to be told. */
+/* Queues all evidence to be reported again, on a new link. */
 void wg_entry_tell_crashes_again(wg_entry* e);
-/* Put into a report what is to be told; afterwards it was sent. */
+/* Adds unreported evidence to a report; wg_entry_crashes_told() releases it once the report was
+   sent. */
 wg_crash_report wg_entry_fill_crashes(wg_entry* e, Wgpb__EntryReport* report);
 void wg_entry_crashes_told(wg_entry* e, wg_crash_report* report);
 
 /* wg_entry_attempt.c */
-/* Choose a target and send, or wait for one. */
+/* Selects a target and sends the request, or queues it. */
 void wg_call_try(wg_call* call);
 void wg_call_unqueue(wg_call* call);
-/* Another attempt, when the rules and the budget allow it; `unsent`: no byte of the last one left.
-   False: the call has to end. */
+/* Schedules a retry if the route and the retry budget allow it. `unsent`: no byte of the last
+   attempt left this host. False: the call has to end. */
 bool wg_call_again(wg_call* call, bool unsent);
-/* Seconds after which a refused request may come back. */
+/* Seconds after which the caller may send a refused request again. */
 double wg_call_retry_after(const wg_call* call);
-/* Prompt tokens, and those that may be made, as workspaces are charged for them. */
+/* Prompt tokens and weighted answer tokens charged to the workspace. */
 uint32_t wg_call_tokens(const wg_call* call);
-/* Tokens that the call's workspace lately had in the whole fleet. */
+/* Recent tokens of the call's workspace in the fleet. */
 double wg_call_usage(const wg_call* call);
 /* Is the request charged to a workspace? */
 bool wg_call_counts(const wg_call* call);
@@ -457,37 +457,37 @@
 /* wg_entry_client.c */
 bool wg_client_listen(wg_entry* e, GError** error);
 void wg_client_tick(wg_entry* e, wg_time now);
-/* Is a request on its way from any caller, also one that is not read yet? */
+/* Whether any caller is sending a request, including unread ones. */
 bool wg_client_any_sends(const wg_entry* e);
-/* The call of the connection is over; `keep` false: close once all is written. */
+/* The connection's call has ended. `keep` false: closes once the output is flushed. */
 void wg_client_call_over(wg_client* client, bool keep);
-/* Close at once, also in the middle of an answer. */
+/* Closes at once, also in the middle of an answer. */
 void wg_client_close(wg_client* client);
-/* Write as much as the socket takes now; the rest follows. Empties `bytes`. */
+/* Writes what the socket accepts now and buffers the remainder. Empties `bytes`. */
 void wg_socket_write(struct bufferevent* bev, struct evbuffer* bytes);
 
-/* Has the other end closed, with nothing left to read? */
+/* Whether the peer has closed and nothing is left to read. */
 bool wg_socket_peer_has_left(struct bufferevent* bev);
 
 /* wg_entry_call.c */
-/* Takes over `bytes` and `body`. */
+/* Takes ownership of `bytes` and `body`. */
 void wg_call_begin(wg_client* client, char* bytes, size_t size, struct evbuffer* body);
 void wg_call_caller_left(wg_call* call);
 void wg_call_answer_head(wg_call* call, wg_upstream* up);
 void wg_call_answer_data(wg_call* call, wg_upstream* up);
 void wg_call_answer_whole(wg_call* call, wg_upstream* up);
-/* The connection is up, but the target takes nothing any more: it is not to blame for that. */
+/* The target stopped accepting work before the request was sent; not counted as its failure. */
 void wg_call_attempt_withdrawn(wg_call* call, wg_upstream* up, const char* reason);
-/* The attempt is over without a whole answer. */
+/* The attempt ended without a complete answer. `up` may be NULL. */
 void wg_call_attempt_failed(wg_call* call, wg_upstream* up, const char* reason);
 void wg_call_queue_run(wg_entry* e);
 void wg_call_set_timer(wg_call* call, wg_time now);
-/* A final answer of ours, at once. */
+/* Answers with an error of this host and ends the call. */
 void wg_call_refuse(wg_call* call, int status, const char* reason, double retry_after);
 void wg_call_cut_all(wg_entry* e);
-/* The process stood still: what calls wait for may be over already. */
+/* Sets all calls' timers anew after a stall. */
 void wg_call_wake_all(wg_entry* e, wg_time now);
-/* A refusal of ours, before there is a call. */
+/* Answers with an error of this host while there is no call. */
 void wg_client_refuse(wg_client* client, int status, const char* code, double retry_after,
                       bool keep);
 
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -1,4 +1,4 @@
-/* wg_entry_upstream.c -- connections to targets and the answers that come on them */
+/* wg_entry_upstream.c -- connections to targets, and answers received on them */
 #include "wg_entry_internal.h"
 #include "wg_forward.h"
 
@@ -10,8 +10,8 @@
 
 enum {
     WG_CONNECT_TIME = 250 * WG_USEC_PER_MSEC,
-    WG_IDLE_TIME = 4 * WG_USEC_PER_SEC,     /* when the target tells none */
-    WG_IDLE_MARGIN = 700 * WG_USEC_PER_MSEC /* before the time that it tells */
+    WG_IDLE_TIME = 4 * WG_USEC_PER_SEC,     /* if the target reports no keep-alive time */
+    WG_IDLE_MARGIN = 700 * WG_USEC_PER_MSEC /* subtracted from the reported keep-alive time */
 };
 
 static void wg_upstream_on_read(struct bufferevent* bev, void* user_data);
@@ -90,7 +90,7 @@
     g_queue_push_head_link(wg_upstream_idle(up->entry, up->target), &up->idle_link);
 }
 
-/* Take the connection that was idle longest out of its queue; NULL when there is none. */
+/* Removes the longest idle connection from `queue`; NULL if there is none. */
 static wg_upstream* wg_upstream_take_oldest(GQueue* queue) {
     GList* link = g_queue_pop_tail_link(queue);
     wg_upstream* up = link ? link->data : NULL;
@@ -123,7 +123,7 @@
     }
 }
 
-/* Targets that take no more work need no idle connections. */
+/* Closes idle connections to targets that no longer accept work. */
 void wg_upstream_forget(wg_entry* e) {
     GHashTableIter iter;
     gpointer key;
@@ -179,7 +179,7 @@
     up->call = call;
     call->upstream = up;
     if (up->state == WG_UPSTREAM_CONNECTING) {
-        return; /* sent once the connection is up */
+        return; /* sent when the connection is established */
     }
     const wg_target* target = wg_registry_find(up->entry->registry, up->target);
     up->state = WG_UPSTREAM_HEAD;
@@ -197,7 +197,8 @@
     wg_call_attempt_failed(call, up, reason);
 }
 
-/* The target has to echo the id of the request; another one belongs to an earlier request. */
+/* Targets echo the request id; a different id means that the answer belongs to an earlier request.
+ */
 static bool wg_upstream_is_for_call(const wg_upstream* up) {
     wg_text echoed = wg_message_field(&up->head, up->entry->names->request_id);
     return !echoed.text || !up->call->id[0] ||
@@ -205,7 +206,7 @@
             memcmp(echoed.text, up->call->id, echoed.size) == 0);
 }
 
-/* What the target asks of this host, whichever request the answer belongs to. */
+/* Backoff hints apply whichever request the answer belongs to. */
 static void wg_upstream_take_wish(wg_upstream* up) {
     wg_entry* e = up->entry;
     wg_backoff_wish wish = {.status = up->head.status};
@@ -216,7 +217,7 @@
     up->rest = wg_entry_note_answer(e, up->target, &wish, up->call->id);
 }
 
-/* False when there is no whole head yet, or the connection is gone. */
+/* False if the head is incomplete, or `up` was closed. */
 static bool wg_upstream_read_head(wg_upstream* up) {
     struct evbuffer* in = bufferevent_get_input(up->bev);
     for (;;) {
@@ -258,7 +259,7 @@
     (void)bev;
     wg_upstream* up = user_data;
     if (up->state == WG_UPSTREAM_IDLE || !up->call) {
-        wg_upstream_close(up); /* bytes that belong to no request */
+        wg_upstream_close(up); /* unsolicited data */
         return;
     }
     if (up->state == WG_UPSTREAM_HEAD) {
@@ -268,7 +269,7 @@
         wg_call* call = up->call;
         wg_call_answer_head(call, up);
         if (call->upstream != up) {
-            return; /* the call went elsewhere, this connection is closed or idle */
+            return; /* the call was retried or refused; `up` is closed or idle */
         }
     }
     if (up->state != WG_UPSTREAM_BODY) {
@@ -362,6 +363,6 @@
         wg_upstream_close(up);
         return NULL;
     }
-    wg_loop_put_connection_first(up->bev); /* connecting has set it back */
+    wg_loop_put_connection_first(up->bev); /* connecting resets the priority */
     return up;
 }
