--- a/lib/entry/wg_cache_list.c
+++ b/lib/entry/wg_cache_list.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 enum {
-    _WG_CACHE_ID = 1, /* places in the array of one part */
+    _WG_CACHE_ID = 1, /* indices in the array of a part */
     _WG_CACHE_TOKENS = 2
 };
 
--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -1,4 +1,4 @@
-/* wg_entry.c -- set-up, tick and planned stop; see wg_entry.h */
+/* wg_entry.c -- settings, setup, periodic tick and planned stop; see wg_entry.h */
 #include "wg_entry_internal.h"
 
 #include <string.h>
@@ -33,12 +33,10 @@
               "silence after which the link to a control is closed"),
     WG_NUMBER("timing", order_ms, "900", 50, 60000, "ms",
               "wait for the leader's answer to an order"),
-    /* An election (0.5 s) and the 1.5 s after which a new leader tells all hosts, with some room.
-     */
+    /* Covers an election and the time until a new leader has updated all hosts. */
     WG_NUMBER("timing", cold_settle_ms, "3000", 0, 60000, "ms",
               "after the start, before cold targets are sent anything or granted to others"),
-    /* The fleet has to serve again within 12 s of the end of a fault: no leader for longer than
-       that means that none will come by itself. */
+    /* Longer than the fleet needs to recover from a fault by itself. */
     WG_NUMBER("timing", standby_ms, "15000", 0, 3600000, "ms",
               "wait for a leader before a host serves by what a replica without one holds; 0: it "
               "never does"),
@@ -73,10 +71,10 @@
 
 enum {
     WG_TICK = 50 * WG_USEC_PER_MSEC,
-    WG_LOG_LINES_MAX = 200, /* about requests, in one second */
+    WG_LOG_LINES_MAX = 200, /* lines about requests, per second */
     WG_LATE_CLOSE = 300 * WG_USEC_PER_MSEC,
     WG_STOP_REFUSES = 2800 * WG_USEC_PER_MSEC,
-    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to end by itself before it is killed */
+    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to exit before being killed */
 };
 
 /* ---- helpers -------------------------------------------------------------------------------- */
@@ -120,8 +118,8 @@
     }
 }
 
-/* Leave when nobody is served, no request waits unread, and no caller can still hold an answer that
-   names this host. */
+/* Ends the loop when no call is in progress, no request is unread, and no caller can still have an
+   entry answer that names this host; at the latest at the end of the grace period. */
 static void wg_entry_stop_tick(wg_entry* e, wg_time now) {
     wg_time most = wg_entry_stop_time(e);
     wg_time least = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_LATE_CLOSE;
@@ -153,7 +151,8 @@
     return MAX(waits, e->behind.last);
 }
 
-/* Ticks and links go first, so they tell nothing of how long a caller waits. */
+/* Queues an event of the same priority as callers' input to measure the delay of that input. Ticks
+   and links have a higher priority and do not show it. */
 static void wg_entry_stand_in_line(wg_entry* e, wg_time now) {
     if (!e->turn_since) {
         e->turn_since = now;
--- a/lib/entry/wg_entry.h
+++ b/lib/entry/wg_entry.h
@@ -1,29 +1,29 @@
 #pragma once
 /*
-    wg_entry.h -- an entry host that serves the routes of a whole configuration
+    wg_entry.h -- entry host: serves all routes of a configuration
 
     WHAT IT DOES
-        Takes callers' HTTP requests, finds route and workspace, chooses a target that registered
-        itself, relays the answer as it comes, and answers which entry hosts to use. Takes orders
-        of operators and heartbeats of targets on behalf of the leader.
+        Accepts callers' HTTP requests, determines route and workspace, selects a registered
+        target, and relays its answer as it arrives. Tells callers which entry hosts to use.
+        Forwards orders of operators and heartbeats of targets to the leader.
 
     FEATURES
-        - heads are read strictly; what two readers could understand differently is refused
-        - at most once for requests that may not be repeated; others go to another target within
-          their attempts and the fleet's retry budget
-        - streams of resumable routes go on at another target inside one answer
-        - the configuration only moves forward; without one every request gets 503
-        - a planned stop: left out of entry answers at once, finishes what runs, then leaves
+        - strict parsing of request heads; ambiguous ones are refused
+        - at-most-once delivery of requests that are not repeatable; others are retried on other
+          targets within the route's attempts and the fleet's retry budget
+        - event streams of resumable routes continue on another target within one answer
+        - configuration versions only increase; without a configuration requests get 503
+        - planned stop: removed from entry answers at once, completes running requests, then exits
 
     USE
         1. wgi_load(path, wg_entry_keys, wg_entry_keys_num, &settings, &error);
         2. wg_entry* e = wg_entry_setup(&(wg_entry_desc){.base = base, .settings = &settings,
                .names = &names}, &error);
-        3. event_base_dispatch(base); wg_entry_stop(e) leaves the loop when all is done;
+        3. event_base_dispatch(base); wg_entry_stop(e) ends the loop after the planned stop;
            wg_entry_shutdown(e);
 
     THE CALLER OWNS
-        base, settings and names, for as long as the entry host lives.
+        base, settings and names, which must outlive the entry host.
 */
 #include "wg_http.h"
 #include "wg_net.h"
@@ -60,40 +60,40 @@
 extern const wgi_key wg_entry_keys[];
 extern const int wg_entry_keys_num;
 
-/* Names of header fields and query parameters, as callers and targets know them. */
+/* Names of header fields, paths and query parameters on the wire. */
 typedef struct {
-    const char* request_id;    /* of one attempt of a caller; targets echo it */
-    const char* key;           /* of the workspace */
-    const char* deadline;      /* milliseconds that the caller waits */
+    const char* request_id;    /* id of a caller's request; echoed by targets */
+    const char* key;           /* key of the workspace */
+    const char* deadline;      /* milliseconds until the caller's deadline */
     const char* prompt_parts;  /* ID:TOKENS, comma-separated */
-    const char* prompt_tokens; /* TOKENS,MOST TOKENS OF THE ANSWER */
-    const char* last_event;    /* id of the last event that the caller has */
-    const char* workspace;     /* name, told to targets */
-    const char* expect;        /* id of the target that is meant */
-    const char* copy_from;     /* ip:port of the target that holds a part of the prompt */
-    const char* not_run;       /* of a target that did not run a request */
-    const char* leaving;       /* `1`: of a target that leaves, in all its answers */
-    const char* cache_list;    /* path where a target lists the prompt parts it holds; NULL: none */
-    const char* query_place;   /* data centre of a caller that asks for entry hosts */
-    /* Further fields that only this system may set, NULL at the end; NULL: none. Callers' are not
-       passed on. */
+    const char* prompt_tokens; /* PROMPT TOKENS,MAXIMUM ANSWER TOKENS */
+    const char* last_event;    /* id of the last event received by the caller */
+    const char* workspace;     /* name of the workspace, set for targets */
+    const char* expect;        /* id of the intended target */
+    const char* copy_from;     /* ip:port of a target that has a part of the prompt cached */
+    const char* not_run;       /* set by a target that did not run the request */
+    const char* leaving;       /* `1`: set by a draining target in all answers */
+    const char* cache_list;    /* path of a target's list of cached prompt parts; NULL: none */
+    const char* query_place;   /* data centre of a caller that requests entry hosts */
+    /* NULL-terminated list of further fields that only entry hosts may set; removed from callers'
+       requests. NULL: none. */
     const char* const* withheld;
 } wg_entry_names;
 
 typedef struct {
     struct event_base* base;
     const wg_entry_settings* settings;
-    const wg_entry_names* names; /* NULL: those of this project */
+    const wg_entry_names* names; /* NULL: default names */
 } wg_entry_desc;
 
 typedef struct wg_entry wg_entry;
 
-/* NULL with the reason when the ports or the settings do not allow a start. */
+/* Returns NULL and sets `error` if a listener cannot be opened or a setting is invalid. */
 wg_entry* wg_entry_setup(const wg_entry_desc* desc, GError** error);
 void wg_entry_shutdown(wg_entry* entry);
-/* Planned stop; a second call hurries it. */
+/* Starts a planned stop; a second call ends the loop at once and aborts running requests. */
 void wg_entry_stop(wg_entry* entry);
-/* Take over what may change while it runs: seeds that were not known before. */
+/* Applies settings that may change at run time: new seeds are added. */
 void wg_entry_reload(wg_entry* entry, const wg_entry_settings* settings);
-/* State dump; the caller releases it. */
+/* Returns a state dump; the caller releases it with json_decref(). */
 json_t* wg_entry_dump(wg_entry* entry);
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -1,15 +1,15 @@
-/* wg_entry_admit.c -- coordinators of targets: who they are, what they are asked, what they answer
+/* wg_entry_admit.c -- coordinators of targets: selection, admission requests and answers
 
-   A few entry hosts, the same ones on all, share the targets out among themselves by rendezvous
-   hashing. Each admits prompts to its targets for the whole fleet (lib/admit). What they say is
-   advice: where no answer comes in time, the host that has the request decides by itself. */
+   All entry hosts select the same few of them as coordinators and assign each target to one by
+   rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet (lib/admit).
+   Its answers are advisory: without one in time, the host with the request decides alone. */
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
 enum {
-    WG_ASK_TIME = 30 * WG_USEC_PER_MSEC, /* for an answer */
-    WG_ASK_MISSED_MAX = 2,               /* answers missed in a row, then it counts as silent */
+    WG_ASK_TIME = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
+    WG_ASK_MISSED_MAX = 2,               /* consecutive timeouts until it counts as unresponsive */
     WG_ASK_SILENT_TIME = 500 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_DIAL_GAP = 60 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_PING = 2 * WG_USEC_PER_SEC,
@@ -40,7 +40,7 @@
     return NULL;
 }
 
-/* Rendezvous hashing: a coordinator that comes or goes moves only its own targets. */
+/* Rendezvous hashing: adding or removing a coordinator reassigns only its own targets. */
 static wg_coordinator* wg_coordinator_of(wg_entry* e, uint32_t target) {
     wg_coordinator* best = NULL;
     uint64_t best_rank = 0;
@@ -74,7 +74,7 @@
     return c;
 }
 
-/* Keep the entry hosts of the highest rank, with the links that there are. */
+/* Selects the entry hosts of the highest rank and keeps their existing links. */
 static int wg_coordinators_pick(wg_entry* e, wg_coordinator* picked) {
     int num = 0;
     for (int i = 0; i < wg_roster_num(e->roster); i++) {
@@ -135,7 +135,7 @@
     }
 }
 
-/* ---- helpers: questions ---------------------------------------------------------------------- */
+/* ---- helpers: admission requests ------------------------------------------------------------- */
 
 static wg_admit_request wg_call_admit_request(const wg_call* call, const wg_admit_limits* limits,
                                               uint64_t ticket) {
@@ -162,7 +162,7 @@
     return r;
 }
 
-/* Decide on a request of any host, this one (holder 0) too. */
+/* Decides on a request of any host; holder 0 is this host. */
 static wg_admit_answer wg_entry_admit_decide(wg_entry* e, wg_admit_request* request) {
     wg_balance_load_of(e->balance, request->target, &request->floor_unread,
                        &request->floor_running);
@@ -245,12 +245,12 @@
     wg_call_admit_unanswered(call, now);
 }
 
-/* ---- helpers: notes -------------------------------------------------------------------------- */
+/* ---- helpers: notifications ------------------------------------------------------------------ */
 
 typedef enum {
     WG_NOTE_READ = 0,
     WG_NOTE_ENDED,
-    WG_NOTE_FAILED /* ended by the target's fault */
+    WG_NOTE_FAILED /* ended by a failure of the target */
 } wg_admit_note;
 
 static void wg_coordinator_note(wg_entry* e, uint64_t rank, uint64_t ticket, wg_admit_note what) {
@@ -329,8 +329,8 @@
     c->up = false;
 }
 
-/* What the asker says counts too: a coordinator that has lost the leader may not know the target,
-   or not that it is cold. The lower of two rates holds. */
+/* Combines the requester's rate with this host's, as a coordinator without a leader may not know
+   that the target is cold. If both have a limit, the lower one applies. */
 static double wg_coordinator_cold_rate(const wg_entry* e, const Wgpb__AdmitAsk* ask) {
     double own = wg_entry_cold_rate(e, ask->target);
     if (own <= 0 || ask->cold_rate <= 0) {
@@ -339,7 +339,7 @@
     return MIN(own, ask->cold_rate);
 }
 
-/* A question of another host. False when it is malformed. */
+/* Answers an admission request of another host. False if it is malformed. */
 static bool wg_entry_admit_take_ask(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     Wgpb__AdmitAsk* in = wgpb__admit_ask__unpack(NULL, frame->size, frame->payload);
     if (!in || in->n_parts > WG_ADMIT_PARTS_MAX || in->n_parts != in->n_sizes) {
@@ -412,7 +412,7 @@
         wg_call_ask_over(call);
         wg_call_take_admission(call, c, ticket, &answer);
     } else if (answer.granted) {
-        wg_coordinator_note(e, c->rank, ticket, WG_NOTE_ENDED); /* it came too late */
+        wg_coordinator_note(e, c->rank, ticket, WG_NOTE_ENDED); /* received after the timeout */
     }
     return true;
 }
--- a/lib/entry/wg_entry_backoff.c
+++ b/lib/entry/wg_entry_backoff.c
@@ -1,10 +1,10 @@
-/* wg_entry_backoff.c -- what targets ask of this host in their answers, and where it is heeded */
+/* wg_entry_backoff.c -- applies backoff hints of targets' answers */
 #include "wg_entry_internal.h"
 
 wg_time wg_entry_note_answer(wg_entry* e, uint32_t number, const wg_backoff_wish* wish,
                              const char* id) {
     enum {
-        MISDIRECTED = 421 /* another start, or another target, answers at its address */
+        MISDIRECTED = 421 /* answered by another incarnation or another target */
     };
     const wg_target* target = wg_registry_find(e->registry, number);
     if (!target || wish->status == MISDIRECTED) {
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -1,9 +1,9 @@
-/* wg_entry_cache.c -- what a target holds, asked of it once by the host that begins to coordinate
-   it
+/* wg_entry_cache.c -- initial query of a target's prompt cache by its new coordinator
 
-   A coordinator knows what a target holds from what it admitted there. After a restart, and when
-   targets move between coordinators, it knows nothing: prompts would count as to be read whole, and
-   be refused or sent elsewhere to be read again. The target itself still knows. */
+   A coordinator tracks the cached prompt parts of a target from its own admissions. After a
+   restart, or when it takes over a target from another coordinator, it knows none and would assume
+   that every prompt has to be read completely. So it queries the target once for its cached parts.
+ */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 
@@ -13,18 +13,18 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CACHE_ASKS_MAX = 4, /* under way at once: a list may be some tens of kilobytes */
-    WG_CACHE_TIME_S = 1,   /* for an answer */
+    WG_CACHE_ASKS_MAX = 4, /* concurrent queries; a list may have tens of kilobytes */
+    WG_CACHE_TIME_S = 1,
     WG_CACHE_TRIES = 3,
     WG_CACHE_RETRY = 500 * WG_USEC_PER_MSEC,
     WG_CACHE_BYTES_MAX = 1 << 20
 };
 
-/* A target that this host coordinates. */
+/* State of the query for a target that this host coordinates. */
 typedef struct {
     wg_entry* entry;
     uint32_t target;
-    struct evhttp_connection* connection; /* while it is asked */
+    struct evhttp_connection* connection; /* NULL if no query is in progress */
     bool known;
     int tries;
     wg_time next_at;
@@ -64,7 +64,7 @@
     g_array_unref(parts);
 }
 
-/* A target that turns the question away may ask for rest as it does with requests. */
+/* Answers to cache queries carry backoff hints as answers to requests do. */
 static void wg_cache_take_wish(const wg_cache_ask* ask, struct evhttp_request* request) {
     wg_entry* e = ask->entry;
     wg_backoff_wish wish = {.status = evhttp_request_get_response_code(request)};
@@ -79,14 +79,14 @@
 static void wg_cache_on_answer(struct evhttp_request* request, void* user_data) {
     wg_cache_ask* ask = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    ask->connection = NULL; /* it frees itself */
+    ask->connection = NULL; /* freed by libevent on completion */
     if (status > 0) {
         wg_cache_take_wish(ask, request);
     }
     if (status == HTTP_OK) {
         wg_cache_take(ask, request);
     } else if (status == HTTP_NOTFOUND) {
-        ask->known = true; /* it tells no lists */
+        ask->known = true; /* the target does not provide a list */
     } else {
         wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u status=%d try=%d", ask->target, status,
                ask->tries);
@@ -137,7 +137,7 @@
     }
     bool due =
         !ask->known && !ask->connection && ask->tries < WG_CACHE_TRIES && now >= ask->next_at;
-    /* What a cold target bears in a second is left to requests; it rarely holds anything. */
+    /* The request rate of a cold target is left to callers' requests; its cache is mostly empty. */
     bool cold = wg_entry_cold_rate(e, target->number) > 0;
     bool may = wg_entry_may_send(e, target, now);
     if (due && may && !cold && wg_cache_asks_under_way(e) < WG_CACHE_ASKS_MAX &&
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -1,42 +1,40 @@
-/* wg_entry_check.c -- has a target ended, or did it only drop a connection?
+/* wg_entry_check.c -- distinguishes a target that ended from one that only closed a connection
 
-   A connection that ends while the target owes an answer says either. A new connection tells them
-   apart where the process is gone: it is refused. One that is taken says nothing yet: a proxy or a
-   supervisor takes it for a process that is gone, a target that starts again fast takes it itself,
-   and a live one that has too many connections takes it and closes it at once. Then the registry
-   tells, for some seconds: this start of the target falls silent, or another one comes in its
-   place.
+   A connection that ends mid-request can mean either. A check opens a new connection: if it is
+   refused, the target has ended. If it is accepted, the result is unresolved, as a proxy, a
+   supervisor or a restarted target may accept it, and an overloaded target may close it at once.
+   The registry then resolves it within seconds, if the target's incarnation becomes unresponsive
+   or is replaced.
 
-   Requests that were under way at a target that has ended may have ended it. */
+   Requests in progress at a target that ended are recorded as crash evidence. */
 #include "wg_entry_internal.h"
 
 #include <errno.h>
 #include <string.h>
 
 enum {
-    WG_CHECK_TIME = 250 * WG_USEC_PER_MSEC, /* for the connection, as for requests */
-    WG_CHECK_STAYS = 30 * WG_USEC_PER_MSEC, /* one that is open for so long was taken to stay */
-    WG_CHECK_AGAIN = 50 * WG_USEC_PER_MSEC, /* for a process that is about to go to be gone */
-    /* Begun in one second: a target takes some tens of connections a second, and when all
-       connections of a fleet are reset at once each host needs to know of a few targets only. */
+    WG_CHECK_TIME = 250 * WG_USEC_PER_MSEC, /* to connect; same as for requests */
+    WG_CHECK_STAYS = 30 * WG_USEC_PER_MSEC, /* a connection open for this long counts as accepted */
+    WG_CHECK_AGAIN = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
+    /* Limits the load of checks when many connections are reset at once. */
     WG_CHECKS_PER_SECOND = 4,
     WG_CHECK_TRIES = 2,
-    /* A connection that lasted so long was not one to a proxy before a target that had long ended.
-     */
+    /* Minimum duration of a connection to a live target. A proxy closes a connection to an ended
+       target sooner. */
     WG_BROKEN_LASTED = 100 * WG_USEC_PER_MSEC,
-    /* For the registry to tell: a target is back after some seconds, and says so at once. */
+    /* Wait for the registry to report that the target ended or was replaced. */
     WG_DOUBT_TIME = 5 * WG_USEC_PER_SEC,
     WG_DOUBTS_MAX = 256
 };
 
-/* A request that was under way when its connection ended. */
+/* Request whose connection ended before a complete answer. */
 typedef struct {
     char id[WG_NAME_MAX];
-    wg_crash crash; /* what it is evidence of, if the target has ended */
+    wg_crash crash; /* evidence to record if the target has ended */
     int64_t events;
     wg_time sent_at;
     wg_time broken_at;
-    bool was_served; /* the target was there when the request came to it, as its connection shows */
+    bool was_served; /* the target was alive when it received the request */
 } wg_broken;
 
 typedef struct {
@@ -45,10 +43,10 @@
     struct bufferevent* bev;
     struct event* timer;
     bool connected;
-    bool waits; /* for the second try */
+    bool waits; /* waits before the second try */
     int tries;
     wg_time since;
-    GArray* broken; /* wg_broken */
+    GArray* broken; /* wg_broken: aborted requests at the target */
 } wg_check;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
@@ -84,11 +82,11 @@
     for (guint i = 0; i < check->broken->len; i++) {
         _wg_take_evidence(check->entry, &g_array_index(check->broken, wg_broken, i));
     }
-    /* At once: until all hosts know, each copy of the request costs another target. */
+    /* Report at once: until all hosts know, each copy of the request may crash another target. */
     wg_entry_report(check->entry, wg_now());
 }
 
-/* Keep what may be evidence until the registry tells; the oldest gives way. */
+/* Keeps possible evidence until the registry resolves it; drops the oldest if the list is full. */
 static void _wg_doubt(wg_entry* e, const wg_broken* broken) {
     if (!broken->was_served) {
         return;
@@ -158,7 +156,7 @@
     return bufferevent_socket_connect(check->bev, (struct sockaddr*)&address, size) == 0;
 }
 
-/* Nothing came of a connection in time: a cut, not an end, as far as this host can see. */
+/* A connection that is open or that timed out does not show that the target ended. */
 static void _wg_check_on_timer(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
@@ -258,7 +256,7 @@
     bool expected =
         target && target->state != WG_TARGET_DRAINING && target->state != WG_TARGET_GONE;
     if (!expected) {
-        return; /* it leaves, or is known to be gone: its end says nothing of the request */
+        return; /* draining or removed: its end is no evidence against the request */
     }
     wg_check* check = g_hash_table_lookup(e->checks, GUINT_TO_POINTER(up->target));
     if (!check) {
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -1,4 +1,4 @@
-/* wg_entry_client.c -- callers' connections: strict heads, bodies, limits, idle time */
+/* wg_entry_client.c -- callers' connections: strict parsing of requests, limits, timeouts */
 #include "wg_entry_internal.h"
 
 #include <errno.h>
@@ -8,9 +8,9 @@
 #include <sys/socket.h>
 
 enum {
-    WG_HEAD_TIME_START = 3 * WG_USEC_PER_SEC,  /* while there is no configuration */
-    WG_IDLE_TIME_START = 15 * WG_USEC_PER_SEC, /* the same */
-    WG_ENDING_TIME = 2 * WG_USEC_PER_SEC,      /* for the last answer to leave */
+    WG_HEAD_TIME_START = 3 * WG_USEC_PER_SEC,  /* before a configuration is known */
+    WG_IDLE_TIME_START = 15 * WG_USEC_PER_SEC, /* before a configuration is known */
+    WG_ENDING_TIME = 2 * WG_USEC_PER_SEC,      /* to flush the last answer */
     WG_LISTEN_BACKLOG = 512
 };
 
@@ -26,7 +26,7 @@
         }
     }
     if (evbuffer_get_length(bytes) > 0) {
-        evbuffer_add_buffer(out, bytes); /* an error shows when the loop writes it */
+        evbuffer_add_buffer(out, bytes); /* errors are reported when the loop writes */
     }
 }
 
@@ -69,8 +69,8 @@
     wg_client_free(client);
 }
 
-/* While a request is under way only the end of the caller's connection is waited for, before all
-   new requests. Bytes are left for later. */
+/* While a call is in progress, only watches for the end of the caller's connection, at a higher
+   priority than new requests. Input stays in the socket. */
 static void wg_client_watch(wg_client* client, bool busy) {
     if (busy && !client->watched) {
         event_add(client->watch, NULL);
@@ -82,8 +82,8 @@
     client->watched = busy;
 }
 
-/* The caller of a request that is under way has left, or has sent its next request already. After
-   that its end can only be read behind the request. */
+/* The caller closed the connection, or sent its next request already. In the latter case the end of
+   the connection can only be detected by reading that request. */
 static void wg_client_on_watch(evutil_socket_t fd, short what, void* user_data) {
     (void)what;
     wg_client* client = user_data;
@@ -109,7 +109,7 @@
     }
 }
 
-/* Close once what was written has left. */
+/* Closes once the output is flushed. */
 static void wg_client_end(wg_client* client) {
     wg_client_enter(client, WG_CLIENT_ENDING);
     if (evbuffer_get_length(bufferevent_get_output(client->bev)) == 0) {
@@ -154,9 +154,8 @@
     return e->config ? e->config->limits.body_bytes : WGH_BODY_MAX_DEFAULT;
 }
 
-/* Has the caller sent something that this host has not looked at? At a host that is behind it waits
-   for its turn, and the caller is neither resting nor slow: closing such connections left requests
-   without an answer, and refused as too slow who had sent all in time. */
+/* Whether there is input that was not examined yet. On an overloaded host such a connection must be
+   treated neither as idle nor as slow. */
 static bool wg_client_has_unread(const wg_client* client) {
     char byte;
     return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->looked_at ||
@@ -168,8 +167,8 @@
     return recv(bufferevent_getfd(bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-/* The request is whole: begin its call, unless its caller left while it stood in line at a busy
-   host. The loop would tell after the request was sent to a target, which would work for nobody. */
+/* Starts the call of a complete request, unless the caller has closed meanwhile. The event loop
+   would report that only after the request was sent to a target. */
 static void wg_client_start_call(wg_client* client) {
     if (wg_socket_peer_has_left(client->bev)) {
         client->entry->counters.left++;
@@ -185,7 +184,7 @@
     wg_call_begin(client, bytes, size, body);
 }
 
-/* False when the body is not whole yet, or was refused. */
+/* False if the body is incomplete or was refused. */
 static bool wg_client_read_body(wg_client* client) {
     wg_body_state state =
         wg_body_read(&client->body, bufferevent_get_input(client->bev), client->body_bytes);
@@ -213,7 +212,7 @@
     wg_client_enter(client, WG_CLIENT_BODY);
 }
 
-/* False when there is no whole head yet, or it was refused. */
+/* False if the head is incomplete or was refused. */
 static bool wg_client_read_head(wg_client* client) {
     struct evbuffer* in = bufferevent_get_input(client->bev);
     size_t max = wg_client_head_max(client->entry);
@@ -254,7 +253,7 @@
     return true;
 }
 
-/* Take the next step with what has come. */
+/* Advances the connection with the input received. */
 static void wg_client_next(wg_client* client) {
     if (client->state == WG_CLIENT_ENDING) {
         struct evbuffer* in = bufferevent_get_input(client->bev);
@@ -305,14 +304,12 @@
     }
 }
 
-/* How many connections of callers there may be: some descriptors are left for targets, and what
-   targets and other hosts have already is taken off. Without descriptors a new caller cannot be
-   taken off the listener's queue, which then wakes the loop again and again. */
+/* Maximum number of callers' connections. Reserves descriptors for connections to targets and other
+   hosts: without free descriptors accept() fails and the listener wakes the loop continuously. */
 static guint wg_client_most(const wg_entry* e) {
     enum {
         CALLERS_PERCENT = 70,
-        ALL_PERCENT =
-            95 /* the rest is for pages, their callers, and connections that are closing */
+        ALL_PERCENT = 95 /* remainder: operator endpoints and closing connections */
     };
     int64_t most = e->settings->callers_max;
     int64_t descriptors = e->settings->descriptors;
@@ -324,8 +321,7 @@
     return (guint)MAX(most, 1);
 }
 
-/* Room for one more: the connection that was idle longest gives way, as it would at the end of its
-   idle time. False when none rests. */
+/* Closes the longest idle connection if the limit is reached. False if no connection is idle. */
 static bool wg_client_make_room(wg_entry* e) {
     if (e->clients->len < wg_client_most(e)) {
         return true;
@@ -389,7 +385,7 @@
     return e->listener != NULL;
 }
 
-/* Time that a connection may spend in its state; 0: as long as its call. */
+/* Maximum time in the current state; 0: not limited. */
 static wg_time wg_client_limit(const wg_client* client) {
     const wg_config* config = client->entry->config;
     wg_time head = config ? config->limits.head_time : WG_HEAD_TIME_START;
@@ -411,9 +407,9 @@
     return client->state == WG_CLIENT_BODY || (client->state == WG_CLIENT_HEAD && client->begun);
 }
 
-/* Has it been in its state for too long? Not while what it sent waits unread, but for half a
-   request twice the limit is the most: bytes that come one by one do not hold a connection for
-   ever. */
+/* Whether the connection exceeded the timeout of its state. Unread input extends the timeout, for
+   an incomplete request at most to twice its length, so that a slow sender cannot hold a connection
+   indefinitely. */
 static bool wg_client_is_over(const wg_client* client, wg_time now) {
     wg_time limit = wg_client_limit(client);
     wg_time spent = now - client->since;
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -1,23 +1,21 @@
-/* wg_entry_link.c -- the link to the leader: what this host believes, reports, and orders */
+/* wg_entry_link.c -- link to the leader: fleet state, reports, redirects */
 #include "wg_document.h"
 
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
-/* Usage halves every WG_USAGE_HALF_LIFE: a steady rate stands there as so many seconds of it,
-   1.2 s / ln 2. */
+/* Seconds of a steady rate that decayed usage amounts to: WG_USAGE_HALF_LIFE / ln 2. */
 static const double WG_USAGE_SECONDS = 1.731;
 
 enum {
-    /* Between two tries to reach a control. A replica listens some 40 ms after its start, and the
-       loop looks each 50 ms. */
+    /* Minimum interval between attempts to reach a control. */
     WG_DIAL_GAP = 30 * WG_USEC_PER_MSEC,
-    WG_PROVE_TIME = 350 * WG_USEC_PER_MSEC, /* for a control to say that it leads */
-    /* For a control that knows no leader to hear of one; then another control is asked. Shorter
-       than an election wait: the control may be cut off from the others. */
+    WG_PROVE_TIME = 350 * WG_USEC_PER_MSEC, /* handshake with a control; initial report interval */
+    /* Wait for a control without a leader to find one, before another control is dialled. Shorter
+       than an election timeout, as the control may be partitioned from the others. */
     WG_LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC,
-    WG_LINKS_MAX = 1024, /* every entry host may ask this one */
+    WG_LINKS_MAX = 1024, /* every entry host may connect to this one */
     WG_LOADS_MAX = 2048
 };
 
@@ -52,7 +50,7 @@
         }
         g_snprintf(address, sizeof address, "%s:%d", ip, (int)e->settings->fleet_port);
         wg_addresses_add(&e->others, address, ++e->counter);
-        /* The entry host at the seed knows controls too, where the seed has none. */
+        /* An entry host at the seed's address knows controls too. */
         g_snprintf(address, sizeof address, "%s:%d", ip, entry_port);
         if (strcmp(address, settings->fleet_listen) != 0) {
             wg_addresses_add(&e->others, address, ++e->counter);
@@ -61,8 +59,8 @@
     return true;
 }
 
-/* Whom to ask next: replicas in turn, and every few times somebody at a seed, in case all of the
-   replicas that are known are gone. */
+/* Next address to dial: known replicas in turn, and periodically a seed, in case all known replicas
+   were removed. */
 static const char* wg_entry_next_address(wg_entry* e) {
     enum {
         OTHERS_EVERY = 4
@@ -87,7 +85,7 @@
     e->state_at = now;
 }
 
-/* ---- helpers: what the leader says ----------------------------------------------------------- */
+/* ---- helpers: state from the leader ---------------------------------------------------------- */
 
 static void wg_entry_refuse_configuration(const wg_entry* e, const Wgpb__Configuration* in,
                                           GError* error) {
@@ -97,7 +95,7 @@
     g_error_free(error);
 }
 
-/* Put a document in force; it is refused when it cannot be read as a configuration. */
+/* Applies a configuration document, or refuses it if it cannot be parsed. */
 static void wg_entry_use_document(wg_entry* e, const Wgpb__Configuration* in, GBytes* document) {
     GError* error = NULL;
     gsize size;
@@ -115,7 +113,7 @@
            config->version, config->routes_num, in->packed.len);
 }
 
-/* False: what came does not fit what this host has, and has to be sent anew. */
+/* False if the update does not apply to the current configuration and has to be sent in full. */
 static bool wg_entry_take_configuration(wg_entry* e, const Wgpb__Configuration* in) {
     uint64_t held = e->config ? e->config->version : 0;
     if (in->version <= held) {
@@ -199,7 +197,7 @@
     wg_entry_admit_members(e);
 }
 
-/* Tokens that all workspaces together are owed in the time that usage stands for; 0: not known. */
+/* Tokens available to all workspaces together in the period that usage covers; 0: unknown. */
 static double wg_entry_owed(const wg_entry* e) {
     return e->config ? (double)e->config->limits.tokens_per_second * WG_USAGE_SECONDS : 0;
 }
@@ -227,7 +225,7 @@
     }
 }
 
-/* members_num counts also when the list itself did not come. */
+/* members_num is valid also without the list of members. */
 static void wg_entry_note_hosts(wg_entry* e, const Wgpb__EntryState* in) {
     if (in->members_num > 0) {
         wg_balance_set_hosts(e->balance, (int)in->members_num);
@@ -241,8 +239,9 @@
     wg_entry_dial(e, wg_now());
 }
 
-/* The process does not lead: go where it says. A control that knows no leader tells as soon as it
-   does, so wait here; an entry host has named controls, so ask one. */
+/* The peer is not the leader: dials the leader that it names. A control without a leader reports
+   one as soon as it knows it, so the link is kept; an entry host has named controls, so one of them
+   is dialled. */
 static void wg_entry_take_redirect(wg_entry* e, const char* leader_address, wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     bool elsewhere = leader_address[0] && !(peer && strcmp(peer->address, leader_address) == 0);
@@ -263,22 +262,21 @@
     }
 }
 
-/* Others are told of this host as soon as it takes callers. */
+/* Reports at once when this host becomes ready, so that callers are directed to it. */
 static void wg_entry_report_if_ready_now(wg_entry* e, bool was_ready, wg_time now) {
     if (wg_entry_is_ready(e) && !was_ready) {
         wg_entry_report(e, now);
     }
 }
 
-/* ---- helpers: no leader for long ------------------------------------------------------------- */
+/* ---- helpers: state from a replica without a leader ------------------------------------------ */
 
 bool wg_entry_takes_standby(const wg_entry* e, wg_time now) {
     wg_time wait = e->settings->standby_ms * WG_USEC_PER_MSEC;
     return wait > 0 && !e->leader_known && wg_absence_length(&e->leaderless, now) >= wait;
 }
 
-/* A replica that knows no leader either tells what it has applied. What this host has from a leader
-   or from a replica that was further stays. */
+/* Applies the state of a replica that knows no leader either, unless this host has a newer one. */
 static void wg_entry_take_standby(wg_entry* e, const Wgpb__EntryState* in, wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     bool newer = !e->registry_known || in->registry_change > wg_registry_change(e->registry);
@@ -296,8 +294,8 @@
            e->config ? e->config->version : 0, in->registry_change, e->on_standby);
 }
 
-/* A leader of a term before the one that this host followed is over. Replicas that were given up
-   for gone and come back as a majority would lead in such terms. */
+/* Whether the sender leads in an earlier term than the last leader followed. Guards against a
+   removed majority of replicas that comes back after a forced recovery. */
 static bool wg_entry_is_former_leader(const wg_entry* e, const Wgpb__EntryState* in) {
     return in->leads && in->term < e->term_followed;
 }
@@ -318,7 +316,7 @@
         return;
     }
     if (in->leads && in->n_controls > 0) {
-        e->controls.num = 0; /* the leader knows all that there are */
+        e->controls.num = 0; /* the leader's list is complete */
     }
     for (size_t i = 0; i < in->n_controls; i++) {
         wg_entry_learn_control(e, in->controls[i]);
@@ -354,7 +352,7 @@
     wg_entry_report_if_ready_now(e, was_ready, now);
 }
 
-/* A new link, or another control, is told everything anew. */
+/* Reconnects if the update cannot be applied, as a new link sends the full configuration. */
 static void wg_entry_take_configuration_frame(wg_entry* e, const Wgpb__Configuration* in) {
     bool was_ready = wg_entry_is_ready(e);
     if (wg_entry_take_configuration(e, in)) {
@@ -416,7 +414,7 @@
 
 /* ---- links ----------------------------------------------------------------------------------- */
 
-/* Another process asks which controls this host knows; a control also says where it is. */
+/* Sends the known controls to a connected process. A control's own address is added to them. */
 static void wg_entry_tell_controls(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     char* controls[WG_CONTROLS_MAX];
@@ -483,7 +481,7 @@
         return;
     }
     if (link.id != e->link.id) {
-        return; /* whoever asks for controls has nothing else to say */
+        return; /* other processes only request the list of controls */
     }
     if (frame->type == WGW_TYPE_ENTRY_STATE) {
         Wgpb__EntryState* in = wgpb__entry_state__unpack(NULL, frame->size, frame->payload);
@@ -539,8 +537,7 @@
     wg_entry_orders_tick(e, now);
     wg_entry_tell_missing_leader(e, now);
     wg_entry_dial(e, now);
-    /* While this process stood still the leader was not silent, it was not listened to: its time
-       begins anew. */
+    /* A stall of this process does not count as time since last contact with the leader. */
     wg_time quiet = now - MAX(e->state_at, e->woke_at);
     bool leaderless = e->leaderless_at && now - e->leaderless_at > WG_LEADERLESS_TIME;
     if (e->link.id && (leaderless || quiet > e->settings->link_silence_ms * WG_USEC_PER_MSEC)) {
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -1,7 +1,7 @@
-/* wg_entry_orders.c -- orders of operators and targets on their way to the leader
+/* wg_entry_orders.c -- orders of operators and targets, forwarded to the leader
 
-   An order waits until a leader answers it or its time is over; a lost link or another leader has
-   it sent again. */
+   An order is pending until a leader answers it or it times out. It is sent again after a link
+   failure or a change of leader. */
 #include "wg_document.h"
 
 #include "wg_entry_internal.h"
@@ -37,7 +37,7 @@
     }
 }
 
-/* Heartbeats come by the hundred a second: of these only what was not done is told. */
+/* Orders of targets are frequent, so only those that were not applied are logged. */
 static void wg_entry_log_order(wg_entry* e, const wg_entry_order* order, wg_order_outcome outcome,
                                wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
@@ -58,7 +58,7 @@
            order->request ? "waits" : "left");
 }
 
-/* Whose sender has left was perhaps sent again elsewhere, and the opposite after it. */
+/* An order whose sender has closed may have been retried at another host and superseded there. */
 static bool wg_entry_order_is_stale(struct evhttp_request* request) {
     struct evhttp_connection* connection = evhttp_request_get_connection(request);
     return wg_socket_peer_has_left(evhttp_connection_get_bufferevent(connection));
@@ -116,7 +116,7 @@
             continue;
         }
         if (in->outcome == WG_ORDER_NOT_LEADER || in->outcome == WG_ORDER_UNKNOWN) {
-            order->sent = false; /* the next tick asks again, whoever leads then */
+            order->sent = false; /* sent again at the next tick */
         } else {
             wg_entry_take_outcome(e, at, in);
         }
@@ -124,8 +124,8 @@
     }
 }
 
-/* A leader that was late may refuse an order and have its lease again before anybody was told: no
-   word of another leader comes then, so what is not sent is sent with each tick. */
+/* Retries at each tick: a leader may refuse an order while its lease is expired and then renew the
+   lease, without any notification of a leader change. */
 void wg_entry_orders_tick(wg_entry* e, wg_time now) {
     GList* next;
     for (GList* at = e->orders.head; at; at = next) {
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -1,4 +1,5 @@
-/* wg_entry_pages.c -- pages of an entry host: ready, entry answers, orders, metrics, state */
+/* wg_entry_pages.c -- HTTP endpoints of an entry host: readiness, entry answers, orders, metrics,
+   state */
 #include "wg_document.h"
 
 #include "wg_entry_internal.h"
@@ -125,7 +126,7 @@
 /* ---- entry answers ----------------------------------------------------------------------------
  */
 
-/* Who asks, by the address that it comes from. */
+/* Identifies the caller by its IP address. */
 static uint64_t wg_pages_caller(struct evhttp_request* request) {
     char* address = NULL;
     ev_uint16_t port = 0;
@@ -215,7 +216,8 @@
     wg_entry_order_begin(e, request, &order);
 }
 
-/* Of a service that is in the configuration, or was when it came: its drain counts also later. */
+/* Whether the service is in the configuration, or the target is registered with it: a target must
+   be able to drain after its service was removed. */
 static bool wg_pages_knows_service(const wg_entry* e, const wg_target* heard) {
     if (!e->config || wg_config_service(e->config, heard->service) >= 0) {
         return true;
@@ -264,7 +266,7 @@
     json_decref(json);
 }
 
-/* Begin or end the evacuation of a data centre. */
+/* Begins or ends the evacuation of a data centre. */
 static void wg_pages_evacuate(wg_entry* e, struct evhttp_request* request, const char* path,
                               bool begins) {
     char* name = evhttp_uridecode(path, 0, NULL);
@@ -299,7 +301,7 @@
     wgh_reply_json(request, 200, json);
 }
 
-/* Let a request through again, for good or until it ends targets anew. */
+/* Ends the quarantine of a request. It may be quarantined again on new evidence. */
 static void wg_pages_delete_quarantine(wg_entry* e, struct evhttp_request* request,
                                        const char* text) {
     guint64 fingerprint = 0;
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -1,25 +1,23 @@
-/* wg_entry_quarantine.c -- requests that end targets: what this host saw, and what it was told
+/* wg_entry_quarantine.c -- requests that crash targets: local evidence and the leader's quarantine
 
-   Evidence goes to the leader with the next report. A quarantine comes back with the state and is
-   in force at once, also for requests that wait here or that a target has not begun. Without a
-   leader this host goes by what it saw itself. */
+   Evidence is sent to the leader with the next report. The leader's quarantine list arrives with
+   the state and applies at once, also to queued requests and to those that a target has not started
+   to answer. Without a leader this host uses its own evidence. */
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CRASHES_TOLD_MAX = 256, /* in one report, 40 KB at most; the rest goes with the next one */
-    WG_ENDED_WELL_MAX = 256,   /* no more are quarantined */
+    WG_CRASHES_TOLD_MAX = 256, /* per report; the remainder follows in the next one */
+    WG_ENDED_WELL_MAX = 256,   /* maximum length of the quarantine list */
     WG_SUSPECTS_TICK = WG_USEC_PER_SEC
 };
 
-/* Seconds. Long beside a caller's patience, so that a caller that heeds it does not come again;
-   short beside the time for which the request is refused, so that one that is let through early
-   waits no longer than that. */
+/* Seconds. Longer than callers usually retry, and shorter than the quarantine, so that a request
+   released early is not delayed much. */
 static const double WG_QUARANTINE_RETRY_AFTER = 60;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* A target that has begun to answer may not be stopped any more; one that still has the request in
-   its queue drops it. */
+/* A call may be stopped until its target starts to answer. */
 static bool _wg_call_may_stop(const wg_call* call) {
     return !call->upstream || call->upstream->state == WG_UPSTREAM_CONNECTING ||
            call->upstream->state == WG_UPSTREAM_HEAD;
@@ -47,7 +45,7 @@
     }
 }
 
-/* The first quarantined request that is not in `other` and comes behind `at`; 0: none. */
+/* Next fingerprint in `q` from index `*at` that is not in `other`; advances `*at`. 0: none. */
 static uint64_t _wg_quarantine_next_new(const wg_quarantine* q, const wg_quarantine* other,
                                         int* at) {
     const wg_quarantined* entry;
@@ -155,7 +153,7 @@
     _wg_entry_log_quarantine(e, begun, ended);
 }
 
-/* Another leader, or another life of this one, knows nothing of what this host saw. */
+/* A new leader, or a new incarnation of the same one, does not have this host's evidence. */
 void wg_entry_tell_crashes_again(wg_entry* e) {
     g_array_unref(e->crashes);
     e->crashes = wg_suspects_crashes(e->suspects);
--- a/lib/entry/wg_forward.h
+++ b/lib/entry/wg_forward.h
@@ -1,36 +1,36 @@
 #pragma once
 /*
-    wg_forward.h -- the head of a caller's request as a target gets it, as a pure function
+    wg_forward.h -- builds the request head sent to a target, as a pure function
 
     WHAT IT DOES
-        Copies the caller's fields, but for those that concern one connection only, those that
-        entry hosts set themselves, and those that only this system may set. A target obeys the
-        latter (it sets memory aside, or takes it over from another target), so whatever a caller
-        sends under these names is left out, in any case of letters and however often it comes.
+        Copies the caller's header fields except hop-by-hop fields, fields that entry hosts set,
+        and reserved fields (wg_entry_names.withheld). Targets trust the latter two (for example to
+        reserve memory or to copy it from another target), so all occurrences in a caller's request
+        are removed, regardless of case.
 
     USE
         wg_forward_write(names, &(wg_forward){.head = &head, .target_id = id, ...}, out);
 
     THE CALLER OWNS
-        everything that is passed in; nothing is kept.
+        all arguments; no reference is kept.
 */
 #include "wg_entry.h"
 #include "wg_message.h"
 
-/* What a target is told beside the caller's own fields. */
+/* Values of the fields added to the caller's. */
 typedef struct {
-    const wg_message_head* head; /* of the caller's request */
-    int64_t deadline_ms;         /* milliseconds that are left */
-    const char* target_id;       /* the target that is meant */
+    const wg_message_head* head; /* head of the caller's request */
+    int64_t deadline_ms;         /* milliseconds left */
+    const char* target_id;       /* id of the intended target */
     const char* workspace;       /* NULL on open routes */
-    const char* copy_from;       /* ip:port of a target that holds a part of the prompt, or NULL */
-    const char* last_event;      /* "" unless a stream goes on after this event */
-    size_t body_size;            /* bytes; told unless the request has no body */
+    const char* copy_from;  /* ip:port of a target that has a part of the prompt cached, or NULL */
+    const char* last_event; /* id of the event after which a stream resumes; "": none */
+    size_t body_size;       /* bytes; ignored if the request has no body */
 } wg_forward;
 
-/* Is a caller's field of this name left out? `resumes`: a stream goes on, so this host knows the
-   last event better than the caller. */
+/* Whether a caller's field of this name is removed. `resumes`: a stream is resumed, so this host
+   sets the id of the last event itself. */
 bool wg_forward_drops(const wg_entry_names* names, const wg_message_head* head, wg_text name,
                       bool resumes);
-/* Append the whole head with its empty line. */
+/* Appends the complete head, including the empty line. */
 void wg_forward_write(const wg_entry_names* names, const wg_forward* forward, struct evbuffer* out);
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -16,7 +16,7 @@
     return false;
 }
 
-/* A text that has to be there and to fit; it may be empty when `least` is 0. */
+/* Reads a required string of at least `least` bytes. */
 static bool _wg_read_text(const json_t* json, const char* name, size_t least, char* out,
                           size_t size, GError** error) {
     const char* text = json_string_value(json_object_get(json, name));
@@ -26,7 +26,7 @@
     return wg_copy_name(out, size, text) || _wg_target_error(error, name, "too long");
 }
 
-/* A whole number of at most `most`. */
+/* Reads a required integer from 0 to `most`. */
 static bool _wg_read_whole(const json_t* json, const char* name, json_int_t most, uint64_t* out,
                            GError** error) {
     const json_t* value = json_object_get(json, name);
@@ -71,7 +71,7 @@
     return true;
 }
 
-/* Targets of earlier releases do not say when they started. */
+/* Optional, as targets of earlier releases do not send it. */
 static bool _wg_read_born(const json_t* json, wg_target* target, GError** error) {
     return !json_object_get(json, "born") ||
            _wg_read_whole(json, "born", G_MAXINT64, &target->born, error);
--- a/lib/entry/wg_target_read.h
+++ b/lib/entry/wg_target_read.h
@@ -1,14 +1,14 @@
 #pragma once
-/* wg_target_read.h -- what a target says of itself, read strictly
+/* wg_target_read.h -- strict parser of targets' heartbeats and deregistrations
 
-   Others than targets may write to the same page: whatever lacks a field, or has one of another
-   type or a state that there is not, names no target, and changes none that there is. */
+   Processes other than targets may write to the same endpoint, so a body with a missing field, a
+   wrong type or an unknown state is rejected and changes no target. */
 #include <jansson.h>
 
 #include "wg_registry.h"
 
-/* A heartbeat; false with the reason (WG_ERROR_INVALID) when it is none. */
+/* Reads a heartbeat. Returns false and sets WG_ERROR_INVALID if it is malformed. */
 bool wg_target_read(const json_t* json, const char* id, wg_time now, wg_target* target,
                     GError** error);
-/* A leave; `json` NULL: it says no more than the id. */
+/* Reads a deregistration; `json` may be NULL (no body). */
 bool wg_target_read_leave(const json_t* json, const char* id, wg_target* target, GError** error);
