--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -72,8 +72,8 @@
 enum {
     WG_TICK = 50 * WG_USEC_PER_MSEC,
     WG_LOG_LINES_MAX = 200, /* lines about requests, per second */
-    WG_LATE_CLOSE = 300 * WG_USEC_PER_MSEC,
-    WG_STOP_REFUSES = 2800 * WG_USEC_PER_MSEC,
+    WG_STOP_CLOSE_DELAY = 300 * WG_USEC_PER_MSEC,
+    WG_STOP_REFUSE_AFTER = 2800 * WG_USEC_PER_MSEC,
     WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to exit before being killed */
 };
 
@@ -89,7 +89,7 @@
 
 bool wg_entry_refuses_new(const wg_entry* e, wg_time takes) {
     wg_time since = wg_now() - e->stop_at;
-    return e->stopping && (since > WG_STOP_REFUSES || since + takes > wg_entry_stop_time(e));
+    return e->stopping && (since > WG_STOP_REFUSE_AFTER || since + takes > wg_entry_stop_time(e));
 }
 
 bool wg_entry_may_log(wg_entry* e, wg_time now) {
@@ -105,7 +105,7 @@
     return may;
 }
 
-static void wg_entry_pass_retries(wg_entry* e) {
+static void wg_entry_advance_retries(wg_entry* e) {
     wg_retry_rules rules = {.percent = e->settings->retry_percent,
                             .slack = e->settings->retry_slack,
                             .window = e->settings->retry_window_ms * WG_USEC_PER_MSEC,
@@ -122,9 +122,9 @@
    entry answer that names this host; at the latest at the end of the grace period. */
 static void wg_entry_stop_tick(wg_entry* e, wg_time now) {
     wg_time most = wg_entry_stop_time(e);
-    wg_time least = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_LATE_CLOSE;
+    wg_time least = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_STOP_CLOSE_DELAY;
     wg_time since = now - e->stop_at;
-    bool over = since >= most || (since >= least && e->calls_num == 0 && !wg_client_any_sends(e));
+    bool over = since >= most || (since >= least && e->calls_num == 0 && !wg_client_any_sending(e));
     if (!over) {
         return;
     }
@@ -133,7 +133,7 @@
     event_base_loopbreak(e->base);
 }
 
-static void wg_entry_on_turn(evutil_socket_t fd, short what, void* user_data) {
+static void wg_entry_on_delay_probe(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     wg_entry* e = user_data;
@@ -146,14 +146,14 @@
     e->turn_since = 0;
 }
 
-wg_time wg_entry_turn_wait(const wg_entry* e, wg_time now) {
+wg_time wg_entry_input_delay(const wg_entry* e, wg_time now) {
     wg_time waits = e->turn_since ? now - e->turn_since : 0;
     return MAX(waits, e->behind.last);
 }
 
 /* Queues an event of the same priority as callers' input to measure the delay of that input. Ticks
    and links have a higher priority and do not show it. */
-static void wg_entry_stand_in_line(wg_entry* e, wg_time now) {
+static void wg_entry_queue_delay_probe(wg_entry* e, wg_time now) {
     if (!e->turn_since) {
         e->turn_since = now;
         event_active(e->turn, EV_TIMEOUT, 1);
@@ -172,19 +172,19 @@
     }
     if (e->pulse.last > WG_PULSE_LATE) {
         e->woke_at = now;
-        wg_call_wake_all(e, now);
+        wg_call_reset_timers(e, now);
     }
     wg_entry_link_tick(e, now);
-    wg_entry_fade_usage(e, now);
+    wg_entry_decay_usage(e, now);
     wg_entry_admit_tick(e, now);
     wg_entry_cache_tick(e, now);
-    wg_entry_check_doubts(e, now);
+    wg_entry_check_unresolved(e, now);
     wg_entry_quarantine_tick(e, now);
     wg_client_tick(e, now);
     wg_upstream_tick(e, now);
-    wg_entry_pass_retries(e);
+    wg_entry_advance_retries(e);
     wg_call_queue_run(e);
-    wg_entry_stand_in_line(e, now);
+    wg_entry_queue_delay_probe(e, now);
     if (e->stopping) {
         wg_entry_stop_tick(e, now);
     }
@@ -226,12 +226,12 @@
     wg_entry_check_setup(e);
     wg_entry_quarantine_setup(e);
     g_queue_init(&e->orders);
-    if (!wg_entry_link_setup(e, error) || !wg_entry_pages_setup(e, error) ||
+    if (!wg_entry_link_setup(e, error) || !wg_entry_endpoints_setup(e, error) ||
         !wg_client_listen(e, error)) {
         wg_entry_shutdown(e);
         return NULL;
     }
-    e->turn = event_new(e->base, -1, 0, wg_entry_on_turn, e);
+    e->turn = event_new(e->base, -1, 0, wg_entry_on_delay_probe, e);
     e->tick = event_new(e->base, -1, EV_PERSIST, wg_entry_on_tick, e);
     event_priority_set(e->tick, WGN_PRIORITY);
     struct timeval period = {.tv_usec = WG_TICK};
@@ -240,7 +240,7 @@
 }
 
 void wg_entry_reload(wg_entry* e, const wg_entry_settings* settings) {
-    wg_entry_learn_seeds(e, settings, NULL);
+    wg_entry_add_seeds(e, settings, NULL);
 }
 
 void wg_entry_stop(wg_entry* e) {
@@ -257,7 +257,7 @@
 }
 
 void wg_entry_shutdown(wg_entry* e) {
-    wg_call_cut_all(e);
+    wg_call_abort_all(e);
     if (e->tick) {
         event_free(e->tick);
         event_free(e->turn);
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -8,12 +8,12 @@
 #include <string.h>
 
 enum {
-    WG_ASK_TIME = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
-    WG_ASK_MISSED_MAX = 2,               /* consecutive timeouts until it counts as unresponsive */
-    WG_ASK_SILENT_TIME = 500 * WG_USEC_PER_MSEC,
-    WG_COORDINATOR_DIAL_GAP = 60 * WG_USEC_PER_MSEC,
+    WG_ADMIT_TIMEOUT = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
+    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive timeouts until it counts as unresponsive */
+    WG_COORDINATOR_UNRESPONSIVE_TIME = 500 * WG_USEC_PER_MSEC,
+    WG_COORDINATOR_DIAL_INTERVAL = 60 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_PING = 2 * WG_USEC_PER_SEC,
-    WG_COORDINATOR_SILENCE = 7 * WG_USEC_PER_SEC
+    WG_COORDINATOR_TIMEOUT = 7 * WG_USEC_PER_SEC
 };
 
 /* ---- helpers: who coordinates ---------------------------------------------------------------- */
@@ -104,7 +104,7 @@
     return false;
 }
 
-void wg_entry_admit_members(wg_entry* e) {
+void wg_entry_admit_update_members(wg_entry* e) {
     wg_coordinator picked[WG_COORDINATORS_MAX + 1];
     wgn_link dropped[WG_COORDINATORS_MAX];
     int dropped_num = 0;
@@ -115,7 +115,7 @@
             dropped[dropped_num++] = c->link;
         }
     }
-    wg_entry_note_coordinators(e, picked, num, wg_now());
+    wg_entry_record_coordinators(e, picked, num, wg_now());
     memcpy(e->coordinators, picked, sizeof *picked * (size_t)num);
     e->coordinators_num = num;
     for (int i = 0; i < dropped_num; i++) {
@@ -129,8 +129,8 @@
         if (c->self || c->link.id || now < c->dial_at) {
             continue;
         }
-        c->dial_at = now + wg_jitter_range(e->seed, ++e->counter, WG_COORDINATOR_DIAL_GAP,
-                                           2 * WG_COORDINATOR_DIAL_GAP);
+        c->dial_at = now + wg_jitter_range(e->seed, ++e->counter, WG_COORDINATOR_DIAL_INTERVAL,
+                                           2 * WG_COORDINATOR_DIAL_INTERVAL);
         c->link = wgn_dial(e->net, c->address);
     }
 }
@@ -166,14 +166,14 @@
 static wg_admit_answer wg_entry_admit_decide(wg_entry* e, wg_admit_request* request) {
     wg_balance_load_of(e->balance, request->target, &request->floor_unread,
                        &request->floor_running);
-    if (request->rate_most > 0 && !wg_entry_grants_cold(e, request->target, wg_now())) {
+    if (request->rate_most > 0 && !wg_entry_may_grant_cold(e, request->target, wg_now())) {
         return (wg_admit_answer){.ahead = request->floor_unread, .running = request->floor_running};
     }
     return wg_admit_ask(e->admit, wg_now(), request);
 }
 
-static bool wg_coordinator_send_ask(wg_entry* e, const wg_coordinator* c,
-                                    wg_admit_request* request) {
+static bool wg_coordinator_send_request(wg_entry* e, const wg_coordinator* c,
+                                        wg_admit_request* request) {
     Wgpb__AdmitAsk ask = WGPB__ADMIT_ASK__INIT;
     ask.ticket = request->ticket;
     ask.target = request->target;
@@ -193,8 +193,8 @@
     return wgn_send(e->net, c->link, WGW_TYPE_ADMIT_ASK, &ask.base);
 }
 
-static void wg_call_take_admission(wg_call* call, const wg_coordinator* c, uint64_t ticket,
-                                   const wg_admit_answer* answer) {
+static void wg_call_apply_admission(wg_call* call, const wg_coordinator* c, uint64_t ticket,
+                                    const wg_admit_answer* answer) {
     if (answer->granted) {
         call->admitted = ticket;
         call->admitted_by = c->rank;
@@ -202,32 +202,32 @@
     wg_call_admit_answered(call, answer);
 }
 
-void wg_entry_admit_ask(wg_call* call, const wg_admit_limits* limits, wg_time now) {
+void wg_entry_admit_request(wg_call* call, const wg_admit_limits* limits, wg_time now) {
     wg_entry* e = call->entry;
     wg_coordinator* c = wg_coordinator_of(e, call->proposed.target);
     uint64_t ticket = ++e->counter;
     wg_admit_request request = wg_call_admit_request(call, limits, ticket);
-    if (request.rate_most > 0 && !wg_entry_feeds_cold(e, now)) {
+    if (request.rate_most > 0 && !wg_entry_may_use_cold(e, now)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
     if (c && c->self) {
         wg_admit_answer answer = wg_entry_admit_decide(e, &request);
-        wg_call_take_admission(call, c, ticket, &answer);
+        wg_call_apply_admission(call, c, ticket, &answer);
         return;
     }
-    if (!c || !c->up || now < c->silent_until || !wg_coordinator_send_ask(e, c, &request)) {
+    if (!c || !c->up || now < c->silent_until || !wg_coordinator_send_request(e, c, &request)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
     call->asked = ticket;
-    call->asked_until = now + WG_ASK_TIME;
+    call->asked_until = now + WG_ADMIT_TIMEOUT;
     call->admitted_by = c->rank;
     g_hash_table_insert(e->asks, &call->asked, call);
     wg_call_set_timer(call, now);
 }
 
-static void wg_call_ask_over(wg_call* call) {
+static void wg_call_end_admit_request(wg_call* call) {
     g_hash_table_remove(call->entry->asks, &call->asked);
     call->asked = 0;
 }
@@ -235,10 +235,10 @@
 void wg_entry_admit_unanswered(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
     wg_coordinator* c = wg_coordinator_by_rank(e, call->admitted_by);
-    wg_call_ask_over(call);
-    if (c && ++c->missed >= WG_ASK_MISSED_MAX) {
+    wg_call_end_admit_request(call);
+    if (c && ++c->missed >= WG_ADMIT_TIMEOUTS_MAX) {
         c->missed = 0;
-        c->silent_until = now + WG_ASK_SILENT_TIME;
+        c->silent_until = now + WG_COORDINATOR_UNRESPONSIVE_TIME;
         wg_log(WG_EVENT_COORDINATOR_SILENT, "coordinator=%s target=%u id=%s", c->name,
                call->proposed.target, call->id);
     }
@@ -253,7 +253,7 @@
     WG_NOTE_FAILED /* ended by a failure of the target */
 } wg_admit_note;
 
-static void wg_coordinator_note(wg_entry* e, uint64_t rank, uint64_t ticket, wg_admit_note what) {
+static void wg_coordinator_notify(wg_entry* e, uint64_t rank, uint64_t ticket, wg_admit_note what) {
     const wg_coordinator* c = wg_coordinator_by_rank(e, rank);
     if (!c) {
         return;
@@ -276,22 +276,22 @@
 void wg_entry_admit_read(wg_call* call) {
     if (call->admitted && !call->admitted_read) {
         call->admitted_read = true;
-        wg_coordinator_note(call->entry, call->admitted_by, call->admitted, WG_NOTE_READ);
+        wg_coordinator_notify(call->entry, call->admitted_by, call->admitted, WG_NOTE_READ);
     }
 }
 
 void wg_entry_admit_end(wg_call* call, bool failed) {
     if (call->admitted) {
-        wg_coordinator_note(call->entry, call->admitted_by, call->admitted,
-                            failed ? WG_NOTE_FAILED : WG_NOTE_ENDED);
+        wg_coordinator_notify(call->entry, call->admitted_by, call->admitted,
+                              failed ? WG_NOTE_FAILED : WG_NOTE_ENDED);
         call->admitted = 0;
         call->admitted_read = false;
     }
 }
 
-void wg_entry_admit_forget(wg_call* call) {
+void wg_entry_admit_cancel(wg_call* call) {
     if (call->asked) {
-        wg_call_ask_over(call);
+        wg_call_end_admit_request(call);
     }
     wg_entry_admit_end(call, false);
 }
@@ -305,14 +305,14 @@
     }
     c->up = true;
     c->missed = 0;
-    wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_SILENCE);
+    wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     wg_log(WG_EVENT_LINK_UP, "coordinator=%s", c->name);
     return true;
 }
 
-void wg_entry_admit_on_asker(wg_entry* e, wgn_link link, const wgn_peer* peer) {
+void wg_entry_admit_on_peer_up(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     if (peer->role == WGW_ROLE_ENTRY) {
-        wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_SILENCE);
+        wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     }
 }
 
@@ -340,7 +340,7 @@
 }
 
 /* Answers an admission request of another host. False if it is malformed. */
-static bool wg_entry_admit_take_ask(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+static bool wg_entry_admit_handle_request(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     Wgpb__AdmitAsk* in = wgpb__admit_ask__unpack(NULL, frame->size, frame->payload);
     if (!in || in->n_parts > WG_ADMIT_PARTS_MAX || in->n_parts != in->n_sizes) {
         wgpb__admit_ask__free_unpacked(in, NULL);
@@ -376,7 +376,7 @@
     return true;
 }
 
-static bool wg_entry_admit_take_note(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+static bool wg_entry_admit_handle_note(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     Wgpb__AdmitNote* in = wgpb__admit_note__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         return false;
@@ -390,7 +390,7 @@
     return true;
 }
 
-static bool wg_entry_admit_take_answer(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+static bool wg_entry_admit_handle_answer(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     wg_coordinator* c = wg_coordinator_by_link(e, link);
     Wgpb__AdmitAnswer* in = wgpb__admit_answer__unpack(NULL, frame->size, frame->payload);
     if (!in || !c) {
@@ -409,10 +409,10 @@
     wg_call* call = g_hash_table_lookup(e->asks, &ticket);
     c->missed = 0;
     if (call) {
-        wg_call_ask_over(call);
-        wg_call_take_admission(call, c, ticket, &answer);
+        wg_call_end_admit_request(call);
+        wg_call_apply_admission(call, c, ticket, &answer);
     } else if (answer.granted) {
-        wg_coordinator_note(e, c->rank, ticket, WG_NOTE_ENDED); /* received after the timeout */
+        wg_coordinator_notify(e, c->rank, ticket, WG_NOTE_ENDED); /* received after the timeout */
     }
     return true;
 }
@@ -421,13 +421,13 @@
     bool good = true;
     switch (frame->type) {
     case WGW_TYPE_ADMIT_ASK:
-        good = wg_entry_admit_take_ask(e, link, frame);
+        good = wg_entry_admit_handle_request(e, link, frame);
         break;
     case WGW_TYPE_ADMIT_NOTE:
-        good = wg_entry_admit_take_note(e, link, frame);
+        good = wg_entry_admit_handle_note(e, link, frame);
         break;
     case WGW_TYPE_ADMIT_ANSWER:
-        good = wg_entry_admit_take_answer(e, link, frame);
+        good = wg_entry_admit_handle_answer(e, link, frame);
         break;
     default:
         return false;
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -2,10 +2,10 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_RETRY_WAIT = 15 * WG_USEC_PER_MSEC, /* minimum time left for a retry */
-    WG_ANSWER_TOKENS_FACTOR = 2,           /* cost of a generated token in prompt tokens */
-    WG_CHOICES_MAX = 6,                    /* targets considered per selection */
-    WG_UNSENT_MAX = 4                      /* attempts per request that reached no target */
+    WG_RETRY_TIME_MIN = 15 * WG_USEC_PER_MSEC, /* minimum time left for a retry */
+    WG_ANSWER_TOKENS_FACTOR = 2,               /* cost of a generated token in prompt tokens */
+    WG_CANDIDATES_MAX = 6,                     /* targets considered per selection */
+    WG_UNSENT_ATTEMPTS_MAX = 4                 /* attempts per request that reached no target */
 };
 
 static void wg_call_choose(wg_call* call, wg_time now);
@@ -19,7 +19,7 @@
                             .hosts = MAX(wg_roster_num(e->roster), 3)};
 }
 
-static wg_retry* wg_call_retry(const wg_call* call) {
+static wg_retry* wg_call_retry_budget(const wg_call* call) {
     wg_entry* e = call->entry;
     const char* name = call->config->services[call->service].name;
     wg_retry* retry = g_hash_table_lookup(e->retries, name);
@@ -60,13 +60,13 @@
     return wg_usage_of(call->entry->usage, call->workspace->hash);
 }
 
-bool wg_call_counts(const wg_call* call) {
+bool wg_call_is_charged(const wg_call* call) {
     return call->workspace && call->has_prompt;
 }
 
 static wg_policy_terms wg_call_terms(const wg_call* call) {
     const wg_entry* e = call->entry;
-    bool counts = wg_call_counts(call);
+    bool counts = wg_call_is_charged(call);
     wg_time objective = call->route->objective;
     return (wg_policy_terms){.counts = counts,
                              .used = counts ? wg_call_usage(call) : 0,
@@ -128,8 +128,8 @@
     wg_entry* e = call->entry;
     wg_retry_rules rules = wg_call_retry_rules(e);
     if (call->attempts == 0) {
-        wg_retry_first(wg_call_retry(call), &rules);
-        if (wg_call_counts(call)) {
+        wg_retry_first(wg_call_retry_budget(call), &rules);
+        if (wg_call_is_charged(call)) {
             wg_usage_serve(e->usage, call->workspace->hash, wg_call_tokens(call));
         }
     }
@@ -153,7 +153,7 @@
 }
 
 /* Excludes the proposed target for the rest of this selection. */
-static void wg_call_pass_over(wg_call* call) {
+static void wg_call_exclude_proposed(wg_call* call) {
     wg_need* need = &call->need;
     if (need->denied_num < WG_DENIED_MAX) {
         need->denied[need->denied_num++] = call->proposed.target;
@@ -161,12 +161,12 @@
 }
 
 /* Sends the request to the proposed target, or selects another one if it no longer accepts work. */
-static void wg_call_go(wg_call* call, wg_time now) {
+static void wg_call_dispatch(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
     const wg_target* target = wg_registry_find(e->registry, call->proposed.target);
     if (!wg_entry_may_send(e, target, now)) {
         wg_entry_admit_end(call, false);
-        wg_call_pass_over(call);
+        wg_call_exclude_proposed(call);
         wg_call_choose(call, now);
         return;
     }
@@ -180,7 +180,7 @@
 }
 
 /* The coordinator's figures replace this host's estimate. */
-static void wg_call_take_answer(wg_call* call, const wg_admit_answer* answer) {
+static void wg_call_apply_admit_answer(wg_call* call, const wg_admit_answer* answer) {
     wg_choice* choice = &call->proposed;
     wg_balance_note_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
                          answer->running);
@@ -197,7 +197,7 @@
 
 /* Selects another target after a denial. A workspace above its fair share may only use one that can
    copy the shared prompt parts instead of reading them again. */
-static void wg_call_denied(wg_call* call, const wg_admit_answer* answer, wg_time now) {
+static void wg_call_handle_denial(wg_call* call, const wg_admit_answer* answer, wg_time now) {
     wg_need* need = &call->need;
     call->entry->counters.cold_denials +=
         wg_entry_cold_rate(call->entry, call->proposed.target) > 0;
@@ -205,7 +205,7 @@
         need->source = call->proposed.target;
         need->source_tokens = answer->held;
     }
-    wg_call_pass_over(call);
+    wg_call_exclude_proposed(call);
     wg_policy_terms terms = wg_call_terms(call);
     if (!wg_policy_may_spill(&terms) && need->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
         wg_call_enqueue(call, now);
@@ -216,12 +216,12 @@
 
 void wg_call_admit_answered(wg_call* call, const wg_admit_answer* answer) {
     wg_time now = wg_now();
-    wg_call_take_answer(call, answer);
+    wg_call_apply_admit_answer(call, answer);
     if (answer->granted) {
         call->was_admitted = true;
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     } else {
-        wg_call_denied(call, answer, now);
+        wg_call_handle_denial(call, answer, now);
     }
 }
 
@@ -229,28 +229,28 @@
    rate is limited across all hosts. */
 void wg_call_admit_unanswered(wg_call* call, wg_time now) {
     if (wg_entry_cold_rate(call->entry, call->proposed.target) > 0) {
-        wg_call_denied(call, &(wg_admit_answer){0}, now);
+        wg_call_handle_denial(call, &(wg_admit_answer){0}, now);
     } else if (call->attempts == 0 && !wg_call_fits(call, &call->proposed, now)) {
         wg_call_enqueue(call, now);
     } else {
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     }
 }
 
-static void wg_call_ask(wg_call* call, wg_time now) {
+static void wg_call_request_admission(wg_call* call, wg_time now) {
     bool first = call->attempts == 0;
     wg_admit_limits any = {WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
     wg_policy_terms terms = wg_call_terms(call);
     wg_admit_limits limits = first ? wg_policy_limits(&terms, now) : any;
     call->asks++;
     call->asks_all++;
-    wg_entry_admit_ask(call, &limits, now);
+    wg_entry_admit_request(call, &limits, now);
 }
 
 /* Skips targets that were recently reported as too busy to meet the limits. */
 static wg_choice wg_call_next_choice(wg_call* call, wg_time now) {
     wg_need* need = &call->need;
-    while (need->denied_num < WG_CHOICES_MAX) {
+    while (need->denied_num < WG_CANDIDATES_MAX) {
         wg_choice choice = wg_balance_choose(call->entry->balance, now, need);
         if (!choice.target || !choice.is_fresh || call->attempts > 0 ||
             wg_call_fits(call, &choice, now)) {
@@ -288,9 +288,9 @@
     call->expected = choice.wait;
     call->proposed = choice;
     if (call->has_prompt || wg_entry_cold_rate(call->entry, choice.target) > 0) {
-        wg_call_ask(call, now);
+        wg_call_request_admission(call, now);
     } else {
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     }
 }
 
@@ -326,18 +326,18 @@
    fleet's retry budget. */
 static bool wg_call_may_attempt(const wg_call* call, bool unsent) {
     if (unsent) {
-        return call->unsent <= WG_UNSENT_MAX;
+        return call->unsent <= WG_UNSENT_ATTEMPTS_MAX;
     }
     wg_retry_rules rules = wg_call_retry_rules(call->entry);
     return call->attempts - call->unsent < call->route->attempts &&
-           wg_retry_take(wg_call_retry(call), &rules);
+           wg_retry_take(wg_call_retry_budget(call), &rules);
 }
 
-bool wg_call_again(wg_call* call, bool unsent) {
+bool wg_call_schedule_retry(wg_call* call, bool unsent) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
     bool may = !call->may_have_run || wg_route_is_repeatable(call->route);
-    if (!may || now + WG_RETRY_WAIT >= call->until || !wg_call_may_attempt(call, unsent)) {
+    if (!may || now + WG_RETRY_TIME_MIN >= call->until || !wg_call_may_attempt(call, unsent)) {
         return false;
     }
     e->counters.retries++;
--- a/lib/entry/wg_entry_backoff.c
+++ b/lib/entry/wg_entry_backoff.c
@@ -1,8 +1,8 @@
 /* wg_entry_backoff.c -- applies backoff hints of targets' answers */
 #include "wg_entry_internal.h"
 
-wg_time wg_entry_note_answer(wg_entry* e, uint32_t number, const wg_backoff_wish* wish,
-                             const char* id) {
+wg_time wg_entry_record_answer(wg_entry* e, uint32_t number, const wg_backoff_wish* wish,
+                               const char* id) {
     enum {
         MISDIRECTED = 421 /* answered by another incarnation or another target */
     };
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -13,10 +13,10 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CACHE_ASKS_MAX = 4, /* concurrent queries; a list may have tens of kilobytes */
-    WG_CACHE_TIME_S = 1,
+    WG_CACHE_QUERIES_MAX = 4, /* concurrent queries; a list may have tens of kilobytes */
+    WG_CACHE_TIMEOUT_S = 1,
     WG_CACHE_TRIES = 3,
-    WG_CACHE_RETRY = 500 * WG_USEC_PER_MSEC,
+    WG_CACHE_RETRY_INTERVAL = 500 * WG_USEC_PER_MSEC,
     WG_CACHE_BYTES_MAX = 1 << 20
 };
 
@@ -28,28 +28,28 @@
     bool known;
     int tries;
     wg_time next_at;
-} wg_cache_ask;
+} wg_cache_query;
 
-static void wg_cache_ask_free(void* data) {
-    wg_cache_ask* ask = data;
+static void wg_cache_query_free(void* data) {
+    wg_cache_query* ask = data;
     if (ask->connection) {
         evhttp_connection_free(ask->connection);
     }
     g_free(ask);
 }
 
-static int wg_cache_asks_under_way(const wg_entry* e) {
+static int wg_cache_queries_active(const wg_entry* e) {
     int num = 0;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, e->cache_asks);
+    g_hash_table_iter_init(&iter, e->cache_queries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        num += ((wg_cache_ask*)value)->connection != NULL;
+        num += ((wg_cache_query*)value)->connection != NULL;
     }
     return num;
 }
 
-static void wg_cache_take(wg_cache_ask* ask, struct evhttp_request* request) {
+static void wg_cache_apply_list(wg_cache_query* ask, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
     size_t size = evbuffer_get_length(in);
     GArray* parts = wg_cache_list_parse((const char*)evbuffer_pullup(in, -1), size);
@@ -65,7 +65,7 @@
 }
 
 /* Answers to cache queries carry backoff hints as answers to requests do. */
-static void wg_cache_take_wish(const wg_cache_ask* ask, struct evhttp_request* request) {
+static void wg_cache_record_hint(const wg_cache_query* ask, struct evhttp_request* request) {
     wg_entry* e = ask->entry;
     wg_backoff_wish wish = {.status = evhttp_request_get_response_code(request)};
     const struct evkeyvalq* fields = evhttp_request_get_input_headers(request);
@@ -73,18 +73,18 @@
         wg_backoff_read_field(&wish, e->names->leaving, (wg_text){f->key, strlen(f->key)},
                               (wg_text){f->value, strlen(f->value)});
     }
-    wg_entry_note_answer(e, ask->target, &wish, "-");
+    wg_entry_record_answer(e, ask->target, &wish, "-");
 }
 
 static void wg_cache_on_answer(struct evhttp_request* request, void* user_data) {
-    wg_cache_ask* ask = user_data;
+    wg_cache_query* ask = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
     ask->connection = NULL; /* freed by libevent on completion */
     if (status > 0) {
-        wg_cache_take_wish(ask, request);
+        wg_cache_record_hint(ask, request);
     }
     if (status == HTTP_OK) {
-        wg_cache_take(ask, request);
+        wg_cache_apply_list(ask, request);
     } else if (status == HTTP_NOTFOUND) {
         ask->known = true; /* the target does not provide a list */
     } else {
@@ -93,17 +93,17 @@
     }
 }
 
-static void wg_cache_send(wg_cache_ask* ask, const wg_target* target, wg_time now) {
+static void wg_cache_send(wg_cache_query* ask, const wg_target* target, wg_time now) {
     wg_entry* e = ask->entry;
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
     ask->tries++;
-    ask->next_at = now + WG_CACHE_RETRY;
+    ask->next_at = now + WG_CACHE_RETRY_INTERVAL;
     if (!wgn_split_address(target->address, ip, &port)) {
         return;
     }
     ask->connection = evhttp_connection_base_new(e->base, NULL, ip, port);
-    evhttp_connection_set_timeout(ask->connection, WG_CACHE_TIME_S);
+    evhttp_connection_set_timeout(ask->connection, WG_CACHE_TIMEOUT_S);
     evhttp_connection_set_max_body_size(ask->connection, WG_CACHE_BYTES_MAX);
     evhttp_connection_free_on_completion(ask->connection);
     struct evhttp_request* request = evhttp_request_new(wg_cache_on_answer, ask);
@@ -122,25 +122,25 @@
     return service >= 0 && e->config->services[service].engine;
 }
 
-static void wg_cache_look_at(wg_entry* e, const wg_target* target, wg_time now) {
+static void wg_cache_check_target(wg_entry* e, const wg_target* target, wg_time now) {
     gpointer key = GUINT_TO_POINTER(target->number);
-    wg_cache_ask* ask = g_hash_table_lookup(e->cache_asks, key);
+    wg_cache_query* ask = g_hash_table_lookup(e->cache_queries, key);
     if (!wg_registry_takes(e->registry, target) || !wg_entry_admit_coordinates(e, target->number)) {
-        g_hash_table_remove(e->cache_asks, key);
+        g_hash_table_remove(e->cache_queries, key);
         return;
     }
     if (!ask) {
-        ask = g_new0(wg_cache_ask, 1);
+        ask = g_new0(wg_cache_query, 1);
         ask->entry = e;
         ask->target = target->number;
-        g_hash_table_insert(e->cache_asks, key, ask);
+        g_hash_table_insert(e->cache_queries, key, ask);
     }
     bool due =
         !ask->known && !ask->connection && ask->tries < WG_CACHE_TRIES && now >= ask->next_at;
     /* The request rate of a cold target is left to callers' requests; its cache is mostly empty. */
     bool cold = wg_entry_cold_rate(e, target->number) > 0;
     bool may = wg_entry_may_send(e, target, now);
-    if (due && may && !cold && wg_cache_asks_under_way(e) < WG_CACHE_ASKS_MAX &&
+    if (due && may && !cold && wg_cache_queries_active(e) < WG_CACHE_QUERIES_MAX &&
         wg_cache_is_engine(e, target)) {
         wg_cache_send(ask, target, now);
     }
@@ -149,11 +149,11 @@
 /* ---- functions of the library ---------------------------------------------------------------- */
 
 void wg_entry_cache_setup(wg_entry* e) {
-    e->cache_asks = g_hash_table_new_full(NULL, NULL, NULL, wg_cache_ask_free);
+    e->cache_queries = g_hash_table_new_full(NULL, NULL, NULL, wg_cache_query_free);
 }
 
 void wg_entry_cache_shutdown(wg_entry* e) {
-    g_hash_table_unref(e->cache_asks);
+    g_hash_table_unref(e->cache_queries);
 }
 
 void wg_entry_cache_tick(wg_entry* e, wg_time now) {
@@ -162,6 +162,6 @@
     }
     const wg_target* target = NULL;
     while ((target = wg_registry_next(e->registry, target ? target->number : 0))) {
-        wg_cache_look_at(e, target, now);
+        wg_cache_check_target(e, target, now);
     }
 }
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -15,7 +15,7 @@
 /* ---- helpers: the end of a call -------------------------------------------------------------- */
 
 /* Releases the load accounted to the target, and the admission. */
-static void wg_call_settle(wg_call* call, wg_result result) {
+static void wg_call_release_target(wg_call* call, wg_result result) {
     if (call->choice.target) {
         wg_balance_end(call->entry->balance, wg_now(), &call->choice, result);
         call->choice = (wg_choice){0};
@@ -49,8 +49,8 @@
 static void wg_call_free(wg_call* call) {
     wg_entry* e = call->entry;
     wg_call_unqueue(call);
-    wg_entry_admit_forget(call);
-    wg_call_settle(call, WG_RESULT_LEFT);
+    wg_entry_admit_cancel(call);
+    wg_call_release_target(call, WG_RESULT_LEFT);
     if (call->upstream) {
         wg_upstream_close(call->upstream);
     }
@@ -67,11 +67,11 @@
     e->calls_num--;
 }
 
-static bool wg_call_keeps(const wg_call* call) {
+static bool wg_call_keeps_connection(const wg_call* call) {
     return call->client->keep && !call->entry->stopping;
 }
 
-static void wg_call_ended(wg_call* call, const wg_call_end* end) {
+static void wg_call_log_and_free(wg_call* call, const wg_call_end* end) {
     wg_time now = wg_now();
     wg_hist_add(&call->entry->total_time, now - call->started);
     wg_call_log_end(call, end, now);
@@ -94,7 +94,7 @@
         client->call = NULL;
         wg_client_close(client); /* a truncated answer must not look complete */
     } else if (client) {
-        bool keep = wg_call_keeps(call);
+        bool keep = wg_call_keeps_connection(call);
         struct evbuffer* out = evbuffer_new();
         char body[160];
         int size = g_snprintf(body, sizeof body, "{\"code\":\"%s\",\"verdict\":\"%s\"}", reason,
@@ -114,9 +114,9 @@
         call->entry->counters.refused += status == 503 || status == 429;
         call->entry->counters.failed += status >= 500 && status != 503;
         call->client = NULL;
-        wg_client_call_over(client, keep);
+        wg_client_call_ended(client, keep);
     }
-    wg_call_ended(call, &end);
+    wg_call_log_and_free(call, &end);
 }
 
 /* ---- helpers: reading the request ------------------------------------------------------------ */
@@ -156,7 +156,7 @@
     wg_time now = wg_now();
     /* Counted from arrival, not from when it is read: otherwise an overloaded host would forward
        requests whose callers have already timed out. */
-    call->started = now - wg_entry_turn_wait(call->entry, now);
+    call->started = now - wg_entry_input_delay(call->entry, now);
     call->deadline = WG_TIME_NEVER;
     if (wg_text_number(wg_message_field(&call->head, call->entry->names->deadline), &ms)) {
         call->deadline = call->started + ms * WG_USEC_PER_MSEC;
@@ -212,7 +212,7 @@
 }
 
 /* The target did not run the request: retry on another target, or refuse. */
-static void wg_call_take_refusal(wg_call* call, wg_upstream* up) {
+static void wg_call_handle_refusal(wg_call* call, wg_upstream* up) {
     int status = up->head.status;
     wg_log(WG_EVENT_ATTEMPT_ENDED,
            "id=%s target=%u reason=refused status=%d rest_ms=%" G_GINT64_FORMAT
@@ -222,8 +222,8 @@
     call->upstream = NULL;
     up->call = NULL;
     wg_upstream_close(up);
-    wg_call_settle(call, status == 421 ? WG_RESULT_MOVED : WG_RESULT_REFUSED);
-    if (!wg_call_again(call, false)) {
+    wg_call_release_target(call, status == 421 ? WG_RESULT_MOVED : WG_RESULT_REFUSED);
+    if (!wg_call_schedule_retry(call, false)) {
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_refused",
                        wg_call_retry_after(call));
     }
@@ -247,14 +247,15 @@
     } else if (length >= 0 && !bodiless) {
         evbuffer_add_printf(out, "Content-Length: %" G_GINT64_FORMAT "\r\n", length);
     }
-    evbuffer_add_printf(out, "%s\r\n", wg_call_keeps(call) ? "" : "Connection: close\r\n");
+    evbuffer_add_printf(out, "%s\r\n",
+                        wg_call_keeps_connection(call) ? "" : "Connection: close\r\n");
     call->head_sent = true;
 }
 
 static void wg_call_write(wg_call* call, struct evbuffer* out) {
     struct bufferevent* bev = call->client->bev;
     wg_socket_write(bev, out);
-    bool full = evbuffer_get_length(bufferevent_get_output(bev)) > WG_OUTPUT_HIGH;
+    bool full = evbuffer_get_length(bufferevent_get_output(bev)) > WG_OUTPUT_HIGH_WATER;
     if (full && call->upstream && !call->upstream->paused) {
         call->upstream->paused = true;
         bufferevent_disable(call->upstream->bev, EV_READ);
@@ -268,7 +269,7 @@
     evbuffer_add(out, "\r\n", 2);
 }
 
-static void wg_call_note_first(wg_call* call) {
+static void wg_call_record_first_byte(wg_call* call) {
     bool first = !call->first_event_at;
     if (first) {
         call->first_event_at = wg_now();
@@ -296,7 +297,7 @@
     }
     if (evbuffer_get_length(data) > 0) {
         struct evbuffer* out = evbuffer_new();
-        wg_call_note_first(call);
+        wg_call_record_first_byte(call);
         if (!call->head_sent) {
             wg_call_write_head(call, up, -1, out);
         }
@@ -314,7 +315,7 @@
 
 void wg_call_answer_head(wg_call* call, wg_upstream* up) {
     if (wg_call_was_not_run(call, up)) {
-        wg_call_take_refusal(call, up);
+        wg_call_handle_refusal(call, up);
         return;
     }
     call->may_have_run = true;
@@ -333,10 +334,10 @@
     }
     if (call->head_sent && !call->chunked) {
         wg_call_write(call, up->content);
-    } else if (call->head_sent || evbuffer_get_length(up->content) > WG_WHOLE_MAX) {
+    } else if (call->head_sent || evbuffer_get_length(up->content) > WG_BUFFERED_ANSWER_MAX) {
         struct evbuffer* out = evbuffer_new();
         if (!call->head_sent) {
-            wg_call_note_first(call);
+            wg_call_record_first_byte(call);
             wg_call_write_head(call, up,
                                up->body.framing == WG_FRAMING_LENGTH ? up->head.length : -1, out);
         }
@@ -351,11 +352,11 @@
 }
 
 /* Whether an error answer may be discarded and the request retried. */
-static bool wg_call_may_replace(const wg_call* call, const wg_upstream* up) {
+static bool wg_call_may_retry_answer(const wg_call* call, const wg_upstream* up) {
     return up->head.status >= 500 && !call->head_sent && wg_route_is_repeatable(call->route);
 }
 
-static void wg_call_note_served(wg_entry* e) {
+static void wg_call_record_first_served(wg_entry* e) {
     if (!e->served) {
         e->served = true;
         wg_log(WG_EVENT_FIRST_SERVED, "after_ms=%" G_GINT64_FORMAT,
@@ -367,10 +368,10 @@
     struct evbuffer* out = evbuffer_new();
     wg_client* client = call->client;
     bool good = up->head.status < 500;
-    bool keep = wg_call_keeps(call);
+    bool keep = wg_call_keeps_connection(call);
     wg_call_end end = {up->head.status, WG_VERDICT_RAN, good ? "whole" : "target-error"};
     if (!call->head_sent) {
-        wg_call_note_first(call);
+        wg_call_record_first_byte(call);
         if (wg_call_is_stream(call, up)) {
             wg_call_write_head(call, up, -1, out);
         } else {
@@ -390,38 +391,38 @@
     evbuffer_free(out);
     call->entry->counters.whole += good;
     if (good) {
-        wg_call_note_served(call->entry);
-        wg_entry_note_ended_well(call->entry, call->fingerprint);
+        wg_call_record_first_served(call->entry);
+        wg_entry_record_completion(call->entry, call->fingerprint);
     }
     call->entry->counters.failed += !good;
     call->upstream = NULL;
-    wg_call_settle(call, good ? WG_RESULT_GOOD : WG_RESULT_FAILED);
+    wg_call_release_target(call, good ? WG_RESULT_GOOD : WG_RESULT_FAILED);
     wg_upstream_release(up);
     call->client = NULL;
-    wg_client_call_over(client, keep);
+    wg_client_call_ended(client, keep);
     wg_entry* e = call->entry;
-    wg_call_ended(call, &end);
+    wg_call_log_and_free(call, &end);
     wg_call_queue_run(e);
 }
 
-void wg_call_answer_whole(wg_call* call, wg_upstream* up) {
+void wg_call_answer_complete(wg_call* call, wg_upstream* up) {
     if (wg_call_is_stream(call, up) && !wg_call_relay_events(call, up)) {
         wg_call_attempt_failed(call, up, "event-too-long");
         return;
     }
-    if (wg_call_may_replace(call, up) && wg_call_again(call, false)) {
+    if (wg_call_may_retry_answer(call, up) && wg_call_schedule_retry(call, false)) {
         wg_log(WG_EVENT_ATTEMPT_ENDED, "id=%s target=%u reason=target-error status=%d", call->id,
                up->target, up->head.status);
         call->upstream = NULL;
-        wg_call_settle(call, WG_RESULT_FAILED);
+        wg_call_release_target(call, WG_RESULT_FAILED);
         wg_upstream_release(up);
         return;
     }
     wg_call_finish(call, up);
 }
 
-static void wg_call_attempt_over(wg_call* call, wg_upstream* up, const char* reason,
-                                 wg_result result) {
+static void wg_call_end_attempt(wg_call* call, wg_upstream* up, const char* reason,
+                                wg_result result) {
     bool written = up && up->written;
     bool began = up && up->state == WG_UPSTREAM_BODY;
     uint32_t target = call->choice.target;
@@ -432,7 +433,7 @@
         up->call = NULL;
         wg_upstream_close(up);
     }
-    wg_call_settle(call, result);
+    wg_call_release_target(call, result);
     wg_log(WG_EVENT_ATTEMPT_ENDED,
            "id=%s target=%u reason=%s written=%d began=%d events=%" G_GINT64_FORMAT
            " after_ms=%" G_GINT64_FORMAT " fingerprint=%016" G_GINT64_MODIFIER "x",
@@ -440,18 +441,18 @@
            (wg_now() - call->sent_at) / WG_USEC_PER_MSEC, call->fingerprint);
     bool can_resume = !call->head_sent || (call->chunked && call->route->resumable &&
                                            call->last_event[0] && call->events > 0);
-    if (can_resume && wg_call_again(call, !written)) {
+    if (can_resume && wg_call_schedule_retry(call, !written)) {
         return;
     }
     wg_call_refuse(call, call->may_have_run ? 502 : 503, reason, wg_call_retry_after(call));
 }
 
 void wg_call_attempt_failed(wg_call* call, wg_upstream* up, const char* reason) {
-    wg_call_attempt_over(call, up, reason, WG_RESULT_FAILED);
+    wg_call_end_attempt(call, up, reason, WG_RESULT_FAILED);
 }
 
 void wg_call_attempt_withdrawn(wg_call* call, wg_upstream* up, const char* reason) {
-    wg_call_attempt_over(call, up, reason, WG_RESULT_LEFT);
+    wg_call_end_attempt(call, up, reason, WG_RESULT_LEFT);
 }
 
 /* ---- functions of the library ---------------------------------------------------------------- */
@@ -482,7 +483,7 @@
     wg_client_refuse(client, status, code, status == 503 ? 0.5 : 0, keep);
     evbuffer_free(body);
     g_free(bytes);
-    wg_client_call_over(client, keep);
+    wg_client_call_ended(client, keep);
 }
 
 /* Denies an unknown route or key. A configuration taken from a replica without a leader may be
@@ -550,7 +551,7 @@
                                     WG_ANSWER_TOKEN_BYTES * call->prompt.answer,
                            .slots = service->slots};
     wg_call_read_times(call);
-    if (wg_call_counts(call)) {
+    if (wg_call_is_charged(call)) {
         wg_usage_ask(e->usage, call->workspace->hash, wg_call_tokens(call));
     }
     call->timer = evtimer_new(e->base, wg_call_on_timer, call);
@@ -563,17 +564,17 @@
     wg_call_try(call);
 }
 
-void wg_call_caller_left(wg_call* call) {
+void wg_call_caller_disconnected(wg_call* call) {
     wg_entry* e = call->entry;
     wg_call_end end = {0, wg_call_may_have_run(call) ? WG_VERDICT_MAY_HAVE_RUN : WG_VERDICT_NOT_RUN,
                        "caller-left"};
     e->counters.left++;
-    wg_call_ended(call, &end);
+    wg_call_log_and_free(call, &end);
     wg_call_queue_run(e);
 }
 
 /* Event-loop timers do not advance while the host is suspended and would fire late. */
-void wg_call_wake_all(wg_entry* e, wg_time now) {
+void wg_call_reset_timers(wg_entry* e, wg_time now) {
     for (guint i = 0; i < e->clients->len; i++) {
         const wg_client* client = e->clients->pdata[i];
         if (client->call) {
@@ -582,7 +583,7 @@
     }
 }
 
-void wg_call_cut_all(wg_entry* e) {
+void wg_call_abort_all(wg_entry* e) {
     for (guint i = e->clients->len; i > 0; i--) {
         wg_client_close(e->clients->pdata[i - 1]);
     }
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -13,18 +13,19 @@
 #include <string.h>
 
 enum {
-    WG_CHECK_TIME = 250 * WG_USEC_PER_MSEC, /* to connect; same as for requests */
-    WG_CHECK_STAYS = 30 * WG_USEC_PER_MSEC, /* a connection open for this long counts as accepted */
-    WG_CHECK_AGAIN = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
+    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; same as for requests */
+    WG_CHECK_OPEN_TIME =
+        30 * WG_USEC_PER_MSEC, /* a connection open for this long counts as accepted */
+    WG_CHECK_RETRY_DELAY = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
     /* Limits the load of checks when many connections are reset at once. */
     WG_CHECKS_PER_SECOND = 4,
     WG_CHECK_TRIES = 2,
     /* Minimum duration of a connection to a live target. A proxy closes a connection to an ended
        target sooner. */
-    WG_BROKEN_LASTED = 100 * WG_USEC_PER_MSEC,
+    WG_SERVED_CONNECTION_TIME = 100 * WG_USEC_PER_MSEC,
     /* Wait for the registry to report that the target ended or was replaced. */
-    WG_DOUBT_TIME = 5 * WG_USEC_PER_SEC,
-    WG_DOUBTS_MAX = 256
+    WG_UNRESOLVED_TIMEOUT = 5 * WG_USEC_PER_SEC,
+    WG_UNRESOLVED_MAX = 256
 };
 
 /* Request whose connection ended before a complete answer. */
@@ -35,7 +36,7 @@
     wg_time sent_at;
     wg_time broken_at;
     bool was_served; /* the target was alive when it received the request */
-} wg_broken;
+} wg_aborted_request;
 
 typedef struct {
     wg_entry* entry;
@@ -46,24 +47,24 @@
     bool waits; /* waits before the second try */
     int tries;
     wg_time since;
-    GArray* broken; /* wg_broken: aborted requests at the target */
+    GArray* broken; /* wg_aborted_request: aborted requests at the target */
 } wg_check;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static void _wg_check_hang_up(wg_check* check) {
+static void _wg_check_disconnect(wg_check* check) {
     g_clear_pointer(&check->bev, bufferevent_free);
 }
 
 static void _wg_check_free(void* data) {
     wg_check* check = data;
-    _wg_check_hang_up(check);
+    _wg_check_disconnect(check);
     event_free(check->timer);
     g_array_unref(check->broken);
     g_free(check);
 }
 
-static void _wg_take_evidence(wg_entry* e, const wg_broken* broken) {
+static void _wg_record_evidence(wg_entry* e, const wg_aborted_request* broken) {
     const wg_crash* crash = &broken->crash;
     wg_log(WG_EVENT_CRASH_EVIDENCE,
            "id=%s fingerprint=%016" G_GINT64_MODIFIER
@@ -71,7 +72,7 @@
            " after_ms=%" G_GINT64_FORMAT,
            broken->id, crash->fingerprint, crash->workspace, crash->path, crash->target,
            crash->early, broken->events, (broken->broken_at - broken->sent_at) / WG_USEC_PER_MSEC);
-    wg_entry_note_crash(e, crash);
+    wg_entry_record_crash(e, crash);
 }
 
 static void _wg_check_target_ended(wg_check* check, const char* how) {
@@ -80,37 +81,37 @@
     wg_log(WG_EVENT_TARGET_ENDED, "target=%u id=%s address=%s how=%s broken=%u", check->target,
            target ? target->id : "-", target ? target->address : "-", how, check->broken->len);
     for (guint i = 0; i < check->broken->len; i++) {
-        _wg_take_evidence(check->entry, &g_array_index(check->broken, wg_broken, i));
+        _wg_record_evidence(check->entry, &g_array_index(check->broken, wg_aborted_request, i));
     }
     /* Report at once: until all hosts know, each copy of the request may crash another target. */
     wg_entry_report(check->entry, wg_now());
 }
 
 /* Keeps possible evidence until the registry resolves it; drops the oldest if the list is full. */
-static void _wg_doubt(wg_entry* e, const wg_broken* broken) {
+static void _wg_add_unresolved(wg_entry* e, const wg_aborted_request* broken) {
     if (!broken->was_served) {
         return;
     }
-    if (e->doubts->len >= WG_DOUBTS_MAX) {
-        g_array_remove_index(e->doubts, 0);
+    if (e->unresolved->len >= WG_UNRESOLVED_MAX) {
+        g_array_remove_index(e->unresolved, 0);
     }
-    g_array_append_val(e->doubts, *broken);
+    g_array_append_val(e->unresolved, *broken);
 }
 
-static void _wg_check_target_stays(wg_check* check, const char* how) {
+static void _wg_check_target_alive(wg_check* check, const char* how) {
     check->entry->counters.targets_stayed++;
     wg_log(WG_EVENT_TARGET_STAYS, "target=%u how=%s broken=%u", check->target, how,
            check->broken->len);
     for (guint i = 0; i < check->broken->len; i++) {
-        _wg_doubt(check->entry, &g_array_index(check->broken, wg_broken, i));
+        _wg_add_unresolved(check->entry, &g_array_index(check->broken, wg_aborted_request, i));
     }
 }
 
-static void _wg_check_over(wg_check* check, bool ended, const char* how) {
+static void _wg_check_finish(wg_check* check, bool ended, const char* how) {
     if (ended) {
         _wg_check_target_ended(check, how);
     } else {
-        _wg_check_target_stays(check, how);
+        _wg_check_target_alive(check, how);
     }
     g_hash_table_remove(check->entry->checks, GUINT_TO_POINTER(check->target));
 }
@@ -126,15 +127,15 @@
     bool refused = !check->connected && EVUTIL_SOCKET_ERROR() == ECONNREFUSED;
     if (what & BEV_EVENT_CONNECTED) {
         check->connected = true;
-        _wg_check_wait(check, WG_CHECK_STAYS);
+        _wg_check_wait(check, WG_CHECK_OPEN_TIME);
     } else if (refused) {
-        _wg_check_over(check, true, "refused");
+        _wg_check_finish(check, true, "refused");
     } else if (check->tries < WG_CHECK_TRIES) {
-        _wg_check_hang_up(check);
+        _wg_check_disconnect(check);
         check->waits = true;
-        _wg_check_wait(check, WG_CHECK_AGAIN);
+        _wg_check_wait(check, WG_CHECK_RETRY_DELAY);
     } else {
-        _wg_check_over(check, false, "closed-at-once");
+        _wg_check_finish(check, false, "closed-at-once");
     }
 }
 
@@ -152,7 +153,7 @@
                                         BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(check->bev, NULL, NULL, _wg_check_on_event, check);
     bufferevent_enable(check->bev, EV_READ);
-    _wg_check_wait(check, WG_CHECK_TIME);
+    _wg_check_wait(check, WG_CHECK_TIMEOUT);
     return bufferevent_socket_connect(check->bev, (struct sockaddr*)&address, size) == 0;
 }
 
@@ -162,9 +163,9 @@
     (void)what;
     wg_check* check = user_data;
     if (!check->waits) {
-        _wg_check_over(check, false, check->connected ? "connected" : "no-answer");
+        _wg_check_finish(check, false, check->connected ? "connected" : "no-answer");
     } else if (!_wg_check_connect(check)) {
-        _wg_check_over(check, false, "gone");
+        _wg_check_finish(check, false, "gone");
     }
 }
 
@@ -187,7 +188,7 @@
     check->entry = e;
     check->target = target;
     check->since = now;
-    check->broken = g_array_new(FALSE, FALSE, sizeof(wg_broken));
+    check->broken = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
     check->timer = evtimer_new(e->base, _wg_check_on_timer, check);
     if (!_wg_check_connect(check)) {
         _wg_check_free(check);
@@ -200,13 +201,13 @@
 static void _wg_check_add(wg_check* check, const wg_call* call, const wg_upstream* up) {
     bool began = up->state == WG_UPSTREAM_BODY;
     wg_time now = wg_now();
-    wg_broken broken = {.crash = {.fingerprint = call->fingerprint,
-                                  .target = up->target,
-                                  .early = began && call->events == 0},
-                        .events = call->events,
-                        .sent_at = call->sent_at,
-                        .broken_at = now};
-    broken.was_served = began || up->used || now - call->sent_at >= WG_BROKEN_LASTED;
+    wg_aborted_request broken = {.crash = {.fingerprint = call->fingerprint,
+                                           .target = up->target,
+                                           .early = began && call->events == 0},
+                                 .events = call->events,
+                                 .sent_at = call->sent_at,
+                                 .broken_at = now};
+    broken.was_served = began || up->used || now - call->sent_at >= WG_SERVED_CONNECTION_TIME;
     wg_crash* crash = &broken.crash;
     wg_copy_name(broken.id, sizeof broken.id, call->id);
     wg_copy_name(crash->workspace, sizeof crash->workspace,
@@ -220,29 +221,30 @@
 
 void wg_entry_check_setup(wg_entry* e) {
     e->checks = g_hash_table_new_full(NULL, NULL, NULL, _wg_check_free);
-    e->doubts = g_array_new(FALSE, FALSE, sizeof(wg_broken));
+    e->unresolved = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
 }
 
 void wg_entry_check_shutdown(wg_entry* e) {
     g_hash_table_unref(e->checks);
-    g_array_unref(e->doubts);
+    g_array_unref(e->unresolved);
 }
 
-void wg_entry_check_doubts(wg_entry* e, wg_time now) {
+void wg_entry_check_unresolved(wg_entry* e, wg_time now) {
     bool told = false;
-    for (guint i = 0; i < e->doubts->len;) {
-        wg_broken broken = g_array_index(e->doubts, wg_broken, i);
+    for (guint i = 0; i < e->unresolved->len;) {
+        wg_aborted_request broken = g_array_index(e->unresolved, wg_aborted_request, i);
         const wg_target* target = wg_registry_find(e->registry, broken.crash.target);
         bool ended = target && (target->state == WG_TARGET_SILENT || target->replaced);
         bool over = !target || target->state == WG_TARGET_DRAINING ||
-                    target->state == WG_TARGET_GONE || now - broken.broken_at >= WG_DOUBT_TIME;
+                    target->state == WG_TARGET_GONE ||
+                    now - broken.broken_at >= WG_UNRESOLVED_TIMEOUT;
         if (!ended && !over) {
             i++;
             continue;
         }
-        g_array_remove_index(e->doubts, i);
+        g_array_remove_index(e->unresolved, i);
         if (ended) {
-            _wg_take_evidence(e, &broken);
+            _wg_record_evidence(e, &broken);
             told = true;
         }
     }
@@ -251,7 +253,7 @@
     }
 }
 
-void wg_entry_check_broken(wg_entry* e, const wg_call* call, const wg_upstream* up) {
+void wg_entry_check_target(wg_entry* e, const wg_call* call, const wg_upstream* up) {
     const wg_target* target = wg_registry_find(e->registry, up->target);
     bool expected =
         target && target->state != WG_TARGET_DRAINING && target->state != WG_TARGET_GONE;
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -8,13 +8,13 @@
 #include <sys/socket.h>
 
 enum {
-    WG_HEAD_TIME_START = 3 * WG_USEC_PER_SEC,  /* before a configuration is known */
-    WG_IDLE_TIME_START = 15 * WG_USEC_PER_SEC, /* before a configuration is known */
-    WG_ENDING_TIME = 2 * WG_USEC_PER_SEC,      /* to flush the last answer */
+    WG_HEAD_TIMEOUT_START = 3 * WG_USEC_PER_SEC,  /* before a configuration is known */
+    WG_IDLE_TIMEOUT_START = 15 * WG_USEC_PER_SEC, /* before a configuration is known */
+    WG_ENDING_TIMEOUT = 2 * WG_USEC_PER_SEC,      /* to flush the last answer */
     WG_LISTEN_BACKLOG = 512
 };
 
-static void wg_client_next(wg_client* client);
+static void wg_client_process_input(wg_client* client);
 
 /* ---- helpers -------------------------------------------------------------------------------- */
 
@@ -64,7 +64,7 @@
         wg_call* call = client->call;
         client->call = NULL;
         call->client = NULL;
-        wg_call_caller_left(call);
+        wg_call_caller_disconnected(call);
     }
     wg_client_free(client);
 }
@@ -96,7 +96,7 @@
     wg_client_watch(client, false);
 }
 
-static void wg_client_enter(wg_client* client, wg_client_state state) {
+static void wg_client_set_state(wg_client* client, wg_client_state state) {
     client->state = state;
     client->since = wg_now();
     client->begun = false;
@@ -111,7 +111,7 @@
 
 /* Closes once the output is flushed. */
 static void wg_client_end(wg_client* client) {
-    wg_client_enter(client, WG_CLIENT_ENDING);
+    wg_client_set_state(client, WG_CLIENT_ENDING);
     if (evbuffer_get_length(bufferevent_get_output(client->bev)) == 0) {
         shutdown(bufferevent_getfd(client->bev), SHUT_WR);
     }
@@ -162,7 +162,7 @@
            recv(bufferevent_getfd(client->bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool wg_socket_peer_has_left(struct bufferevent* bev) {
+bool wg_socket_peer_has_closed(struct bufferevent* bev) {
     char byte;
     return recv(bufferevent_getfd(bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
@@ -170,7 +170,7 @@
 /* Starts the call of a complete request, unless the caller has closed meanwhile. The event loop
    would report that only after the request was sent to a target. */
 static void wg_client_start_call(wg_client* client) {
-    if (wg_socket_peer_has_left(client->bev)) {
+    if (wg_socket_peer_has_closed(client->bev)) {
         client->entry->counters.left++;
         wg_client_close(client);
         return;
@@ -180,7 +180,7 @@
     struct evbuffer* body = client->body_bytes;
     client->head_bytes = NULL;
     client->body_bytes = NULL;
-    wg_client_enter(client, WG_CLIENT_BUSY);
+    wg_client_set_state(client, WG_CLIENT_BUSY);
     wg_call_begin(client, bytes, size, body);
 }
 
@@ -209,7 +209,7 @@
         wg_socket_write(client->bev, out);
         evbuffer_free(out);
     }
-    wg_client_enter(client, WG_CLIENT_BODY);
+    wg_client_set_state(client, WG_CLIENT_BODY);
 }
 
 /* False if the head is incomplete or was refused. */
@@ -254,7 +254,7 @@
 }
 
 /* Advances the connection with the input received. */
-static void wg_client_next(wg_client* client) {
+static void wg_client_process_input(wg_client* client) {
     if (client->state == WG_CLIENT_ENDING) {
         struct evbuffer* in = bufferevent_get_input(client->bev);
         evbuffer_drain(in, evbuffer_get_length(in));
@@ -270,7 +270,7 @@
 
 static void wg_client_on_read(struct bufferevent* bev, void* user_data) {
     (void)bev;
-    wg_client_next(user_data);
+    wg_client_process_input(user_data);
 }
 
 static void wg_client_on_write(struct bufferevent* bev, void* user_data) {
@@ -291,14 +291,14 @@
 
 /* ---- functions of the library --------------------------------------------------------------- */
 
-void wg_client_call_over(wg_client* client, bool keep) {
+void wg_client_call_ended(wg_client* client, bool keep) {
     client->call = NULL;
     client->answered = true;
     if (!keep) {
         wg_client_end(client);
         return;
     }
-    wg_client_enter(client, WG_CLIENT_HEAD);
+    wg_client_set_state(client, WG_CLIENT_HEAD);
     if (evbuffer_get_length(bufferevent_get_input(client->bev)) > 0) {
         bufferevent_trigger(client->bev, EV_READ, BEV_TRIG_DEFER_CALLBACKS);
     }
@@ -306,7 +306,7 @@
 
 /* Maximum number of callers' connections. Reserves descriptors for connections to targets and other
    hosts: without free descriptors accept() fails and the listener wakes the loop continuously. */
-static guint wg_client_most(const wg_entry* e) {
+static guint wg_client_connections_max(const wg_entry* e) {
     enum {
         CALLERS_PERCENT = 70,
         ALL_PERCENT = 95 /* remainder: operator endpoints and closing connections */
@@ -323,7 +323,7 @@
 
 /* Closes the longest idle connection if the limit is reached. False if no connection is idle. */
 static bool wg_client_make_room(wg_entry* e) {
-    if (e->clients->len < wg_client_most(e)) {
+    if (e->clients->len < wg_client_connections_max(e)) {
         return true;
     }
     wg_client* oldest;
@@ -365,7 +365,7 @@
     wg_loop_put_event_first(client->watch);
     client->at = e->clients->len;
     g_ptr_array_add(e->clients, client);
-    wg_client_enter(client, WG_CLIENT_HEAD);
+    wg_client_set_state(client, WG_CLIENT_HEAD);
     bufferevent_enable(client->bev, EV_READ | EV_WRITE);
 }
 
@@ -386,17 +386,17 @@
 }
 
 /* Maximum time in the current state; 0: not limited. */
-static wg_time wg_client_limit(const wg_client* client) {
+static wg_time wg_client_state_timeout(const wg_client* client) {
     const wg_config* config = client->entry->config;
-    wg_time head = config ? config->limits.head_time : WG_HEAD_TIME_START;
-    wg_time idle = config ? config->limits.idle_time : WG_IDLE_TIME_START;
+    wg_time head = config ? config->limits.head_time : WG_HEAD_TIMEOUT_START;
+    wg_time idle = config ? config->limits.idle_time : WG_IDLE_TIMEOUT_START;
     switch (client->state) {
     case WG_CLIENT_HEAD:
         return client->begun ? head : idle;
     case WG_CLIENT_BODY:
         return idle;
     case WG_CLIENT_ENDING:
-        return WG_ENDING_TIME;
+        return WG_ENDING_TIMEOUT;
     case WG_CLIENT_BUSY:
         break;
     }
@@ -410,8 +410,8 @@
 /* Whether the connection exceeded the timeout of its state. Unread input extends the timeout, for
    an incomplete request at most to twice its length, so that a slow sender cannot hold a connection
    indefinitely. */
-static bool wg_client_is_over(const wg_client* client, wg_time now) {
-    wg_time limit = wg_client_limit(client);
+static bool wg_client_is_expired(const wg_client* client, wg_time now) {
+    wg_time limit = wg_client_state_timeout(client);
     wg_time spent = now - client->since;
     if (limit == 0 || spent < limit) {
         return false;
@@ -421,7 +421,7 @@
     return !may_wait || !wg_client_has_unread(client);
 }
 
-bool wg_client_any_sends(const wg_entry* e) {
+bool wg_client_any_sending(const wg_entry* e) {
     for (guint i = 0; i < e->clients->len; i++) {
         const wg_client* client = e->clients->pdata[i];
         bool waits = client->state == WG_CLIENT_HEAD && wg_client_has_unread(client);
@@ -435,7 +435,7 @@
 void wg_client_tick(wg_entry* e, wg_time now) {
     for (guint i = e->clients->len; i > 0; i--) {
         wg_client* client = e->clients->pdata[i - 1];
-        if (!wg_client_is_over(client, now)) {
+        if (!wg_client_is_expired(client, now)) {
             continue;
         }
         if (wg_client_is_sending(client)) {
--- a/lib/entry/wg_entry_cold.c
+++ b/lib/entry/wg_entry_cold.c
@@ -10,7 +10,7 @@
 enum {
     /* The rate window of one second, plus the time until all hosts know of a change. Prevents
        several successive coordinators from granting within the same second. */
-    WG_COLD_OWNED = 1200 * WG_USEC_PER_MSEC
+    WG_COLD_TRANSFER_TIME = 1200 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
@@ -29,14 +29,14 @@
     return best;
 }
 
-static wg_time _wg_cold_owned(const wg_entry* e) {
-    return MIN(WG_COLD_OWNED, e->settings->cold_settle_ms * WG_USEC_PER_MSEC);
+static wg_time _wg_cold_transfer_time(const wg_entry* e) {
+    return MIN(WG_COLD_TRANSFER_TIME, e->settings->cold_settle_ms * WG_USEC_PER_MSEC);
 }
 
-static void _wg_drop_former(wg_entry* e, int num) {
-    e->former_coordinators_num -= num;
-    memmove(&e->former_coordinators[0], &e->former_coordinators[num],
-            sizeof e->former_coordinators[0] * (size_t)e->former_coordinators_num);
+static void _wg_drop_previous_coordinators(wg_entry* e, int num) {
+    e->previous_coordinators_num -= num;
+    memmove(&e->previous_coordinators[0], &e->previous_coordinators[num],
+            sizeof e->previous_coordinators[0] * (size_t)e->previous_coordinators_num);
 }
 
 static bool _wg_is_same_list(const wg_entry* e, const wg_coordinator* list, int num) {
@@ -68,41 +68,41 @@
     return service ? service->cold_rate : 0;
 }
 
-bool wg_entry_feeds_cold(const wg_entry* e, wg_time now) {
+bool wg_entry_may_use_cold(const wg_entry* e, wg_time now) {
     return now - e->started_at >= e->settings->cold_settle_ms * WG_USEC_PER_MSEC;
 }
 
-void wg_entry_note_coordinators(wg_entry* e, const wg_coordinator* list, int num, wg_time now) {
+void wg_entry_record_coordinators(wg_entry* e, const wg_coordinator* list, int num, wg_time now) {
     if (_wg_is_same_list(e, list, num)) {
         return;
     }
     int over = 0;
-    while (over < e->former_coordinators_num &&
-           now - e->former_coordinators[over].until >= WG_COLD_OWNED) {
+    while (over < e->previous_coordinators_num &&
+           now - e->previous_coordinators[over].until >= WG_COLD_TRANSFER_TIME) {
         over++;
     }
-    _wg_drop_former(e, over);
-    if (e->former_coordinators_num == WG_FORMER_COORDINATORS_MAX) {
-        _wg_drop_former(e, 1);
+    _wg_drop_previous_coordinators(e, over);
+    if (e->previous_coordinators_num == WG_PREVIOUS_COORDINATORS_MAX) {
+        _wg_drop_previous_coordinators(e, 1);
     }
-    wg_former_coordinators* former = &e->former_coordinators[e->former_coordinators_num++];
-    *former = (wg_former_coordinators){.num = e->coordinators_num, .until = now};
+    wg_previous_coordinators* former = &e->previous_coordinators[e->previous_coordinators_num++];
+    *former = (wg_previous_coordinators){.num = e->coordinators_num, .until = now};
     for (int i = 0; i < e->coordinators_num; i++) {
         former->ranks[i] = e->coordinators[i].rank;
     }
 }
 
-bool wg_entry_grants_cold(const wg_entry* e, uint32_t target, wg_time now) {
+bool wg_entry_may_grant_cold(const wg_entry* e, uint32_t target, wg_time now) {
     uint64_t own = _wg_own_rank(e);
     uint64_t ranks[WG_COORDINATORS_MAX];
     for (int i = 0; i < e->coordinators_num; i++) {
         ranks[i] = e->coordinators[i].rank;
     }
-    bool grants = wg_entry_feeds_cold(e, now) &&
+    bool grants = wg_entry_may_use_cold(e, now) &&
                   _wg_coordinating_rank(ranks, e->coordinators_num, target) == own;
-    for (int i = 0; grants && i < e->former_coordinators_num; i++) {
-        const wg_former_coordinators* former = &e->former_coordinators[i];
-        bool counts = now - former->until < _wg_cold_owned(e);
+    for (int i = 0; grants && i < e->previous_coordinators_num; i++) {
+        const wg_previous_coordinators* former = &e->previous_coordinators[i];
+        bool counts = now - former->until < _wg_cold_transfer_time(e);
         grants = !counts || _wg_coordinating_rank(former->ranks, former->num, target) == own;
     }
     return grants;
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -24,11 +24,11 @@
 enum {
     WG_CONTROLS_MAX = 24,
     WG_HEAD_BYTES_START = 16 * 1024, /* limit of a request head before a configuration is known */
-    WG_WHOLE_MAX = 64 * 1024,        /* answers up to this size are relayed only when complete */
-    WG_OUTPUT_HIGH = 256 * 1024,     /* unsent bytes at which reading from the target pauses */
+    WG_BUFFERED_ANSWER_MAX = 64 * 1024, /* answers up to this size are relayed only when complete */
+    WG_OUTPUT_HIGH_WATER = 256 * 1024,  /* unsent bytes at which reading from the target pauses */
     WG_EVENT_ID_MAX = 32,
     WG_COORDINATORS_MAX = 16,
-    WG_FORMER_COORDINATORS_MAX = 16 /* lists; hosts that start together join one by one */
+    WG_PREVIOUS_COORDINATORS_MAX = 16 /* lists; hosts that start together join one by one */
 };
 
 typedef struct wg_call wg_call;
@@ -176,7 +176,7 @@
     uint64_t ranks[WG_COORDINATORS_MAX];
     int num;
     wg_time until;
-} wg_former_coordinators;
+} wg_previous_coordinators;
 
 /* Order that waits for the leader's answer. */
 typedef struct {
@@ -286,10 +286,10 @@
     wg_admit* admit; /* admission to targets that this host coordinates */
     wg_coordinator coordinators[WG_COORDINATORS_MAX]; /* highest rank first */
     int coordinators_num;
-    wg_former_coordinators former_coordinators[WG_FORMER_COORDINATORS_MAX]; /* oldest first */
-    int former_coordinators_num;
-    GHashTable* asks;       /* ticket -> wg_call* */
-    GHashTable* cache_asks; /* target -> private data of wg_entry_cache.c */
+    wg_previous_coordinators previous_coordinators[WG_PREVIOUS_COORDINATORS_MAX]; /* oldest first */
+    int previous_coordinators_num;
+    GHashTable* asks;          /* ticket -> wg_call* */
+    GHashTable* cache_queries; /* target -> private data of wg_entry_cache.c */
 
     /* requests that crash targets: wg_entry_quarantine.c */
     wg_quarantine* quarantine; /* copy of the leader's list */
@@ -299,7 +299,7 @@
     wg_time suspects_at;       /* last time that suspects were expired */
 
     GHashTable* checks;   /* target -> check in progress, see wg_entry_check.c */
-    GArray* doubts;       /* aborted requests whose targets are not known to have ended */
+    GArray* unresolved;   /* aborted requests whose targets are not known to have ended */
     wg_time checks_since; /* start of the current one-second window */
     int checks_num;       /* checks started in the current window */
 
@@ -325,28 +325,28 @@
    entry answers by now, or the stop would abort the request. */
 bool wg_entry_refuses_new(const wg_entry* e, wg_time takes);
 /* Last measured event-loop delay of callers' input, microseconds. */
-wg_time wg_entry_turn_wait(const wg_entry* e, wg_time now);
+wg_time wg_entry_input_delay(const wg_entry* e, wg_time now);
 /* Rate limit of log lines about requests. */
 bool wg_entry_may_log(wg_entry* e, wg_time now);
 
 /* wg_entry_link.c */
-bool wg_entry_learn_seeds(wg_entry* e, const wg_entry_settings* settings, GError** error);
+bool wg_entry_add_seeds(wg_entry* e, const wg_entry_settings* settings, GError** error);
 bool wg_entry_link_setup(wg_entry* e, GError** error);
 void wg_entry_link_tick(wg_entry* e, wg_time now);
 void wg_entry_report(wg_entry* e, wg_time now);
 /* Decays the fleet usage last received, while there is no contact with a leader. */
-void wg_entry_fade_usage(wg_entry* e, wg_time now);
+void wg_entry_decay_usage(wg_entry* e, wg_time now);
 
 /* Whether the leader has been missing long enough to accept state from a replica. */
-bool wg_entry_takes_standby(const wg_entry* e, wg_time now);
+bool wg_entry_accepts_standby(const wg_entry* e, wg_time now);
 
 /* wg_entry_orders.c */
 void wg_entry_order_begin(wg_entry* e, struct evhttp_request* request, const Wgpb__Order* order);
 /* Sends all pending orders; called when a leader becomes known. */
 void wg_entry_orders_send(wg_entry* e);
-void wg_entry_orders_take_answer(wg_entry* e, const Wgpb__OrderAnswer* answer);
+void wg_entry_orders_apply_answer(wg_entry* e, const Wgpb__OrderAnswer* answer);
 /* Marks all pending orders to be sent again. */
-void wg_entry_orders_link_lost(wg_entry* e);
+void wg_entry_orders_link_down(wg_entry* e);
 void wg_entry_orders_tick(wg_entry* e, wg_time now);
 void wg_entry_orders_drop(wg_entry* e);
 /* Answers the sender of an order. `document` may be NULL. */
@@ -355,22 +355,22 @@
 
 /* wg_entry_admit.c */
 /* Updates the coordinators after a change of the roster. */
-void wg_entry_admit_members(wg_entry* e);
+void wg_entry_admit_update_members(wg_entry* e);
 void wg_entry_admit_tick(wg_entry* e, wg_time now);
 /* Requests an admission from the coordinator of call->proposed.target. Ends in
    wg_call_admit_answered() or wg_call_admit_unanswered(), possibly before this returns. */
-void wg_entry_admit_ask(wg_call* call, const wg_admit_limits* limits, wg_time now);
+void wg_entry_admit_request(wg_call* call, const wg_admit_limits* limits, wg_time now);
 /* The pending admission request timed out. */
 void wg_entry_admit_unanswered(wg_call* call, wg_time now);
 /* Notify the coordinator that the prompt was read, and that the attempt ended. _forget also drops
    a pending admission request. */
 void wg_entry_admit_read(wg_call* call);
 void wg_entry_admit_end(wg_call* call, bool failed);
-void wg_entry_admit_forget(wg_call* call);
+void wg_entry_admit_cancel(wg_call* call);
 /* The functions that return bool return false if the link or frame does not concern admission. */
 bool wg_entry_admit_on_up(wg_entry* e, wgn_link link);
 /* Another process has connected, possibly to request admissions. */
-void wg_entry_admit_on_asker(wg_entry* e, wgn_link link, const wgn_peer* peer);
+void wg_entry_admit_on_peer_up(wg_entry* e, wgn_link link, const wgn_peer* peer);
 void wg_entry_admit_on_down(wg_entry* e, wgn_link link);
 bool wg_entry_admit_on_frame(wg_entry* e, wgn_link link, const wgw_frame* frame);
 
@@ -381,11 +381,11 @@
 double wg_entry_cold_rate(const wg_entry* e, uint32_t target);
 /* Whether this host may send to cold targets. Not shortly after its start, when the roster is
    incomplete and several hosts could consider themselves coordinator of the same target. */
-bool wg_entry_feeds_cold(const wg_entry* e, wg_time now);
+bool wg_entry_may_use_cold(const wg_entry* e, wg_time now);
 /* Whether this host may admit requests to a cold target. */
-bool wg_entry_grants_cold(const wg_entry* e, uint32_t target, wg_time now);
+bool wg_entry_may_grant_cold(const wg_entry* e, uint32_t target, wg_time now);
 /* Keeps the current list of coordinators before it is replaced by `list`. */
-void wg_entry_note_coordinators(wg_entry* e, const wg_coordinator* list, int num, wg_time now);
+void wg_entry_record_coordinators(wg_entry* e, const wg_coordinator* list, int num, wg_time now);
 /* NULL if the target or its service is unknown. */
 const wg_service* wg_entry_service_of(const wg_entry* e, uint32_t target);
 
@@ -398,15 +398,15 @@
 void wg_entry_check_setup(wg_entry* e);
 void wg_entry_check_shutdown(wg_entry* e);
 /* Resolves unresolved failures from the registry's state of their targets. */
-void wg_entry_check_doubts(wg_entry* e, wg_time now);
+void wg_entry_check_unresolved(wg_entry* e, wg_time now);
 /* Checks whether a target has ended after it closed the connection of `call` mid-request. */
-void wg_entry_check_broken(wg_entry* e, const wg_call* call, const wg_upstream* up);
+void wg_entry_check_target(wg_entry* e, const wg_call* call, const wg_upstream* up);
 
 /* wg_entry_backoff.c */
 /* Applies the backoff hint of a target's answer. `id` is the request's id, for the log. Returns the
    backoff period in microseconds; 0: none. */
-wg_time wg_entry_note_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* wish,
-                             const char* id);
+wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* wish,
+                               const char* id);
 /* Whether the target accepts requests now. Checked before every request to a target: first
    attempts, retries, resumed streams, and cache queries. */
 bool wg_entry_may_send(const wg_entry* e, const wg_target* target, wg_time now);
@@ -421,17 +421,17 @@
 /* Refuses a quarantined request in any state of its call. */
 void wg_entry_refuse_quarantined(wg_call* call);
 /* Records that a target ended while it processed a request of this host. */
-void wg_entry_note_crash(wg_entry* e, const wg_crash* crash);
+void wg_entry_record_crash(wg_entry* e, const wg_crash* crash);
 /* Records a complete answer, which shows that the request does not crash targets. */
-void wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint);
+void wg_entry_record_completion(wg_entry* e, uint64_t fingerprint);
 /* Applies the leader's quarantine list. */
-void wg_entry_take_quarantine(wg_entry* e, const Wgpb__EntryState* in);
+void wg_entry_apply_quarantine(wg_entry* e, const Wgpb__EntryState* in);
 /* Queues all evidence to be reported again, on a new link. */
-void wg_entry_tell_crashes_again(wg_entry* e);
-/* Adds unreported evidence to a report; wg_entry_crashes_told() releases it once the report was
+void wg_entry_requeue_crashes(wg_entry* e);
+/* Adds unreported evidence to a report; wg_entry_crashes_reported() releases it once the report was
    sent. */
 wg_crash_report wg_entry_fill_crashes(wg_entry* e, Wgpb__EntryReport* report);
-void wg_entry_crashes_told(wg_entry* e, wg_crash_report* report);
+void wg_entry_crashes_reported(wg_entry* e, wg_crash_report* report);
 
 /* wg_entry_attempt.c */
 /* Selects a target and sends the request, or queues it. */
@@ -439,7 +439,7 @@
 void wg_call_unqueue(wg_call* call);
 /* Schedules a retry if the route and the retry budget allow it. `unsent`: no byte of the last
    attempt left this host. False: the call has to end. */
-bool wg_call_again(wg_call* call, bool unsent);
+bool wg_call_schedule_retry(wg_call* call, bool unsent);
 /* Seconds after which the caller may send a refused request again. */
 double wg_call_retry_after(const wg_call* call);
 /* Prompt tokens and weighted answer tokens charged to the workspace. */
@@ -447,35 +447,35 @@
 /* Recent tokens of the call's workspace in the fleet. */
 double wg_call_usage(const wg_call* call);
 /* Is the request charged to a workspace? */
-bool wg_call_counts(const wg_call* call);
+bool wg_call_is_charged(const wg_call* call);
 void wg_call_admit_answered(wg_call* call, const wg_admit_answer* answer);
 void wg_call_admit_unanswered(wg_call* call, wg_time now);
 
 /* wg_entry_pages.c */
-bool wg_entry_pages_setup(wg_entry* e, GError** error);
+bool wg_entry_endpoints_setup(wg_entry* e, GError** error);
 
 /* wg_entry_client.c */
 bool wg_client_listen(wg_entry* e, GError** error);
 void wg_client_tick(wg_entry* e, wg_time now);
 /* Whether any caller is sending a request, including unread ones. */
-bool wg_client_any_sends(const wg_entry* e);
+bool wg_client_any_sending(const wg_entry* e);
 /* The connection's call has ended. `keep` false: closes once the output is flushed. */
-void wg_client_call_over(wg_client* client, bool keep);
+void wg_client_call_ended(wg_client* client, bool keep);
 /* Closes at once, also in the middle of an answer. */
 void wg_client_close(wg_client* client);
 /* Writes what the socket accepts now and buffers the remainder. Empties `bytes`. */
 void wg_socket_write(struct bufferevent* bev, struct evbuffer* bytes);
 
 /* Whether the peer has closed and nothing is left to read. */
-bool wg_socket_peer_has_left(struct bufferevent* bev);
+bool wg_socket_peer_has_closed(struct bufferevent* bev);
 
 /* wg_entry_call.c */
 /* Takes ownership of `bytes` and `body`. */
 void wg_call_begin(wg_client* client, char* bytes, size_t size, struct evbuffer* body);
-void wg_call_caller_left(wg_call* call);
+void wg_call_caller_disconnected(wg_call* call);
 void wg_call_answer_head(wg_call* call, wg_upstream* up);
 void wg_call_answer_data(wg_call* call, wg_upstream* up);
-void wg_call_answer_whole(wg_call* call, wg_upstream* up);
+void wg_call_answer_complete(wg_call* call, wg_upstream* up);
 /* The target stopped accepting work before the request was sent; not counted as its failure. */
 void wg_call_attempt_withdrawn(wg_call* call, wg_upstream* up, const char* reason);
 /* The attempt ended without a complete answer. `up` may be NULL. */
@@ -484,9 +484,9 @@
 void wg_call_set_timer(wg_call* call, wg_time now);
 /* Answers with an error of this host and ends the call. */
 void wg_call_refuse(wg_call* call, int status, const char* reason, double retry_after);
-void wg_call_cut_all(wg_entry* e);
+void wg_call_abort_all(wg_entry* e);
 /* Sets all calls' timers anew after a stall. */
-void wg_call_wake_all(wg_entry* e, wg_time now);
+void wg_call_reset_timers(wg_entry* e, wg_time now);
 /* Answers with an error of this host while there is no call. */
 void wg_client_refuse(wg_client* client, int status, const char* code, double retry_after,
                       bool keep);
@@ -498,5 +498,5 @@
 void wg_upstream_release(wg_upstream* up);
 void wg_upstream_tick(wg_entry* e, wg_time now);
 void wg_upstream_resume(wg_upstream* up);
-void wg_upstream_forget(wg_entry* e);
+void wg_upstream_drop_unusable(wg_entry* e);
 void wg_upstream_shutdown(wg_entry* e);
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -10,11 +10,12 @@
 
 enum {
     /* Minimum interval between attempts to reach a control. */
-    WG_DIAL_GAP = 30 * WG_USEC_PER_MSEC,
-    WG_PROVE_TIME = 350 * WG_USEC_PER_MSEC, /* handshake with a control; initial report interval */
+    WG_DIAL_INTERVAL = 30 * WG_USEC_PER_MSEC,
+    WG_PROOF_TIMEOUT =
+        350 * WG_USEC_PER_MSEC, /* handshake with a control; initial report interval */
     /* Wait for a control without a leader to find one, before another control is dialled. Shorter
        than an election timeout, as the control may be partitioned from the others. */
-    WG_LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC,
+    WG_LEADERLESS_TIMEOUT = 300 * WG_USEC_PER_MSEC,
     WG_LINKS_MAX = 1024, /* every entry host may connect to this one */
     WG_LOADS_MAX = 2048
 };
@@ -31,11 +32,11 @@
     wg_copy_name(addresses->list[at], WG_ADDRESS_MAX, address);
 }
 
-static void wg_entry_learn_control(wg_entry* e, const char* address) {
+static void wg_entry_add_control(wg_entry* e, const char* address) {
     wg_addresses_add(&e->controls, address, ++e->counter);
 }
 
-bool wg_entry_learn_seeds(wg_entry* e, const wg_entry_settings* settings, GError** error) {
+bool wg_entry_add_seeds(wg_entry* e, const wg_entry_settings* settings, GError** error) {
     char own_ip[WG_ADDRESS_MAX];
     uint16_t entry_port = 0;
     wgn_split_address(settings->fleet_listen, own_ip, &entry_port);
@@ -81,7 +82,7 @@
     }
     e->link = wgn_dial(e->net, address);
     e->dial_address[0] = 0;
-    e->dial_at = now + WG_DIAL_GAP;
+    e->dial_at = now + WG_DIAL_INTERVAL;
     e->state_at = now;
 }
 
@@ -96,7 +97,7 @@
 }
 
 /* Applies a configuration document, or refuses it if it cannot be parsed. */
-static void wg_entry_use_document(wg_entry* e, const Wgpb__Configuration* in, GBytes* document) {
+static void wg_entry_apply_document(wg_entry* e, const Wgpb__Configuration* in, GBytes* document) {
     GError* error = NULL;
     gsize size;
     const void* data = g_bytes_get_data(document, &size);
@@ -114,7 +115,7 @@
 }
 
 /* False if the update does not apply to the current configuration and has to be sent in full. */
-static bool wg_entry_take_configuration(wg_entry* e, const Wgpb__Configuration* in) {
+static bool wg_entry_apply_configuration(wg_entry* e, const Wgpb__Configuration* in) {
     uint64_t held = e->config ? e->config->version : 0;
     if (in->version <= held) {
         return true;
@@ -126,12 +127,12 @@
         wg_entry_refuse_configuration(e, in, error);
         return false;
     }
-    wg_entry_use_document(e, in, document);
+    wg_entry_apply_document(e, in, document);
     g_bytes_unref(document);
     return true;
 }
 
-static bool wg_entry_has_evacuated(const wg_entry* e, const Wgpb__EntryState* in) {
+static bool wg_entry_evacuated_matches(const wg_entry* e, const Wgpb__EntryState* in) {
     const GPtrArray* held = wg_registry_evacuated(e->registry);
     bool same = held->len == in->n_evacuated;
     for (size_t i = 0; same && i < in->n_evacuated; i++) {
@@ -140,8 +141,8 @@
     return same;
 }
 
-static void wg_entry_take_evacuated(wg_entry* e, const Wgpb__EntryState* in) {
-    if (wg_entry_has_evacuated(e, in)) {
+static void wg_entry_apply_evacuated(wg_entry* e, const Wgpb__EntryState* in) {
+    if (wg_entry_evacuated_matches(e, in)) {
         return;
     }
     wg_registry_set_evacuated(e->registry, in->evacuated, in->n_evacuated);
@@ -154,7 +155,7 @@
     g_string_free(names, TRUE);
 }
 
-static void wg_entry_take_targets(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_apply_targets(wg_entry* e, const Wgpb__EntryState* in) {
     if (e->registry_known && in->registry_change == wg_registry_change(e->registry)) {
         return;
     }
@@ -164,14 +165,14 @@
     for (size_t i = 0; i < in->n_targets; i++) {
         wg_registry_merge(e->registry, wg_now(), in->targets[i]);
     }
-    wg_entry_take_evacuated(e, in);
+    wg_entry_apply_evacuated(e, in);
     wg_registry_set_change(e->registry, in->registry_change);
     e->registry_known = true;
     wg_balance_sync(e->balance, wg_now(), e->registry);
-    wg_upstream_forget(e);
+    wg_upstream_drop_unusable(e);
 }
 
-static void wg_entry_take_member(wg_entry* e, const Wgpb__EntryMember* in) {
+static void wg_entry_apply_member(wg_entry* e, const Wgpb__EntryMember* in) {
     wg_roster_host host = {0};
     if (wg_copy_name(host.name, sizeof host.name, in->name) &&
         wg_copy_name(host.address, sizeof host.address, in->address) &&
@@ -180,7 +181,7 @@
     }
 }
 
-static void wg_entry_take_members(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_apply_members(wg_entry* e, const Wgpb__EntryState* in) {
     if (in->members_change == wg_roster_change(e->roster)) {
         return;
     }
@@ -191,33 +192,33 @@
         wg_roster_copy_remove(e->roster, in->members_left[i]);
     }
     for (size_t i = 0; i < in->n_members; i++) {
-        wg_entry_take_member(e, in->members[i]);
+        wg_entry_apply_member(e, in->members[i]);
     }
     wg_roster_copy_set_change(e->roster, in->members_change);
-    wg_entry_admit_members(e);
+    wg_entry_admit_update_members(e);
 }
 
 /* Tokens available to all workspaces together in the period that usage covers; 0: unknown. */
-static double wg_entry_owed(const wg_entry* e) {
+static double wg_entry_total_share(const wg_entry* e) {
     return e->config ? (double)e->config->limits.tokens_per_second * WG_USAGE_SECONDS : 0;
 }
 
-static void wg_entry_take_usage(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_apply_usage(wg_entry* e, const Wgpb__EntryState* in) {
     wg_usage* list = g_new(wg_usage, in->n_usage + 1);
     for (size_t i = 0; i < in->n_usage; i++) {
         list[i] = (wg_usage){.workspace = in->usage[i]->workspace,
                              .tokens = in->usage[i]->tokens,
                              .asked = in->usage[i]->asked};
     }
-    wg_usage_hear(e->usage, wg_now(), list, in->n_usage, wg_entry_owed(e));
+    wg_usage_hear(e->usage, wg_now(), list, in->n_usage, wg_entry_total_share(e));
     g_free(list);
 }
 
-void wg_entry_fade_usage(wg_entry* e, wg_time now) {
-    wg_usage_fade(e->usage, now, wg_roster_num(e->roster), wg_entry_owed(e));
+void wg_entry_decay_usage(wg_entry* e, wg_time now) {
+    wg_usage_fade(e->usage, now, wg_roster_num(e->roster), wg_entry_total_share(e));
 }
 
-static void wg_entry_take_loads(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_apply_loads(wg_entry* e, const Wgpb__EntryState* in) {
     wg_balance_clear_others(e->balance);
     for (size_t i = 0; i < in->n_loads; i++) {
         wg_balance_set_others(e->balance, in->loads[i]->target, in->loads[i]->unread,
@@ -226,15 +227,15 @@
 }
 
 /* members_num is valid also without the list of members. */
-static void wg_entry_note_hosts(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_update_hosts_num(wg_entry* e, const Wgpb__EntryState* in) {
     if (in->members_num > 0) {
         wg_balance_set_hosts(e->balance, (int)in->members_num);
     }
 }
 
-static void wg_entry_relink(wg_entry* e, const char* address) {
+static void wg_entry_reconnect(wg_entry* e, const char* address) {
     wg_copy_name(e->dial_address, sizeof e->dial_address, address);
-    e->dial_at = wg_now() + (address[0] ? 0 : WG_DIAL_GAP);
+    e->dial_at = wg_now() + (address[0] ? 0 : WG_DIAL_INTERVAL);
     wgn_close(e->net, e->link);
     wg_entry_dial(e, wg_now());
 }
@@ -242,7 +243,7 @@
 /* The peer is not the leader: dials the leader that it names. A control without a leader reports
    one as soon as it knows it, so the link is kept; an entry host has named controls, so one of them
    is dialled. */
-static void wg_entry_take_redirect(wg_entry* e, const char* leader_address, wg_time now) {
+static void wg_entry_follow_redirect(wg_entry* e, const char* leader_address, wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     bool elsewhere = leader_address[0] && !(peer && strcmp(peer->address, leader_address) == 0);
     if (e->leader_known) {
@@ -254,9 +255,9 @@
     }
     e->leader_known = false;
     if (elsewhere) {
-        wg_entry_relink(e, leader_address);
+        wg_entry_reconnect(e, leader_address);
     } else if (!peer || peer->role != WGW_ROLE_CONTROL) {
-        wg_entry_relink(e, "");
+        wg_entry_reconnect(e, "");
     } else if (!e->leaderless_at) {
         e->leaderless_at = now;
     }
@@ -271,21 +272,21 @@
 
 /* ---- helpers: state from a replica without a leader ------------------------------------------ */
 
-bool wg_entry_takes_standby(const wg_entry* e, wg_time now) {
+bool wg_entry_accepts_standby(const wg_entry* e, wg_time now) {
     wg_time wait = e->settings->standby_ms * WG_USEC_PER_MSEC;
     return wait > 0 && !e->leader_known && wg_absence_length(&e->leaderless, now) >= wait;
 }
 
 /* Applies the state of a replica that knows no leader either, unless this host has a newer one. */
-static void wg_entry_take_standby(wg_entry* e, const Wgpb__EntryState* in, wg_time now) {
+static void wg_entry_apply_standby(wg_entry* e, const Wgpb__EntryState* in, wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     bool newer = !e->registry_known || in->registry_change > wg_registry_change(e->registry);
-    if (!wg_entry_takes_standby(e, now) || !newer) {
+    if (!wg_entry_accepts_standby(e, now) || !newer) {
         return;
     }
     bool was_ready = wg_entry_is_ready(e);
-    wg_entry_take_targets(e, in);
-    wg_entry_take_quarantine(e, in);
+    wg_entry_apply_targets(e, in);
+    wg_entry_apply_quarantine(e, in);
     e->on_standby = e->on_standby || !was_ready;
     wg_log(WG_EVENT_STANDBY_TAKEN,
            "control=%s leaderless_ms=%" G_GINT64_FORMAT " version=%" G_GUINT64_FORMAT
@@ -296,36 +297,36 @@
 
 /* Whether the sender leads in an earlier term than the last leader followed. Guards against a
    removed majority of replicas that comes back after a forced recovery. */
-static bool wg_entry_is_former_leader(const wg_entry* e, const Wgpb__EntryState* in) {
+static bool wg_entry_is_previous_leader(const wg_entry* e, const Wgpb__EntryState* in) {
     return in->leads && in->term < e->term_followed;
 }
 
-static void wg_entry_leave_former_leader(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_leave_previous_leader(wg_entry* e, const Wgpb__EntryState* in) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     wg_log(WG_EVENT_LEADER_LOST,
            "control=%s leads in a term that is over: term=%" G_GUINT64_FORMAT
            " followed=%" G_GUINT64_FORMAT,
            peer ? peer->name : "-", in->term, e->term_followed);
-    wg_entry_relink(e, "");
+    wg_entry_reconnect(e, "");
 }
 
-static void wg_entry_take_state(wg_entry* e, const Wgpb__EntryState* in) {
+static void wg_entry_apply_state(wg_entry* e, const Wgpb__EntryState* in) {
     wg_time now = wg_now();
-    if (wg_entry_is_former_leader(e, in)) {
-        wg_entry_leave_former_leader(e, in);
+    if (wg_entry_is_previous_leader(e, in)) {
+        wg_entry_leave_previous_leader(e, in);
         return;
     }
     if (in->leads && in->n_controls > 0) {
         e->controls.num = 0; /* the leader's list is complete */
     }
     for (size_t i = 0; i < in->n_controls; i++) {
-        wg_entry_learn_control(e, in->controls[i]);
+        wg_entry_add_control(e, in->controls[i]);
     }
     if (!in->leads) {
         if (in->standby) {
-            wg_entry_take_standby(e, in, now);
+            wg_entry_apply_standby(e, in, now);
         }
-        wg_entry_take_redirect(e, in->leader_address, now);
+        wg_entry_follow_redirect(e, in->leader_address, now);
         return;
     }
     bool was_ready = wg_entry_is_ready(e);
@@ -335,13 +336,13 @@
     e->leaderless_at = 0;
     e->report_gap = in->report_ms * WG_USEC_PER_MSEC;
     e->state_seen = in->seq;
-    wg_entry_take_targets(e, in);
-    wg_entry_take_members(e, in);
-    wg_entry_take_quarantine(e, in);
-    wg_entry_note_hosts(e, in);
+    wg_entry_apply_targets(e, in);
+    wg_entry_apply_members(e, in);
+    wg_entry_apply_quarantine(e, in);
+    wg_entry_update_hosts_num(e, in);
     if (in->n_controls > 0) {
-        wg_entry_take_loads(e, in);
-        wg_entry_take_usage(e, in);
+        wg_entry_apply_loads(e, in);
+        wg_entry_apply_usage(e, in);
         wg_call_queue_run(e);
     }
     if (!e->leader_known) {
@@ -353,12 +354,12 @@
 }
 
 /* Reconnects if the update cannot be applied, as a new link sends the full configuration. */
-static void wg_entry_take_configuration_frame(wg_entry* e, const Wgpb__Configuration* in) {
+static void wg_entry_handle_configuration(wg_entry* e, const Wgpb__Configuration* in) {
     bool was_ready = wg_entry_is_ready(e);
-    if (wg_entry_take_configuration(e, in)) {
+    if (wg_entry_apply_configuration(e, in)) {
         wg_entry_report_if_ready_now(e, was_ready, wg_now());
     } else {
-        wg_entry_relink(e, "");
+        wg_entry_reconnect(e, "");
     }
 }
 
@@ -383,7 +384,7 @@
     report.state_seen = e->state_seen;
     report.leaving = e->stopping;
     report.ready = wg_entry_is_ready(e);
-    report.standby = wg_entry_takes_standby(e, now);
+    report.standby = wg_entry_accepts_standby(e, now);
     for (int i = 0; i < loads_num; i++) {
         wgpb__target_load__init(&load_items[i]);
         load_items[i].target = loads[i].target;
@@ -402,7 +403,7 @@
     }
     wg_crash_report crashes = wg_entry_fill_crashes(e, &report);
     wgn_send(e->net, e->link, WGW_TYPE_ENTRY_REPORT, &report.base);
-    wg_entry_crashes_told(e, &crashes);
+    wg_entry_crashes_reported(e, &crashes);
     e->report_at = now + e->report_gap;
     g_free(report.loads);
     g_free(report.usage);
@@ -415,11 +416,11 @@
 /* ---- links ----------------------------------------------------------------------------------- */
 
 /* Sends the known controls to a connected process. A control's own address is added to them. */
-static void wg_entry_tell_controls(wg_entry* e, wgn_link link, const wgn_peer* peer) {
+static void wg_entry_send_controls(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     char* controls[WG_CONTROLS_MAX];
     if (peer->role == WGW_ROLE_CONTROL) {
-        wg_entry_learn_control(e, peer->address);
+        wg_entry_add_control(e, peer->address);
     }
     for (int i = 0; i < e->controls.num; i++) {
         controls[i] = e->controls.list[i];
@@ -435,13 +436,13 @@
         return;
     }
     if (link.id != e->link.id) {
-        wg_entry_admit_on_asker(e, link, peer);
-        wg_entry_tell_controls(e, link, peer);
+        wg_entry_admit_on_peer_up(e, link, peer);
+        wg_entry_send_controls(e, link, peer);
         return;
     }
     e->link_up = true;
     e->state_at = wg_now();
-    wg_entry_tell_crashes_again(e);
+    wg_entry_requeue_crashes(e);
     wg_entry_report(e, e->state_at);
 }
 
@@ -460,10 +461,10 @@
     e->leaderless_at = 0;
     e->leader_known = false;
     e->state_seen = 0;
-    wg_entry_orders_link_lost(e);
+    wg_entry_orders_link_down(e);
 }
 
-static void wg_entry_tell_missing_leader(wg_entry* e, wg_time now) {
+static void wg_entry_log_missing_leader(wg_entry* e, wg_time now) {
     if (!wg_absence_note(&e->leaderless, e->leader_known, now)) {
         return;
     }
@@ -486,21 +487,21 @@
     if (frame->type == WGW_TYPE_ENTRY_STATE) {
         Wgpb__EntryState* in = wgpb__entry_state__unpack(NULL, frame->size, frame->payload);
         if (in) {
-            wg_entry_take_state(e, in);
+            wg_entry_apply_state(e, in);
             wgpb__entry_state__free_unpacked(in, NULL);
             return;
         }
     } else if (frame->type == WGW_TYPE_CONFIGURATION) {
         Wgpb__Configuration* in = wgpb__configuration__unpack(NULL, frame->size, frame->payload);
         if (in) {
-            wg_entry_take_configuration_frame(e, in);
+            wg_entry_handle_configuration(e, in);
             wgpb__configuration__free_unpacked(in, NULL);
             return;
         }
     } else if (frame->type == WGW_TYPE_ORDER_ANSWER) {
         Wgpb__OrderAnswer* in = wgpb__order_answer__unpack(NULL, frame->size, frame->payload);
         if (in) {
-            wg_entry_orders_take_answer(e, in);
+            wg_entry_orders_apply_answer(e, in);
             wgpb__order_answer__free_unpacked(in, NULL);
             return;
         }
@@ -514,14 +515,14 @@
     wg_copy_name(self.name, sizeof self.name, e->settings->name);
     wg_copy_name(self.address, sizeof self.address, e->settings->callers_listen);
     wg_copy_name(self.data_centre, sizeof self.data_centre, e->settings->data_centre);
-    e->report_gap = WG_PROVE_TIME;
+    e->report_gap = WG_PROOF_TIMEOUT;
     e->net =
         wgn_setup(&(wgn_desc){.base = e->base,
                               .fleet_key = e->settings->fleet_key,
                               .self = self,
                               .links_max = WG_LINKS_MAX,
                               .waiting_max = wgn_waiting_max(e->settings->memory_mb),
-                              .proof_deadline = WG_PROVE_TIME,
+                              .proof_deadline = WG_PROOF_TIMEOUT,
                               .silence_deadline = e->settings->link_silence_ms * WG_USEC_PER_MSEC,
                               .ping_interval = e->settings->link_silence_ms * WG_USEC_PER_MSEC / 4,
                               .on_up = wg_entry_on_up,
@@ -530,18 +531,18 @@
                               .user_data = e},
                   error);
     return e->net && wgn_listen(e->net, e->settings->fleet_listen, error) &&
-           wg_entry_learn_seeds(e, e->settings, error);
+           wg_entry_add_seeds(e, e->settings, error);
 }
 
 void wg_entry_link_tick(wg_entry* e, wg_time now) {
     wg_entry_orders_tick(e, now);
-    wg_entry_tell_missing_leader(e, now);
+    wg_entry_log_missing_leader(e, now);
     wg_entry_dial(e, now);
     /* A stall of this process does not count as time since last contact with the leader. */
     wg_time quiet = now - MAX(e->state_at, e->woke_at);
-    bool leaderless = e->leaderless_at && now - e->leaderless_at > WG_LEADERLESS_TIME;
+    bool leaderless = e->leaderless_at && now - e->leaderless_at > WG_LEADERLESS_TIMEOUT;
     if (e->link.id && (leaderless || quiet > e->settings->link_silence_ms * WG_USEC_PER_MSEC)) {
-        wg_entry_relink(e, "");
+        wg_entry_reconnect(e, "");
         return;
     }
     if (e->link_up && now >= e->report_at) {
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -15,7 +15,7 @@
     g_free(order);
 }
 
-static void wg_entry_order_forget(struct evhttp_connection* connection, void* user_data) {
+static void wg_entry_order_on_sender_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     wg_entry_order* order = user_data;
     wgh_request_lost(order->request);
@@ -61,7 +61,7 @@
 /* An order whose sender has closed may have been retried at another host and superseded there. */
 static bool wg_entry_order_is_stale(struct evhttp_request* request) {
     struct evhttp_connection* connection = evhttp_request_get_connection(request);
-    return wg_socket_peer_has_left(evhttp_connection_get_bufferevent(connection));
+    return wg_socket_peer_has_closed(evhttp_connection_get_bufferevent(connection));
 }
 
 void wg_entry_order_begin(wg_entry* e, struct evhttp_request* request, const Wgpb__Order* desc) {
@@ -80,8 +80,8 @@
     order->packed = wgw_pack(&message.base);
     order->since = wg_now();
     order->until = order->since + e->settings->order_ms * WG_USEC_PER_MSEC;
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), wg_entry_order_forget,
-                                  order);
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request),
+                                  wg_entry_order_on_sender_closed, order);
     g_queue_push_tail(&e->orders, order);
     wg_entry_send_order(e, order);
 }
@@ -97,7 +97,7 @@
     wg_entry_order_free(order);
 }
 
-static void wg_entry_take_outcome(wg_entry* e, GList* at, const Wgpb__OrderAnswer* in) {
+static void wg_entry_order_apply_outcome(wg_entry* e, GList* at, const Wgpb__OrderAnswer* in) {
     GError* error = NULL;
     GBytes* document = in->configuration ? wg_document_read(in->configuration, NULL, &error) : NULL;
     wg_order_outcome outcome = error ? WG_ORDER_UNKNOWN : (wg_order_outcome)in->outcome;
@@ -109,7 +109,7 @@
     g_clear_pointer(&document, g_bytes_unref);
 }
 
-void wg_entry_orders_take_answer(wg_entry* e, const Wgpb__OrderAnswer* in) {
+void wg_entry_orders_apply_answer(wg_entry* e, const Wgpb__OrderAnswer* in) {
     for (GList* at = e->orders.head; at; at = at->next) {
         wg_entry_order* order = at->data;
         if (order->ticket != in->ticket) {
@@ -118,7 +118,7 @@
         if (in->outcome == WG_ORDER_NOT_LEADER || in->outcome == WG_ORDER_UNKNOWN) {
             order->sent = false; /* sent again at the next tick */
         } else {
-            wg_entry_take_outcome(e, at, in);
+            wg_entry_order_apply_outcome(e, at, in);
         }
         return;
     }
@@ -139,7 +139,7 @@
     }
 }
 
-void wg_entry_orders_link_lost(wg_entry* e) {
+void wg_entry_orders_link_down(wg_entry* e) {
     for (GList* at = e->orders.head; at; at = at->next) {
         ((wg_entry_order*)at->data)->sent = false;
     }
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -14,8 +14,8 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static void wg_pages_error(struct evhttp_request* request, int status, const char* code,
-                           const char* message) {
+static void wg_endpoint_error(struct evhttp_request* request, int status, const char* code,
+                              const char* message) {
     wgh_reply_error(request, &(wgh_error){.status = status,
                                           .code = code,
                                           .verdict = WG_VERDICT_NOT_RUN,
@@ -35,11 +35,11 @@
     } else if (outcome == WG_ORDER_DONE) {
         wgh_reply_json(request, 200, json_object());
     } else if (outcome == WG_ORDER_INVALID) {
-        wg_pages_error(request, 400, "bad_request", "the order is malformed");
+        wg_endpoint_error(request, 400, "bad_request", "the order is malformed");
     } else if (outcome == WG_ORDER_NOTHING) {
-        wg_pages_error(request, 503, "no_configuration", "there is no configuration yet");
+        wg_endpoint_error(request, 503, "no_configuration", "there is no configuration yet");
     } else {
-        wg_pages_error(request, 503, "no_leader", "no leader answered in time; send it again");
+        wg_endpoint_error(request, 503, "no_leader", "no leader answered in time; send it again");
     }
 }
 
@@ -58,7 +58,7 @@
                      (json_int_t)e->counters.tries);
 }
 
-static void wg_pages_leader_metrics(wg_entry* e, GString* out) {
+static void wg_endpoint_leader_metrics(wg_entry* e, GString* out) {
     wg_time now = wg_now();
     g_string_append_printf(out,
                            "walnutgate_entry_leader_known %d\n"
@@ -72,7 +72,7 @@
     wg_hist_print(&e->behind.late, "walnutgate_loop_behind_seconds", "", 1e6, out);
 }
 
-static void wg_pages_metrics(wg_entry* e, struct evhttp_request* request) {
+static void wg_endpoint_metrics(wg_entry* e, struct evhttp_request* request) {
     const wg_entry_counters* c = &e->counters;
     const struct {
         const char* name;
@@ -116,7 +116,7 @@
                            wg_quarantine_num(e->quarantine), wg_suspects_num(e->suspects),
                            wg_backoff_resting_num(e->backoff, wg_now()));
     wgn_print_metrics(e->net, out);
-    wg_pages_leader_metrics(e, out);
+    wg_endpoint_leader_metrics(e, out);
     wg_hist_print(&e->first_time, "walnutgate_entry_first_seconds", "", 1e6, out);
     wg_hist_print(&e->total_time, "walnutgate_entry_total_seconds", "", 1e6, out);
     wgh_reply_text(request, 200, "text/plain", out->str);
@@ -127,17 +127,17 @@
  */
 
 /* Identifies the caller by its IP address. */
-static uint64_t wg_pages_caller(struct evhttp_request* request) {
+static uint64_t wg_endpoint_caller_hash(struct evhttp_request* request) {
     char* address = NULL;
     ev_uint16_t port = 0;
     evhttp_connection_get_peer(evhttp_request_get_connection(request), &address, &port);
     return address ? wg_hash(address, strlen(address), 0) : 0;
 }
 
-static json_t* wg_pages_named(wg_entry* e, struct evhttp_request* request) {
+static json_t* wg_endpoint_entry_addresses(wg_entry* e, struct evhttp_request* request) {
     char* place = wgh_query(request, e->names->query_place);
     wg_roster_query query = {.data_centre = place ? place : "",
-                             .caller = wg_pages_caller(request),
+                             .caller = wg_endpoint_caller_hash(request),
                              .without = e->stopping ? e->settings->name : NULL};
     GPtrArray* hosts = wg_roster_pick(e->roster, &query);
     json_t* list = json_array();
@@ -150,14 +150,14 @@
     return list;
 }
 
-static void wg_pages_entry(wg_entry* e, struct evhttp_request* request) {
-    json_t* list = wg_pages_named(e, request);
+static void wg_endpoint_entry(wg_entry* e, struct evhttp_request* request) {
+    json_t* list = wg_endpoint_entry_addresses(e, request);
     if (json_array_size(list) == 0 && wg_entry_is_ready(e)) {
         json_array_append_new(list, json_string(e->settings->callers_listen));
     }
     if (json_array_size(list) == 0) {
         json_decref(list);
-        wg_pages_error(request, 503, "no_entry_host", "no entry host is known to be ready");
+        wg_endpoint_error(request, 503, "no_entry_host", "no entry host is known to be ready");
         return;
     }
     json_t* json = json_object();
@@ -169,7 +169,7 @@
 /* ---- orders ------------------------------------------------------------------------------------
  */
 
-static void wg_pages_put_configuration(wg_entry* e, struct evhttp_request* request) {
+static void wg_endpoint_put_configuration(wg_entry* e, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
     size_t size = evbuffer_get_length(in);
     uint8_t* bytes = evbuffer_pullup(in, -1);
@@ -177,7 +177,7 @@
     wg_config* config = wg_config_parse(bytes ? bytes : (uint8_t*)"", size, &error);
     if (!config) {
         wg_log(WG_EVENT_CONFIGURATION_REFUSED, "%s", error->message);
-        wg_pages_error(request, 400, "bad_configuration", error->message);
+        wg_endpoint_error(request, 400, "bad_configuration", error->message);
         g_error_free(error);
         return;
     }
@@ -193,22 +193,22 @@
     g_bytes_unref(document);
 }
 
-static void wg_pages_get_configuration(wg_entry* e, struct evhttp_request* request) {
+static void wg_endpoint_get_configuration(wg_entry* e, struct evhttp_request* request) {
     Wgpb__Order order = WGPB__ORDER__INIT;
     order.read_configuration = true;
     wg_entry_order_begin(e, request, &order);
 }
 
-static void wg_pages_refuse_target(wg_entry* e, struct evhttp_request* request, const char* id,
-                                   const char* reason) {
+static void wg_endpoint_refuse_target(wg_entry* e, struct evhttp_request* request, const char* id,
+                                      const char* reason) {
     if (wg_entry_may_log(e, wg_now())) {
         wg_log(WG_EVENT_TARGET_REFUSED, "id=%.63s %s", id, reason);
     }
-    wg_pages_error(request, 400, "bad_request", reason);
+    wg_endpoint_error(request, 400, "bad_request", reason);
 }
 
-static void wg_pages_order_target(wg_entry* e, struct evhttp_request* request,
-                                  const wg_target* target) {
+static void wg_endpoint_order_target(wg_entry* e, struct evhttp_request* request,
+                                     const wg_target* target) {
     Wgpb__TargetRecord record;
     wg_target_pack(target, wg_now(), &record);
     Wgpb__Order order = WGPB__ORDER__INIT;
@@ -218,7 +218,7 @@
 
 /* Whether the service is in the configuration, or the target is registered with it: a target must
    be able to drain after its service was removed. */
-static bool wg_pages_knows_service(const wg_entry* e, const wg_target* heard) {
+static bool wg_endpoint_knows_service(const wg_entry* e, const wg_target* heard) {
     if (!e->config || wg_config_service(e->config, heard->service) >= 0) {
         return true;
     }
@@ -231,47 +231,47 @@
     return false;
 }
 
-static void wg_pages_put_target(wg_entry* e, struct evhttp_request* request, const char* id) {
+static void wg_endpoint_put_target(wg_entry* e, struct evhttp_request* request, const char* id) {
     char message[160] = "";
     GError* error = NULL;
     wg_target target;
     json_t* json = wgh_body_json(request, message, sizeof message);
     if (!json) {
-        wg_pages_refuse_target(e, request, id, message);
+        wg_endpoint_refuse_target(e, request, id, message);
     } else if (!wg_target_read(json, id, wg_now(), &target, &error)) {
-        wg_pages_refuse_target(e, request, id, error->message);
+        wg_endpoint_refuse_target(e, request, id, error->message);
         g_error_free(error);
-    } else if (!wg_pages_knows_service(e, &target)) {
-        wg_pages_refuse_target(e, request, id, "service: not in the configuration");
+    } else if (!wg_endpoint_knows_service(e, &target)) {
+        wg_endpoint_refuse_target(e, request, id, "service: not in the configuration");
     } else {
-        wg_pages_order_target(e, request, &target);
+        wg_endpoint_order_target(e, request, &target);
     }
     json_decref(json);
 }
 
-static void wg_pages_delete_target(wg_entry* e, struct evhttp_request* request, const char* id) {
+static void wg_endpoint_delete_target(wg_entry* e, struct evhttp_request* request, const char* id) {
     char message[160] = "";
     GError* error = NULL;
     wg_target target;
     bool empty = evbuffer_get_length(evhttp_request_get_input_buffer(request)) == 0;
     json_t* json = empty ? NULL : wgh_body_json(request, message, sizeof message);
     if (!empty && !json) {
-        wg_pages_refuse_target(e, request, id, message);
+        wg_endpoint_refuse_target(e, request, id, message);
     } else if (!wg_target_read_leave(json, id, &target, &error)) {
-        wg_pages_refuse_target(e, request, id, error->message);
+        wg_endpoint_refuse_target(e, request, id, error->message);
         g_error_free(error);
     } else {
-        wg_pages_order_target(e, request, &target);
+        wg_endpoint_order_target(e, request, &target);
     }
     json_decref(json);
 }
 
 /* Begins or ends the evacuation of a data centre. */
-static void wg_pages_evacuate(wg_entry* e, struct evhttp_request* request, const char* path,
-                              bool begins) {
+static void wg_endpoint_evacuate(wg_entry* e, struct evhttp_request* request, const char* path,
+                                 bool begins) {
     char* name = evhttp_uridecode(path, 0, NULL);
     if (!name || !name[0] || strlen(name) >= WG_NAME_MAX || strchr(name, '/')) {
-        wg_pages_error(request, 400, "bad_request", "that is not the name of a data centre");
+        wg_endpoint_error(request, 400, "bad_request", "that is not the name of a data centre");
         free(name);
         return;
     }
@@ -288,7 +288,7 @@
 /* ---- quarantine --------------------------------------------------------------------------------
  */
 
-static void wg_pages_get_quarantine(wg_entry* e, struct evhttp_request* request) {
+static void wg_endpoint_get_quarantine(wg_entry* e, struct evhttp_request* request) {
     json_t* list = json_array();
     const wg_quarantined* entry;
     for (int i = 0; (entry = wg_quarantine_at(e->quarantine, i)); i++) {
@@ -302,11 +302,11 @@
 }
 
 /* Ends the quarantine of a request. It may be quarantined again on new evidence. */
-static void wg_pages_delete_quarantine(wg_entry* e, struct evhttp_request* request,
-                                       const char* text) {
+static void wg_endpoint_delete_quarantine(wg_entry* e, struct evhttp_request* request,
+                                          const char* text) {
     guint64 fingerprint = 0;
     if (!g_ascii_string_to_unsigned(text, 16, 1, G_MAXUINT64, &fingerprint, NULL)) {
-        wg_pages_error(request, 400, "bad_request", "that is not a fingerprint: 16 hex digits");
+        wg_endpoint_error(request, 400, "bad_request", "that is not a fingerprint: 16 hex digits");
         return;
     }
     Wgpb__Quarantine quarantine = WGPB__QUARANTINE__INIT;
@@ -320,7 +320,7 @@
 /* ---- set-up ------------------------------------------------------------------------------------
  */
 
-static void wg_pages_on_request(struct evhttp_request* request, void* user_data) {
+static void wg_endpoint_on_request(struct evhttp_request* request, void* user_data) {
     static const char targets[] = "/v1/targets/";
     static const char evacuations[] = "/v1/evacuations/";
     static const char quarantine[] = "/v1/quarantine/";
@@ -336,43 +336,44 @@
     if (get && strcmp(path, "/v1/ready") == 0) {
         wgh_reply_text(request, wg_entry_is_ready(e) ? 200 : 503, "text/plain", "\n");
     } else if (get && strcmp(path, "/v1/entry") == 0) {
-        wg_pages_entry(e, request);
+        wg_endpoint_entry(e, request);
     } else if (get && strcmp(path, "/v1/configuration") == 0) {
-        wg_pages_get_configuration(e, request);
+        wg_endpoint_get_configuration(e, request);
     } else if (put && strcmp(path, "/v1/configuration") == 0) {
-        wg_pages_put_configuration(e, request);
+        wg_endpoint_put_configuration(e, request);
     } else if (put && target) {
-        wg_pages_put_target(e, request, id);
+        wg_endpoint_put_target(e, request, id);
     } else if (remove && target) {
-        wg_pages_delete_target(e, request, id);
+        wg_endpoint_delete_target(e, request, id);
     } else if ((put || remove) && g_str_has_prefix(path, evacuations)) {
-        wg_pages_evacuate(e, request, path + sizeof evacuations - 1, put);
+        wg_endpoint_evacuate(e, request, path + sizeof evacuations - 1, put);
     } else if (get && strcmp(path, "/v1/quarantine") == 0) {
-        wg_pages_get_quarantine(e, request);
+        wg_endpoint_get_quarantine(e, request);
     } else if (remove && g_str_has_prefix(path, quarantine)) {
-        wg_pages_delete_quarantine(e, request, path + sizeof quarantine - 1);
+        wg_endpoint_delete_quarantine(e, request, path + sizeof quarantine - 1);
     } else if (get && strcmp(path, "/metrics") == 0) {
-        wg_pages_metrics(e, request);
+        wg_endpoint_metrics(e, request);
     } else if (get && strcmp(path, "/v1/state") == 0) {
         wgh_reply_json(request, 200, wg_entry_dump(e));
     } else {
-        wg_pages_error(request, 404, "not_found", "no such page");
+        wg_endpoint_error(request, 404, "not_found", "no such page");
     }
 }
 
-static bool wg_pages_listen(wg_entry* e, wgh_server* server, const char* address, GError** error) {
+static bool wg_endpoint_listen(wg_entry* e, wgh_server* server, const char* address,
+                               GError** error) {
     wgh_limits limits = {.body_max = WG_ORDER_BODY_MAX};
     if (!wgh_listen(server, e->base, address, &limits, error)) {
         return false;
     }
     evhttp_set_allowed_methods(server->http, EVHTTP_REQ_GET | EVHTTP_REQ_PUT | EVHTTP_REQ_POST |
                                                  EVHTTP_REQ_DELETE);
-    evhttp_set_gencb(server->http, wg_pages_on_request, e);
+    evhttp_set_gencb(server->http, wg_endpoint_on_request, e);
     return true;
 }
 
-bool wg_entry_pages_setup(wg_entry* e, GError** error) {
-    return wg_pages_listen(e, &e->ready_server, e->settings->ready_listen, error) &&
-           wg_pages_listen(e, &e->entry_server, e->settings->entry_listen, error) &&
-           wg_pages_listen(e, &e->orders_server, e->settings->orders_listen, error);
+bool wg_entry_endpoints_setup(wg_entry* e, GError** error) {
+    return wg_endpoint_listen(e, &e->ready_server, e->settings->ready_listen, error) &&
+           wg_endpoint_listen(e, &e->entry_server, e->settings->entry_listen, error) &&
+           wg_endpoint_listen(e, &e->orders_server, e->settings->orders_listen, error);
 }
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -6,9 +6,9 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CRASHES_TOLD_MAX = 256, /* per report; the remainder follows in the next one */
-    WG_ENDED_WELL_MAX = 256,   /* maximum length of the quarantine list */
-    WG_SUSPECTS_TICK = WG_USEC_PER_SEC
+    WG_CRASHES_REPORTED_MAX = 256, /* per report; the remainder follows in the next one */
+    WG_COMPLETIONS_MAX = 256,      /* maximum length of the quarantine list */
+    WG_SUSPECTS_INTERVAL = WG_USEC_PER_SEC
 };
 
 /* Seconds. Longer than callers usually retry, and shorter than the quarantine, so that a request
@@ -38,8 +38,8 @@
     g_ptr_array_unref(calls);
 }
 
-static void _wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint) {
-    if (e->ended_well->len < WG_ENDED_WELL_MAX) {
+static void _wg_entry_queue_completion(wg_entry* e, uint64_t fingerprint) {
+    if (e->ended_well->len < WG_COMPLETIONS_MAX) {
         g_array_append_val(e->ended_well, fingerprint);
         e->report_at = 0;
     }
@@ -57,9 +57,9 @@
     return 0;
 }
 
-static void _wg_entry_take_begun(wg_entry* e, uint64_t fingerprint, wg_time now) {
+static void _wg_entry_apply_new_quarantine(wg_entry* e, uint64_t fingerprint, wg_time now) {
     if (wg_suspects_ended_well(e->suspects, now, fingerprint)) {
-        _wg_entry_note_ended_well(e, fingerprint);
+        _wg_entry_queue_completion(e, fingerprint);
     }
     _wg_entry_stop_calls(e, fingerprint);
 }
@@ -104,7 +104,7 @@
     wg_call_refuse(call, may_have_run ? 502 : 503, "quarantined", WG_QUARANTINE_RETRY_AFTER);
 }
 
-void wg_entry_note_crash(wg_entry* e, const wg_crash* crash) {
+void wg_entry_record_crash(wg_entry* e, const wg_crash* crash) {
     wg_time now = wg_now();
     const wg_suspect* before = wg_suspects_find(e->suspects, crash->fingerprint);
     bool was_due = before && wg_suspect_is_due(before);
@@ -123,14 +123,14 @@
     }
 }
 
-void wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint) {
+void wg_entry_record_completion(wg_entry* e, uint64_t fingerprint) {
     wg_suspects_clear(e->suspects, wg_now(), fingerprint);
     if (wg_quarantine_holds(e->quarantine, fingerprint)) {
-        _wg_entry_note_ended_well(e, fingerprint);
+        _wg_entry_queue_completion(e, fingerprint);
     }
 }
 
-void wg_entry_take_quarantine(wg_entry* e, const Wgpb__EntryState* in) {
+void wg_entry_apply_quarantine(wg_entry* e, const Wgpb__EntryState* in) {
     if (in->quarantine_change == wg_quarantine_change(e->quarantine)) {
         return;
     }
@@ -142,7 +142,7 @@
     int ended = 0;
     uint64_t fingerprint;
     for (int at = 0; (fingerprint = _wg_quarantine_next_new(e->quarantine, former, &at));) {
-        _wg_entry_take_begun(e, fingerprint, now);
+        _wg_entry_apply_new_quarantine(e, fingerprint, now);
         begun++;
     }
     for (int at = 0; (fingerprint = _wg_quarantine_next_new(former, e->quarantine, &at));) {
@@ -154,13 +154,13 @@
 }
 
 /* A new leader, or a new incarnation of the same one, does not have this host's evidence. */
-void wg_entry_tell_crashes_again(wg_entry* e) {
+void wg_entry_requeue_crashes(wg_entry* e) {
     g_array_unref(e->crashes);
     e->crashes = wg_suspects_crashes(e->suspects);
 }
 
 wg_crash_report wg_entry_fill_crashes(wg_entry* e, Wgpb__EntryReport* report) {
-    guint num = MIN(e->crashes->len, (guint)WG_CRASHES_TOLD_MAX);
+    guint num = MIN(e->crashes->len, (guint)WG_CRASHES_REPORTED_MAX);
     wg_crash_report out = {
         .items = g_new(Wgpb__Crash, num + 1), .list = g_new(Wgpb__Crash*, num + 1), .num = num};
     for (guint i = 0; i < num; i++) {
@@ -181,7 +181,7 @@
     return out;
 }
 
-void wg_entry_crashes_told(wg_entry* e, wg_crash_report* report) {
+void wg_entry_crashes_reported(wg_entry* e, wg_crash_report* report) {
     g_array_remove_range(e->crashes, 0, report->num);
     g_array_set_size(e->ended_well, 0);
     g_free(report->list);
@@ -189,7 +189,7 @@
 }
 
 void wg_entry_quarantine_tick(wg_entry* e, wg_time now) {
-    if (now - e->suspects_at >= WG_SUSPECTS_TICK) {
+    if (now - e->suspects_at >= WG_SUSPECTS_INTERVAL) {
         e->suspects_at = now;
         wg_suspects_tick(e->suspects, now);
     }
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -9,8 +9,8 @@
 #include <sys/socket.h>
 
 enum {
-    WG_CONNECT_TIME = 250 * WG_USEC_PER_MSEC,
-    WG_IDLE_TIME = 4 * WG_USEC_PER_SEC,     /* if the target reports no keep-alive time */
+    WG_CONNECT_TIMEOUT = 250 * WG_USEC_PER_MSEC,
+    WG_IDLE_TIMEOUT = 4 * WG_USEC_PER_SEC,  /* if the target reports no keep-alive time */
     WG_IDLE_MARGIN = 700 * WG_USEC_PER_MSEC /* subtracted from the reported keep-alive time */
 };
 
@@ -73,7 +73,7 @@
                     evbuffer_get_length(bufferevent_get_output(up->bev)) == 0 &&
                     wg_entry_may_keep(up->entry, target) && !up->entry->stopping;
     wg_time limit = up->head.keep_time >= 0 ? up->head.keep_time * WG_USEC_PER_SEC - WG_IDLE_MARGIN
-                                            : WG_IDLE_TIME;
+                                            : WG_IDLE_TIMEOUT;
     up->call = NULL;
     if (!reusable || limit <= 0) {
         wg_upstream_close(up);
@@ -91,7 +91,7 @@
 }
 
 /* Removes the longest idle connection from `queue`; NULL if there is none. */
-static wg_upstream* wg_upstream_take_oldest(GQueue* queue) {
+static wg_upstream* wg_upstream_pop_oldest(GQueue* queue) {
     GList* link = g_queue_pop_tail_link(queue);
     wg_upstream* up = link ? link->data : NULL;
     if (up) {
@@ -101,7 +101,7 @@
 }
 
 static void wg_upstream_close_queue(GQueue* queue) {
-    for (wg_upstream* up; (up = wg_upstream_take_oldest(queue));) {
+    for (wg_upstream* up; (up = wg_upstream_pop_oldest(queue));) {
         wg_upstream_close(up);
     }
 }
@@ -118,13 +118,13 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GQueue* queue = value;
         while (wg_upstream_is_stale(queue, now)) {
-            wg_upstream_close(wg_upstream_take_oldest(queue));
+            wg_upstream_close(wg_upstream_pop_oldest(queue));
         }
     }
 }
 
 /* Closes idle connections to targets that no longer accept work. */
-void wg_upstream_forget(wg_entry* e) {
+void wg_upstream_drop_unusable(wg_entry* e) {
     GHashTableIter iter;
     gpointer key;
     gpointer value;
@@ -199,7 +199,7 @@
 
 /* Targets echo the request id; a different id means that the answer belongs to an earlier request.
  */
-static bool wg_upstream_is_for_call(const wg_upstream* up) {
+static bool wg_upstream_matches_call(const wg_upstream* up) {
     wg_text echoed = wg_message_field(&up->head, up->entry->names->request_id);
     return !echoed.text || !up->call->id[0] ||
            (echoed.size == strlen(up->call->id) &&
@@ -207,14 +207,14 @@
 }
 
 /* Backoff hints apply whichever request the answer belongs to. */
-static void wg_upstream_take_wish(wg_upstream* up) {
+static void wg_upstream_record_hint(wg_upstream* up) {
     wg_entry* e = up->entry;
     wg_backoff_wish wish = {.status = up->head.status};
     for (int i = 0; i < up->head.fields_num; i++) {
         const wg_message_pair* f = &up->head.fields[i];
         wg_backoff_read_field(&wish, e->names->leaving, f->name, f->value);
     }
-    up->rest = wg_entry_note_answer(e, up->target, &wish, up->call->id);
+    up->rest = wg_entry_record_answer(e, up->target, &wish, up->call->id);
 }
 
 /* False if the head is incomplete, or `up` was closed. */
@@ -241,8 +241,8 @@
             break;
         }
     }
-    wg_upstream_take_wish(up);
-    if (!wg_upstream_is_for_call(up)) {
+    wg_upstream_record_hint(up);
+    if (!wg_upstream_matches_call(up)) {
         wg_upstream_fail(up, "answer-of-another-request");
         return false;
     }
@@ -282,7 +282,7 @@
         return;
     }
     if (state == WG_BODY_WHOLE) {
-        wg_call_answer_whole(call, up);
+        wg_call_answer_complete(call, up);
         return;
     }
     if (evbuffer_get_length(up->content) > 0) {
@@ -312,11 +312,11 @@
     }
     if ((what & BEV_EVENT_EOF) && up->state == WG_UPSTREAM_BODY && up->call &&
         up->body.framing == WG_FRAMING_CLOSE) {
-        wg_call_answer_whole(up->call, up);
+        wg_call_answer_complete(up->call, up);
         return;
     }
     if (up->call && up->written) {
-        wg_entry_check_broken(up->entry, up->call, up);
+        wg_entry_check_target(up->entry, up->call, up);
     }
     wg_upstream_fail(up, up->state == WG_UPSTREAM_CONNECTING ? "no-connection"
                          : (what & BEV_EVENT_EOF)            ? "connection-closed"
@@ -355,7 +355,7 @@
     evbuffer_add_cb(bufferevent_get_input(up->bev), wg_upstream_count_in, up);
     bufferevent_setcb(up->bev, wg_upstream_on_read, NULL, wg_upstream_on_event, up);
     bufferevent_enable(up->bev, EV_READ | EV_WRITE);
-    struct timeval limit = {.tv_usec = WG_CONNECT_TIME};
+    struct timeval limit = {.tv_usec = WG_CONNECT_TIMEOUT};
     bufferevent_set_timeouts(up->bev, &limit, &limit);
     e->counters.connects++;
     e->upstreams_num++;
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -27,8 +27,8 @@
 }
 
 /* Reads a required integer from 0 to `most`. */
-static bool _wg_read_whole(const json_t* json, const char* name, json_int_t most, uint64_t* out,
-                           GError** error) {
+static bool _wg_read_integer(const json_t* json, const char* name, json_int_t most, uint64_t* out,
+                             GError** error) {
     const json_t* value = json_object_get(json, name);
     json_int_t number = json_integer_value(value);
     if (!json_is_integer(value) || number < 0 || number > most) {
@@ -72,9 +72,9 @@
 }
 
 /* Optional, as targets of earlier releases do not send it. */
-static bool _wg_read_born(const json_t* json, wg_target* target, GError** error) {
+static bool _wg_read_incarnation(const json_t* json, wg_target* target, GError** error) {
     return !json_object_get(json, "born") ||
-           _wg_read_whole(json, "born", G_MAXINT64, &target->born, error);
+           _wg_read_integer(json, "born", G_MAXINT64, &target->born, error);
 }
 
 static bool _wg_read_id(const char* id, wg_target* target, GError** error) {
@@ -95,10 +95,11 @@
                 _wg_read_text(json, "data_centre", 0, target->data_centre,
                               sizeof target->data_centre, error) &&
                 _wg_read_text(json, "version", 0, version, sizeof version, error) &&
-                _wg_read_whole(json, "slots", WG_TARGET_SLOTS_MAX, &slots, error) &&
-                _wg_read_whole(json, "sequence", G_MAXINT64, &target->sequence, error) &&
+                _wg_read_integer(json, "slots", WG_TARGET_SLOTS_MAX, &slots, error) &&
+                _wg_read_integer(json, "sequence", G_MAXINT64, &target->sequence, error) &&
                 _wg_read_state(json, &target->state, error) &&
-                _wg_read_cold(json, now, target, error) && _wg_read_born(json, target, error);
+                _wg_read_cold(json, now, target, error) &&
+                _wg_read_incarnation(json, target, error);
     target->slots = (uint32_t)slots;
     return good;
 }
@@ -108,5 +109,5 @@
     if (json && !json_is_object(json)) {
         return _wg_target_error(error, "body", "not an object");
     }
-    return _wg_read_id(id, target, error) && (!json || _wg_read_born(json, target, error));
+    return _wg_read_id(id, target, error) && (!json || _wg_read_incarnation(json, target, error));
 }
