--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -87,9 +87,10 @@
     return e->settings->grace_s * WG_USEC_PER_SEC - WG_STOP_MARGIN;
 }
 
-bool wg_entry_refuses_new(const wg_entry* e, wg_time takes) {
+bool wg_entry_refuses_new(const wg_entry* e, wg_time duration) {
     wg_time since = wg_now() - e->stop_at;
-    return e->stopping && (since > WG_STOP_REFUSE_AFTER || since + takes > wg_entry_stop_time(e));
+    return e->stopping &&
+           (since > WG_STOP_REFUSE_AFTER || since + duration > wg_entry_stop_time(e));
 }
 
 bool wg_entry_may_log(wg_entry* e, wg_time now) {
@@ -101,7 +102,7 @@
         e->log_lines = 0;
     }
     bool may = ++e->log_lines <= WG_LOG_LINES_MAX;
-    e->counters.lines_left_out += !may;
+    e->counters.log_lines_dropped += !may;
     return may;
 }
 
@@ -121,10 +122,11 @@
 /* Ends the loop when no call is in progress, no request is unread, and no caller can still have an
    entry answer that names this host; at the latest at the end of the grace period. */
 static void wg_entry_stop_tick(wg_entry* e, wg_time now) {
-    wg_time most = wg_entry_stop_time(e);
-    wg_time least = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_STOP_CLOSE_DELAY;
+    wg_time stop_max = wg_entry_stop_time(e);
+    wg_time stop_min = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_STOP_CLOSE_DELAY;
     wg_time since = now - e->stop_at;
-    bool over = since >= most || (since >= least && e->calls_num == 0 && !wg_client_any_sending(e));
+    bool over =
+        since >= stop_max || (since >= stop_min && e->calls_num == 0 && !wg_client_any_sending(e));
     if (!over) {
         return;
     }
@@ -139,24 +141,24 @@
     wg_entry* e = user_data;
     wg_time now = wg_now();
     wg_time waited;
-    if (wg_pulse_note(&e->behind, now, now - e->turn_since, &waited)) {
+    if (wg_pulse_note(&e->input_lag, now, now - e->probe_since, &waited)) {
         wg_log(WG_EVENT_LOOP_BEHIND, "waited_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
                waited / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
-    e->turn_since = 0;
+    e->probe_since = 0;
 }
 
 wg_time wg_entry_input_delay(const wg_entry* e, wg_time now) {
-    wg_time waits = e->turn_since ? now - e->turn_since : 0;
-    return MAX(waits, e->behind.last);
+    wg_time waits = e->probe_since ? now - e->probe_since : 0;
+    return MAX(waits, e->input_lag.last);
 }
 
 /* Queues an event of the same priority as callers' input to measure the delay of that input. Ticks
    and links have a higher priority and do not show it. */
 static void wg_entry_queue_delay_probe(wg_entry* e, wg_time now) {
-    if (!e->turn_since) {
-        e->turn_since = now;
-        event_active(e->turn, EV_TIMEOUT, 1);
+    if (!e->probe_since) {
+        e->probe_since = now;
+        event_active(e->delay_probe, EV_TIMEOUT, 1);
     }
 }
 
@@ -165,13 +167,13 @@
     (void)what;
     wg_entry* e = user_data;
     wg_time now = wg_now();
-    wg_time late;
-    if (wg_pulse_beat(&e->pulse, now, WG_TICK, &late)) {
+    wg_time delay;
+    if (wg_pulse_beat(&e->tick_lag, now, WG_TICK, &delay)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
-               late / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
+               delay / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
-    if (e->pulse.last > WG_PULSE_LATE) {
-        e->woke_at = now;
+    if (e->tick_lag.last > WG_PULSE_LATE) {
+        e->stall_ended_at = now;
         wg_call_reset_timers(e, now);
     }
     wg_entry_link_tick(e, now);
@@ -221,7 +223,7 @@
     e->balance = wg_balance_setup(&(wg_balance_desc){
         .data_centre = e->settings->data_centre, .seed = e->seed, .backoff = e->backoff});
     e->admit = wg_admit_setup(&(wg_admit_desc){0});
-    e->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+    e->pending_admissions = g_hash_table_new(g_int64_hash, g_int64_equal);
     wg_entry_cache_setup(e);
     wg_entry_check_setup(e);
     wg_entry_quarantine_setup(e);
@@ -231,7 +233,7 @@
         wg_entry_shutdown(e);
         return NULL;
     }
-    e->turn = event_new(e->base, -1, 0, wg_entry_on_delay_probe, e);
+    e->delay_probe = event_new(e->base, -1, 0, wg_entry_on_delay_probe, e);
     e->tick = event_new(e->base, -1, EV_PERSIST, wg_entry_on_tick, e);
     event_priority_set(e->tick, WGN_PRIORITY);
     struct timeval period = {.tv_usec = WG_TICK};
@@ -260,7 +262,7 @@
     wg_call_abort_all(e);
     if (e->tick) {
         event_free(e->tick);
-        event_free(e->turn);
+        event_free(e->delay_probe);
     }
     if (e->listener) {
         evconnlistener_free(e->listener);
@@ -278,7 +280,7 @@
     wg_entry_quarantine_shutdown(e);
     wg_admit_shutdown(e->admit);
     wg_backoff_shutdown(e->backoff);
-    g_hash_table_unref(e->asks);
+    g_hash_table_unref(e->pending_admissions);
     wg_balance_shutdown(e->balance);
     wg_registry_shutdown(e->registry);
     wg_roster_shutdown(e->roster);
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -196,8 +196,8 @@
 static void wg_call_apply_admission(wg_call* call, const wg_coordinator* c, uint64_t ticket,
                                     const wg_admit_answer* answer) {
     if (answer->granted) {
-        call->admitted = ticket;
-        call->admitted_by = c->rank;
+        call->admission_ticket = ticket;
+        call->coordinator_rank = c->rank;
     }
     wg_call_admit_answered(call, answer);
 }
@@ -216,29 +216,30 @@
         wg_call_apply_admission(call, c, ticket, &answer);
         return;
     }
-    if (!c || !c->up || now < c->silent_until || !wg_coordinator_send_request(e, c, &request)) {
+    if (!c || !c->up || now < c->unresponsive_until ||
+        !wg_coordinator_send_request(e, c, &request)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
-    call->asked = ticket;
-    call->asked_until = now + WG_ADMIT_TIMEOUT;
-    call->admitted_by = c->rank;
-    g_hash_table_insert(e->asks, &call->asked, call);
+    call->admit_ticket = ticket;
+    call->admit_expires_at = now + WG_ADMIT_TIMEOUT;
+    call->coordinator_rank = c->rank;
+    g_hash_table_insert(e->pending_admissions, &call->admit_ticket, call);
     wg_call_set_timer(call, now);
 }
 
 static void wg_call_end_admit_request(wg_call* call) {
-    g_hash_table_remove(call->entry->asks, &call->asked);
-    call->asked = 0;
+    g_hash_table_remove(call->entry->pending_admissions, &call->admit_ticket);
+    call->admit_ticket = 0;
 }
 
 void wg_entry_admit_unanswered(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
-    wg_coordinator* c = wg_coordinator_by_rank(e, call->admitted_by);
+    wg_coordinator* c = wg_coordinator_by_rank(e, call->coordinator_rank);
     wg_call_end_admit_request(call);
-    if (c && ++c->missed >= WG_ADMIT_TIMEOUTS_MAX) {
-        c->missed = 0;
-        c->silent_until = now + WG_COORDINATOR_UNRESPONSIVE_TIME;
+    if (c && ++c->timeouts_num >= WG_ADMIT_TIMEOUTS_MAX) {
+        c->timeouts_num = 0;
+        c->unresponsive_until = now + WG_COORDINATOR_UNRESPONSIVE_TIME;
         wg_log(WG_EVENT_COORDINATOR_SILENT, "coordinator=%s target=%u id=%s", c->name,
                call->proposed.target, call->id);
     }
@@ -274,23 +275,24 @@
 }
 
 void wg_entry_admit_read(wg_call* call) {
-    if (call->admitted && !call->admitted_read) {
-        call->admitted_read = true;
-        wg_coordinator_notify(call->entry, call->admitted_by, call->admitted, WG_NOTE_READ);
+    if (call->admission_ticket && !call->admission_read) {
+        call->admission_read = true;
+        wg_coordinator_notify(call->entry, call->coordinator_rank, call->admission_ticket,
+                              WG_NOTE_READ);
     }
 }
 
 void wg_entry_admit_end(wg_call* call, bool failed) {
-    if (call->admitted) {
-        wg_coordinator_notify(call->entry, call->admitted_by, call->admitted,
+    if (call->admission_ticket) {
+        wg_coordinator_notify(call->entry, call->coordinator_rank, call->admission_ticket,
                               failed ? WG_NOTE_FAILED : WG_NOTE_ENDED);
-        call->admitted = 0;
-        call->admitted_read = false;
+        call->admission_ticket = 0;
+        call->admission_read = false;
     }
 }
 
 void wg_entry_admit_cancel(wg_call* call) {
-    if (call->asked) {
+    if (call->admit_ticket) {
         wg_call_end_admit_request(call);
     }
     wg_entry_admit_end(call, false);
@@ -304,7 +306,7 @@
         return false;
     }
     c->up = true;
-    c->missed = 0;
+    c->timeouts_num = 0;
     wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     wg_log(WG_EVENT_LINK_UP, "coordinator=%s", c->name);
     return true;
@@ -406,8 +408,8 @@
                               .ahead = in->ahead,
                               .running = in->running};
     wgpb__admit_answer__free_unpacked(in, NULL);
-    wg_call* call = g_hash_table_lookup(e->asks, &ticket);
-    c->missed = 0;
+    wg_call* call = g_hash_table_lookup(e->pending_admissions, &ticket);
+    c->timeouts_num = 0;
     if (call) {
         wg_call_end_admit_request(call);
         wg_call_apply_admission(call, c, ticket, &answer);
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -90,7 +90,7 @@
     wg_need again = call->need;
     again.tried_num = 0;
     wg_time back_at = wg_balance_back_at(e->balance, now, &again);
-    wg_time left = (call->deadline == WG_TIME_NEVER ? call->until : call->deadline) - now;
+    wg_time left = (call->deadline == WG_TIME_NEVER ? call->expires_at : call->deadline) - now;
     wg_time after = back_at ? wg_policy_retry_after_rest(e->seed, ++e->counter, back_at - now, left)
                             : wg_policy_retry_after(e->seed, ++e->counter);
     return (double)after / WG_USEC_PER_SEC;
@@ -101,7 +101,7 @@
     wg_time wait_until = call->started + wg_policy_wait(call->route->objective);
     wg_time back_at = wg_balance_back_at(call->entry->balance, now, &call->need);
     if (back_at > wait_until) {
-        call->entry->counters.rest_refusals++;
+        call->entry->counters.backoff_refusals++;
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_rest",
                        wg_call_retry_after(call));
         return;
@@ -239,11 +239,11 @@
 
 static void wg_call_request_admission(wg_call* call, wg_time now) {
     bool first = call->attempts == 0;
-    wg_admit_limits any = {WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
+    wg_admit_limits no_limits = {WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
     wg_policy_terms terms = wg_call_terms(call);
-    wg_admit_limits limits = first ? wg_policy_limits(&terms, now) : any;
-    call->asks++;
-    call->asks_all++;
+    wg_admit_limits limits = first ? wg_policy_limits(&terms, now) : no_limits;
+    call->admit_requests++;
+    call->admit_requests_total++;
     wg_entry_admit_request(call, &limits, now);
 }
 
@@ -265,7 +265,7 @@
 /* Selects again without the latency limit, as no target meets it. */
 static void wg_call_relax(wg_call* call, wg_time now) {
     call->relaxed = true;
-    call->asks = 0;
+    call->admit_requests = 0;
     call->need.denied_num = 0;
     wg_call_choose(call, now);
 }
@@ -274,7 +274,7 @@
 static void wg_call_choose(wg_call* call, wg_time now) {
     wg_choice choice = {0};
     wg_policy_terms terms = wg_call_terms(call);
-    if (call->asks < wg_policy_asks_max(&terms)) {
+    if (call->admit_requests < wg_policy_asks_max(&terms)) {
         choice = wg_call_next_choice(call, now);
     }
     if (!choice.target && !call->relaxed && wg_policy_is_modest(&terms)) {
@@ -297,7 +297,7 @@
 void wg_call_try(wg_call* call) {
     wg_time now = wg_now();
     call->retry_at = 0;
-    if (call->asked) {
+    if (call->admit_ticket) {
         return;
     }
     if (wg_entry_is_quarantined(call->entry, call->fingerprint)) {
@@ -314,7 +314,7 @@
         call->need.limit = wg_policy_may_spill(&terms) ? call->limit : WG_TIME_NEVER;
     }
     call->need.slots_share = wg_policy_slots_share(&terms);
-    call->asks = 0;
+    call->admit_requests = 0;
     call->relaxed = false;
     call->need.denied_num = 0;
     call->need.source = 0;
@@ -337,7 +337,7 @@
     wg_entry* e = call->entry;
     wg_time now = wg_now();
     bool may = !call->may_have_run || wg_route_is_repeatable(call->route);
-    if (!may || now + WG_RETRY_TIME_MIN >= call->until || !wg_call_may_attempt(call, unsent)) {
+    if (!may || now + WG_RETRY_TIME_MIN >= call->expires_at || !wg_call_may_attempt(call, unsent)) {
         return false;
     }
     e->counters.retries++;
@@ -354,7 +354,7 @@
     wg_time now = wg_now();
     for (GList* at = queue->head; at; at = at->next) {
         wg_call* call = at->data;
-        if (call->asked || now < call->next_try_at) {
+        if (call->admit_ticket || now < call->next_try_at) {
             continue;
         }
         double usage = call->workspace ? wg_call_usage(call) : 0;
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -31,11 +31,11 @@
 } wg_cache_query;
 
 static void wg_cache_query_free(void* data) {
-    wg_cache_query* ask = data;
-    if (ask->connection) {
-        evhttp_connection_free(ask->connection);
+    wg_cache_query* query = data;
+    if (query->connection) {
+        evhttp_connection_free(query->connection);
     }
-    g_free(ask);
+    g_free(query);
 }
 
 static int wg_cache_queries_active(const wg_entry* e) {
@@ -49,71 +49,72 @@
     return num;
 }
 
-static void wg_cache_apply_list(wg_cache_query* ask, struct evhttp_request* request) {
+static void wg_cache_apply_list(wg_cache_query* query, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
     size_t size = evbuffer_get_length(in);
     GArray* parts = wg_cache_list_parse((const char*)evbuffer_pullup(in, -1), size);
     if (!parts) {
-        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u reason=malformed bytes=%zu", ask->target, size);
+        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u reason=malformed bytes=%zu", query->target, size);
         return;
     }
-    ask->known = true;
-    wg_admit_learn(ask->entry->admit, wg_now(), ask->target, (const uint64_t*)(void*)parts->data,
-                   (int)parts->len);
-    wg_log(WG_EVENT_CACHE_KNOWN, "target=%u parts=%u bytes=%zu", ask->target, parts->len, size);
+    query->known = true;
+    wg_admit_learn(query->entry->admit, wg_now(), query->target,
+                   (const uint64_t*)(void*)parts->data, (int)parts->len);
+    wg_log(WG_EVENT_CACHE_KNOWN, "target=%u parts=%u bytes=%zu", query->target, parts->len, size);
     g_array_unref(parts);
 }
 
 /* Answers to cache queries carry backoff hints as answers to requests do. */
-static void wg_cache_record_hint(const wg_cache_query* ask, struct evhttp_request* request) {
-    wg_entry* e = ask->entry;
-    wg_backoff_wish wish = {.status = evhttp_request_get_response_code(request)};
+static void wg_cache_record_hint(const wg_cache_query* query, struct evhttp_request* request) {
+    wg_entry* e = query->entry;
+    wg_backoff_wish hint = {.status = evhttp_request_get_response_code(request)};
     const struct evkeyvalq* fields = evhttp_request_get_input_headers(request);
     for (const struct evkeyval* f = fields->tqh_first; f; f = f->next.tqe_next) {
-        wg_backoff_read_field(&wish, e->names->leaving, (wg_text){f->key, strlen(f->key)},
+        wg_backoff_read_field(&hint, e->names->leaving, (wg_text){f->key, strlen(f->key)},
                               (wg_text){f->value, strlen(f->value)});
     }
-    wg_entry_record_answer(e, ask->target, &wish, "-");
+    wg_entry_record_answer(e, query->target, &hint, "-");
 }
 
 static void wg_cache_on_answer(struct evhttp_request* request, void* user_data) {
-    wg_cache_query* ask = user_data;
+    wg_cache_query* query = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    ask->connection = NULL; /* freed by libevent on completion */
+    query->connection = NULL; /* freed by libevent on completion */
     if (status > 0) {
-        wg_cache_record_hint(ask, request);
+        wg_cache_record_hint(query, request);
     }
     if (status == HTTP_OK) {
-        wg_cache_apply_list(ask, request);
+        wg_cache_apply_list(query, request);
     } else if (status == HTTP_NOTFOUND) {
-        ask->known = true; /* the target does not provide a list */
+        query->known = true; /* the target does not provide a list */
     } else {
-        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u status=%d try=%d", ask->target, status,
-               ask->tries);
+        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u status=%d try=%d", query->target, status,
+               query->tries);
     }
 }
 
-static void wg_cache_send(wg_cache_query* ask, const wg_target* target, wg_time now) {
-    wg_entry* e = ask->entry;
+static void wg_cache_send(wg_cache_query* query, const wg_target* target, wg_time now) {
+    wg_entry* e = query->entry;
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
-    ask->tries++;
-    ask->next_at = now + WG_CACHE_RETRY_INTERVAL;
+    query->tries++;
+    query->next_at = now + WG_CACHE_RETRY_INTERVAL;
     if (!wgn_split_address(target->address, ip, &port)) {
         return;
     }
-    ask->connection = evhttp_connection_base_new(e->base, NULL, ip, port);
-    evhttp_connection_set_timeout(ask->connection, WG_CACHE_TIMEOUT_S);
-    evhttp_connection_set_max_body_size(ask->connection, WG_CACHE_BYTES_MAX);
-    evhttp_connection_free_on_completion(ask->connection);
-    struct evhttp_request* request = evhttp_request_new(wg_cache_on_answer, ask);
+    query->connection = evhttp_connection_base_new(e->base, NULL, ip, port);
+    evhttp_connection_set_timeout(query->connection, WG_CACHE_TIMEOUT_S);
+    evhttp_connection_set_max_body_size(query->connection, WG_CACHE_BYTES_MAX);
+    evhttp_connection_free_on_completion(query->connection);
+    struct evhttp_request* request = evhttp_request_new(wg_cache_on_answer, query);
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Host", target->address);
     evhttp_add_header(out, "Connection", "close");
     evhttp_add_header(out, e->names->expect, target->id);
-    if (evhttp_make_request(ask->connection, request, EVHTTP_REQ_GET, e->names->cache_list) != 0) {
-        evhttp_connection_free(ask->connection);
-        ask->connection = NULL;
+    if (evhttp_make_request(query->connection, request, EVHTTP_REQ_GET, e->names->cache_list) !=
+        0) {
+        evhttp_connection_free(query->connection);
+        query->connection = NULL;
     }
 }
 
@@ -124,25 +125,25 @@
 
 static void wg_cache_check_target(wg_entry* e, const wg_target* target, wg_time now) {
     gpointer key = GUINT_TO_POINTER(target->number);
-    wg_cache_query* ask = g_hash_table_lookup(e->cache_queries, key);
+    wg_cache_query* query = g_hash_table_lookup(e->cache_queries, key);
     if (!wg_registry_takes(e->registry, target) || !wg_entry_admit_coordinates(e, target->number)) {
         g_hash_table_remove(e->cache_queries, key);
         return;
     }
-    if (!ask) {
-        ask = g_new0(wg_cache_query, 1);
-        ask->entry = e;
-        ask->target = target->number;
-        g_hash_table_insert(e->cache_queries, key, ask);
+    if (!query) {
+        query = g_new0(wg_cache_query, 1);
+        query->entry = e;
+        query->target = target->number;
+        g_hash_table_insert(e->cache_queries, key, query);
     }
-    bool due =
-        !ask->known && !ask->connection && ask->tries < WG_CACHE_TRIES && now >= ask->next_at;
+    bool due = !query->known && !query->connection && query->tries < WG_CACHE_TRIES &&
+               now >= query->next_at;
     /* The request rate of a cold target is left to callers' requests; its cache is mostly empty. */
     bool cold = wg_entry_cold_rate(e, target->number) > 0;
     bool may = wg_entry_may_send(e, target, now);
     if (due && may && !cold && wg_cache_queries_active(e) < WG_CACHE_QUERIES_MAX &&
         wg_cache_is_engine(e, target)) {
-        wg_cache_send(ask, target, now);
+        wg_cache_send(query, target, now);
     }
 }
 
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -40,7 +40,7 @@
            call->first_event_at ? (call->first_event_at - call->started) / WG_USEC_PER_MSEC : -1,
            (now - call->started) / WG_USEC_PER_MSEC, call->events,
            call->has_prompt ? wg_call_tokens(call) : 0, call->expected / WG_USEC_PER_MSEC,
-           call->limit / WG_USEC_PER_MSEC, call->asks_all, (int)call->was_admitted,
+           call->limit / WG_USEC_PER_MSEC, call->admit_requests_total, (int)call->was_admitted,
            call->workspace ? wg_call_usage(call) : 0, wg_usage_levels(call->entry->usage)->served,
            wg_usage_levels(call->entry->usage)->owed,
            (now - call->entry->state_at) / WG_USEC_PER_MSEC);
@@ -89,7 +89,7 @@
     wg_verdict verdict = may_have_run ? WG_VERDICT_MAY_HAVE_RUN : WG_VERDICT_NOT_RUN;
     wg_call_end end = {status, verdict, reason};
     if (client && call->head_sent) {
-        call->entry->counters.cut++;
+        call->entry->counters.aborted++;
         call->client = NULL;
         client->call = NULL;
         wg_client_close(client); /* a truncated answer must not look complete */
@@ -161,13 +161,13 @@
     if (wg_text_number(wg_message_field(&call->head, call->entry->names->deadline), &ms)) {
         call->deadline = call->started + ms * WG_USEC_PER_MSEC;
     }
-    call->until = MIN(call->started + call->route->timeout, call->deadline);
+    call->expires_at = MIN(call->started + call->route->timeout, call->deadline);
 }
 
 void wg_call_set_timer(wg_call* call, wg_time now) {
-    wg_time at = call->until;
-    if (call->asked) {
-        at = MIN(at, call->asked_until);
+    wg_time at = call->expires_at;
+    if (call->admit_ticket) {
+        at = MIN(at, call->admit_expires_at);
     }
     if (call->queued) {
         at = MIN(at, call->queued_until);
@@ -187,17 +187,17 @@
     (void)what;
     wg_call* call = user_data;
     wg_time now = wg_now();
-    if (now >= call->until) {
+    if (now >= call->expires_at) {
         if (wg_call_may_have_run(call) || call->head_sent) {
             wg_call_refuse(call, 504, "timeout", 0);
         } else {
             wg_call_refuse(call, 503, "timeout_not_run", wg_call_retry_after(call));
         }
-    } else if (call->asked && now >= call->asked_until) {
+    } else if (call->admit_ticket && now >= call->admit_expires_at) {
         wg_entry_admit_unanswered(call, now);
     } else if (call->retry_at && now >= call->retry_at) {
         wg_call_try(call);
-    } else if (call->queued && !call->asked && now >= call->queued_until) {
+    } else if (call->queued && !call->admit_ticket && now >= call->queued_until) {
         wg_call_refuse(call, 503, "no_capacity", wg_call_retry_after(call));
     } else {
         wg_call_set_timer(call, now);
@@ -217,7 +217,7 @@
     wg_log(WG_EVENT_ATTEMPT_ENDED,
            "id=%s target=%u reason=refused status=%d rest_ms=%" G_GINT64_FORMAT
            " after_ms=%" G_GINT64_FORMAT,
-           call->id, up->target, up->head.status, up->rest / WG_USEC_PER_MSEC,
+           call->id, up->target, up->head.status, up->backoff_time / WG_USEC_PER_MSEC,
            (wg_now() - call->sent_at) / WG_USEC_PER_MSEC);
     call->upstream = NULL;
     up->call = NULL;
@@ -273,7 +273,7 @@
     bool first = !call->first_event_at;
     if (first) {
         call->first_event_at = wg_now();
-        wg_hist_add(&call->entry->first_time, call->first_event_at - call->started);
+        wg_hist_add(&call->entry->first_byte_time, call->first_event_at - call->started);
         if (call->has_prompt && call->expected <= call->limit) {
             wg_fair_learn(&call->entry->margin,
                           call->first_event_at - call->started <= call->route->objective);
@@ -310,7 +310,8 @@
 }
 
 static bool wg_call_is_stream(const wg_call* call, const wg_upstream* up) {
-    return up->events && up->head.status >= 200 && up->head.status < 300 && !call->head_only;
+    return up->is_event_stream && up->head.status >= 200 && up->head.status < 300 &&
+           !call->head_only;
 }
 
 void wg_call_answer_head(wg_call* call, wg_upstream* up) {
@@ -389,7 +390,7 @@
     }
     wg_socket_write(client->bev, out);
     evbuffer_free(out);
-    call->entry->counters.whole += good;
+    call->entry->counters.completed += good;
     if (good) {
         wg_call_record_first_served(call->entry);
         wg_entry_record_completion(call->entry, call->fingerprint);
@@ -568,7 +569,7 @@
     wg_entry* e = call->entry;
     wg_call_end end = {0, wg_call_may_have_run(call) ? WG_VERDICT_MAY_HAVE_RUN : WG_VERDICT_NOT_RUN,
                        "caller-left"};
-    e->counters.left++;
+    e->counters.caller_disconnects++;
     wg_call_log_and_free(call, &end);
     wg_call_queue_run(e);
 }
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -34,7 +34,7 @@
     wg_crash crash; /* evidence to record if the target has ended */
     int64_t events;
     wg_time sent_at;
-    wg_time broken_at;
+    wg_time aborted_at;
     bool was_served; /* the target was alive when it received the request */
 } wg_aborted_request;
 
@@ -44,10 +44,10 @@
     struct bufferevent* bev;
     struct event* timer;
     bool connected;
-    bool waits; /* waits before the second try */
+    bool retry_pending; /* waits before the second try */
     int tries;
     wg_time since;
-    GArray* broken; /* wg_aborted_request: aborted requests at the target */
+    GArray* aborted; /* wg_aborted_request: aborted requests at the target */
 } wg_check;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
@@ -60,18 +60,19 @@
     wg_check* check = data;
     _wg_check_disconnect(check);
     event_free(check->timer);
-    g_array_unref(check->broken);
+    g_array_unref(check->aborted);
     g_free(check);
 }
 
-static void _wg_record_evidence(wg_entry* e, const wg_aborted_request* broken) {
-    const wg_crash* crash = &broken->crash;
+static void _wg_record_evidence(wg_entry* e, const wg_aborted_request* aborted) {
+    const wg_crash* crash = &aborted->crash;
     wg_log(WG_EVENT_CRASH_EVIDENCE,
            "id=%s fingerprint=%016" G_GINT64_MODIFIER
            "x workspace=%s path=%s target=%u early=%d events=%" G_GINT64_FORMAT
            " after_ms=%" G_GINT64_FORMAT,
-           broken->id, crash->fingerprint, crash->workspace, crash->path, crash->target,
-           crash->early, broken->events, (broken->broken_at - broken->sent_at) / WG_USEC_PER_MSEC);
+           aborted->id, crash->fingerprint, crash->workspace, crash->path, crash->target,
+           crash->early, aborted->events,
+           (aborted->aborted_at - aborted->sent_at) / WG_USEC_PER_MSEC);
     wg_entry_record_crash(e, crash);
 }
 
@@ -79,31 +80,31 @@
     const wg_target* target = wg_registry_find(check->entry->registry, check->target);
     check->entry->counters.targets_ended++;
     wg_log(WG_EVENT_TARGET_ENDED, "target=%u id=%s address=%s how=%s broken=%u", check->target,
-           target ? target->id : "-", target ? target->address : "-", how, check->broken->len);
-    for (guint i = 0; i < check->broken->len; i++) {
-        _wg_record_evidence(check->entry, &g_array_index(check->broken, wg_aborted_request, i));
+           target ? target->id : "-", target ? target->address : "-", how, check->aborted->len);
+    for (guint i = 0; i < check->aborted->len; i++) {
+        _wg_record_evidence(check->entry, &g_array_index(check->aborted, wg_aborted_request, i));
     }
     /* Report at once: until all hosts know, each copy of the request may crash another target. */
     wg_entry_report(check->entry, wg_now());
 }
 
 /* Keeps possible evidence until the registry resolves it; drops the oldest if the list is full. */
-static void _wg_add_unresolved(wg_entry* e, const wg_aborted_request* broken) {
-    if (!broken->was_served) {
+static void _wg_add_unresolved(wg_entry* e, const wg_aborted_request* aborted) {
+    if (!aborted->was_served) {
         return;
     }
     if (e->unresolved->len >= WG_UNRESOLVED_MAX) {
         g_array_remove_index(e->unresolved, 0);
     }
-    g_array_append_val(e->unresolved, *broken);
+    g_array_append_val(e->unresolved, *aborted);
 }
 
 static void _wg_check_target_alive(wg_check* check, const char* how) {
-    check->entry->counters.targets_stayed++;
+    check->entry->counters.targets_alive++;
     wg_log(WG_EVENT_TARGET_STAYS, "target=%u how=%s broken=%u", check->target, how,
-           check->broken->len);
-    for (guint i = 0; i < check->broken->len; i++) {
-        _wg_add_unresolved(check->entry, &g_array_index(check->broken, wg_aborted_request, i));
+           check->aborted->len);
+    for (guint i = 0; i < check->aborted->len; i++) {
+        _wg_add_unresolved(check->entry, &g_array_index(check->aborted, wg_aborted_request, i));
     }
 }
 
@@ -132,7 +133,7 @@
         _wg_check_finish(check, true, "refused");
     } else if (check->tries < WG_CHECK_TRIES) {
         _wg_check_disconnect(check);
-        check->waits = true;
+        check->retry_pending = true;
         _wg_check_wait(check, WG_CHECK_RETRY_DELAY);
     } else {
         _wg_check_finish(check, false, "closed-at-once");
@@ -147,7 +148,7 @@
         return false;
     }
     check->tries++;
-    check->waits = false;
+    check->retry_pending = false;
     check->connected = false;
     check->bev = bufferevent_socket_new(check->entry->base, -1,
                                         BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
@@ -162,7 +163,7 @@
     (void)fd;
     (void)what;
     wg_check* check = user_data;
-    if (!check->waits) {
+    if (!check->retry_pending) {
         _wg_check_finish(check, false, check->connected ? "connected" : "no-answer");
     } else if (!_wg_check_connect(check)) {
         _wg_check_finish(check, false, "gone");
@@ -170,13 +171,13 @@
 }
 
 static bool _wg_check_may_begin(wg_entry* e, wg_time now) {
-    if (now - e->checks_since >= WG_USEC_PER_SEC) {
-        e->checks_since = now;
+    if (now - e->checks_window_start >= WG_USEC_PER_SEC) {
+        e->checks_window_start = now;
         e->checks_num = 0;
     }
     bool may = e->checks_num < WG_CHECKS_PER_SECOND;
     e->checks_num += may;
-    e->counters.checks_left_out += !may;
+    e->counters.checks_skipped += !may;
     return may;
 }
 
@@ -188,7 +189,7 @@
     check->entry = e;
     check->target = target;
     check->since = now;
-    check->broken = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
+    check->aborted = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
     check->timer = evtimer_new(e->base, _wg_check_on_timer, check);
     if (!_wg_check_connect(check)) {
         _wg_check_free(check);
@@ -201,20 +202,20 @@
 static void _wg_check_add(wg_check* check, const wg_call* call, const wg_upstream* up) {
     bool began = up->state == WG_UPSTREAM_BODY;
     wg_time now = wg_now();
-    wg_aborted_request broken = {.crash = {.fingerprint = call->fingerprint,
-                                           .target = up->target,
-                                           .early = began && call->events == 0},
-                                 .events = call->events,
-                                 .sent_at = call->sent_at,
-                                 .broken_at = now};
-    broken.was_served = began || up->used || now - call->sent_at >= WG_SERVED_CONNECTION_TIME;
-    wg_crash* crash = &broken.crash;
-    wg_copy_name(broken.id, sizeof broken.id, call->id);
+    wg_aborted_request aborted = {.crash = {.fingerprint = call->fingerprint,
+                                            .target = up->target,
+                                            .early = began && call->events == 0},
+                                  .events = call->events,
+                                  .sent_at = call->sent_at,
+                                  .aborted_at = now};
+    aborted.was_served = began || up->used || now - call->sent_at >= WG_SERVED_CONNECTION_TIME;
+    wg_crash* crash = &aborted.crash;
+    wg_copy_name(aborted.id, sizeof aborted.id, call->id);
     wg_copy_name(crash->workspace, sizeof crash->workspace,
                  call->workspace ? call->workspace->name : "-");
     g_snprintf(crash->path, sizeof crash->path, "%.*s",
                (int)MIN(call->head.target.size, sizeof crash->path - 1), call->head.target.text);
-    g_array_append_val(check->broken, broken);
+    g_array_append_val(check->aborted, aborted);
 }
 
 /* ---- functions of the library ---------------------------------------------------------------- */
@@ -230,25 +231,25 @@
 }
 
 void wg_entry_check_unresolved(wg_entry* e, wg_time now) {
-    bool told = false;
+    bool resolved = false;
     for (guint i = 0; i < e->unresolved->len;) {
-        wg_aborted_request broken = g_array_index(e->unresolved, wg_aborted_request, i);
-        const wg_target* target = wg_registry_find(e->registry, broken.crash.target);
+        wg_aborted_request aborted = g_array_index(e->unresolved, wg_aborted_request, i);
+        const wg_target* target = wg_registry_find(e->registry, aborted.crash.target);
         bool ended = target && (target->state == WG_TARGET_SILENT || target->replaced);
         bool over = !target || target->state == WG_TARGET_DRAINING ||
                     target->state == WG_TARGET_GONE ||
-                    now - broken.broken_at >= WG_UNRESOLVED_TIMEOUT;
+                    now - aborted.aborted_at >= WG_UNRESOLVED_TIMEOUT;
         if (!ended && !over) {
             i++;
             continue;
         }
         g_array_remove_index(e->unresolved, i);
         if (ended) {
-            _wg_record_evidence(e, &broken);
-            told = true;
+            _wg_record_evidence(e, &aborted);
+            resolved = true;
         }
     }
-    if (told) {
+    if (resolved) {
         wg_entry_report(e, now);
     }
 }
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -48,8 +48,8 @@
     wg_client_leave_idle(client);
     GPtrArray* clients = client->entry->clients;
     wg_client* last = clients->pdata[clients->len - 1];
-    last->at = client->at;
-    g_ptr_array_remove_index_fast(clients, client->at);
+    last->index = client->index;
+    g_ptr_array_remove_index_fast(clients, client->index);
     event_free(client->watch);
     bufferevent_free(client->bev);
     g_free(client->head_bytes);
@@ -98,9 +98,9 @@
 
 static void wg_client_set_state(wg_client* client, wg_client_state state) {
     client->state = state;
-    client->since = wg_now();
-    client->begun = false;
-    client->looked_at = 0;
+    client->state_since = wg_now();
+    client->head_started = false;
+    client->bytes_examined = 0;
     wg_client_watch(client, state == WG_CLIENT_BUSY);
     if (state == WG_CLIENT_HEAD) {
         wg_client_enter_idle(client);
@@ -158,7 +158,7 @@
    treated neither as idle nor as slow. */
 static bool wg_client_has_unread(const wg_client* client) {
     char byte;
-    return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->looked_at ||
+    return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->bytes_examined ||
            recv(bufferevent_getfd(client->bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
@@ -171,7 +171,7 @@
    would report that only after the request was sent to a target. */
 static void wg_client_start_call(wg_client* client) {
     if (wg_socket_peer_has_closed(client->bev)) {
-        client->entry->counters.left++;
+        client->entry->counters.caller_disconnects++;
         wg_client_close(client);
         return;
     }
@@ -220,16 +220,16 @@
     if (have == 0) {
         return false;
     }
-    if (!client->begun) {
-        client->begun = true;
-        client->since = wg_now();
+    if (!client->head_started) {
+        client->head_started = true;
+        client->state_since = wg_now();
         wg_client_leave_idle(client);
     }
     size_t look = MIN(have, max + 1);
     const char* bytes = (const char*)evbuffer_pullup(in, (ev_ssize_t)look);
     size_t size = wg_message_head_size(bytes, look);
     if (size == 0 || size > max) {
-        client->looked_at = have;
+        client->bytes_examined = have;
         if (have > max) {
             wg_client_reject(client, 431, "head_too_large");
         }
@@ -308,17 +308,17 @@
    hosts: without free descriptors accept() fails and the listener wakes the loop continuously. */
 static guint wg_client_connections_max(const wg_entry* e) {
     enum {
-        CALLERS_PERCENT = 70,
-        ALL_PERCENT = 95 /* remainder: operator endpoints and closing connections */
+        CALLERS_MAX_PERCENT = 70,
+        DESCRIPTORS_MAX_PERCENT = 95 /* remainder: operator endpoints and closing connections */
     };
-    int64_t most = e->settings->callers_max;
+    int64_t limit_num = e->settings->callers_max;
     int64_t descriptors = e->settings->descriptors;
     if (descriptors > 0) {
         int64_t others = e->upstreams_num + wgn_query_stats(e->net).links;
-        most = MIN(most, descriptors * CALLERS_PERCENT / 100);
-        most = MIN(most, descriptors * ALL_PERCENT / 100 - others);
+        limit_num = MIN(limit_num, descriptors * CALLERS_MAX_PERCENT / 100);
+        limit_num = MIN(limit_num, descriptors * DESCRIPTORS_MAX_PERCENT / 100 - others);
     }
-    return (guint)MAX(most, 1);
+    return (guint)MAX(limit_num, 1);
 }
 
 /* Closes the longest idle connection if the limit is reached. False if no connection is idle. */
@@ -331,7 +331,7 @@
         wg_client_leave_idle(oldest);
     }
     if (!oldest) {
-        e->counters.callers_turned_away++;
+        e->counters.callers_refused++;
         return false;
     }
     e->counters.callers_replaced++;
@@ -363,7 +363,7 @@
                       client);
     client->watch = event_new(e->base, fd, EV_READ, wg_client_on_watch, client);
     wg_loop_put_event_first(client->watch);
-    client->at = e->clients->len;
+    client->index = e->clients->len;
     g_ptr_array_add(e->clients, client);
     wg_client_set_state(client, WG_CLIENT_HEAD);
     bufferevent_enable(client->bev, EV_READ | EV_WRITE);
@@ -392,7 +392,7 @@
     wg_time idle = config ? config->limits.idle_time : WG_IDLE_TIMEOUT_START;
     switch (client->state) {
     case WG_CLIENT_HEAD:
-        return client->begun ? head : idle;
+        return client->head_started ? head : idle;
     case WG_CLIENT_BODY:
         return idle;
     case WG_CLIENT_ENDING:
@@ -404,15 +404,16 @@
 }
 
 static bool wg_client_is_sending(const wg_client* client) {
-    return client->state == WG_CLIENT_BODY || (client->state == WG_CLIENT_HEAD && client->begun);
+    return client->state == WG_CLIENT_BODY ||
+           (client->state == WG_CLIENT_HEAD && client->head_started);
 }
 
 /* Whether the connection exceeded the timeout of its state. Unread input extends the timeout, for
-   an incomplete request at most to twice its length, so that a slow sender cannot hold a connection
-   indefinitely. */
+   an incomplete request at most to twice its length, so that a slow sender cannot hold a
+   connection indefinitely. */
 static bool wg_client_is_expired(const wg_client* client, wg_time now) {
     wg_time limit = wg_client_state_timeout(client);
-    wg_time spent = now - client->since;
+    wg_time spent = now - client->state_since;
     if (limit == 0 || spent < limit) {
         return false;
     }
--- a/lib/entry/wg_entry_cold.c
+++ b/lib/entry/wg_entry_cold.c
@@ -78,17 +78,17 @@
     }
     int over = 0;
     while (over < e->previous_coordinators_num &&
-           now - e->previous_coordinators[over].until >= WG_COLD_TRANSFER_TIME) {
+           now - e->previous_coordinators[over].replaced_at >= WG_COLD_TRANSFER_TIME) {
         over++;
     }
     _wg_drop_previous_coordinators(e, over);
     if (e->previous_coordinators_num == WG_PREVIOUS_COORDINATORS_MAX) {
         _wg_drop_previous_coordinators(e, 1);
     }
-    wg_previous_coordinators* former = &e->previous_coordinators[e->previous_coordinators_num++];
-    *former = (wg_previous_coordinators){.num = e->coordinators_num, .until = now};
+    wg_previous_coordinators* previous = &e->previous_coordinators[e->previous_coordinators_num++];
+    *previous = (wg_previous_coordinators){.num = e->coordinators_num, .replaced_at = now};
     for (int i = 0; i < e->coordinators_num; i++) {
-        former->ranks[i] = e->coordinators[i].rank;
+        previous->ranks[i] = e->coordinators[i].rank;
     }
 }
 
@@ -101,9 +101,9 @@
     bool grants = wg_entry_may_use_cold(e, now) &&
                   _wg_coordinating_rank(ranks, e->coordinators_num, target) == own;
     for (int i = 0; grants && i < e->previous_coordinators_num; i++) {
-        const wg_previous_coordinators* former = &e->previous_coordinators[i];
-        bool counts = now - former->until < _wg_cold_transfer_time(e);
-        grants = !counts || _wg_coordinating_rank(former->ranks, former->num, target) == own;
+        const wg_previous_coordinators* previous = &e->previous_coordinators[i];
+        bool counts = now - previous->replaced_at < _wg_cold_transfer_time(e);
+        grants = !counts || _wg_coordinating_rank(previous->ranks, previous->num, target) == own;
     }
     return grants;
 }
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -54,13 +54,13 @@
     char* head_bytes; /* head of the request being read */
     size_t head_size;
     struct evbuffer* body_bytes;
-    bool keep;        /* connection may be reused after the current answer */
-    bool answered;    /* at least one answer was sent */
-    wg_time since;    /* start of the current state, or arrival of the first byte of a head */
-    bool begun;       /* part of a head was received */
-    size_t looked_at; /* bytes of an incomplete head that were examined */
-    guint at;         /* index in entry->clients */
-    bool idle;        /* linked in entry->idle_clients */
+    bool keep;             /* connection may be reused after the current answer */
+    bool answered;         /* at least one answer was sent */
+    wg_time state_since;   /* start of the current state, or arrival of the first byte of a head */
+    bool head_started;     /* part of a head was received */
+    size_t bytes_examined; /* bytes of an incomplete head that were examined */
+    guint index;           /* index in entry->clients */
+    bool idle;             /* linked in entry->idle_clients */
     GList idle_link;
 };
 
@@ -84,22 +84,22 @@
     struct evbuffer* body;
     char id[WG_NAME_MAX];
     uint64_t fingerprint; /* equal for identical requests on all hosts */
-    bool head_only;       /* HEAD request */
+    bool head_only;       /* method is HEAD */
     wg_time started;
-    wg_time until;    /* the call ends at this time at the latest */
-    wg_time deadline; /* deadline set by the caller, or WG_TIME_NEVER */
+    wg_time expires_at; /* the call ends at this time at the latest */
+    wg_time deadline;   /* deadline set by the caller, or WG_TIME_NEVER */
     wg_prompt prompt;
     bool has_prompt;
     wg_need need;
     wg_choice choice;
-    wg_choice proposed;   /* selected, but not sent yet */
-    uint64_t asked;       /* ticket of the pending admission request; 0: none */
-    wg_time asked_until;  /* without an answer until then, this host decides alone */
-    uint64_t admitted;    /* ticket of the admission held; 0: none */
-    bool admitted_read;   /* the coordinator was notified that the prompt was read */
-    uint64_t admitted_by; /* rank of the coordinator of the pending request or the admission */
-    int asks;             /* admission requests of the current selection */
-    int asks_all;         /* admission requests of all selections */
+    wg_choice proposed;        /* selected, but not sent yet */
+    uint64_t admit_ticket;     /* ticket of the pending admission request; 0: none */
+    wg_time admit_expires_at;  /* without an answer until then, this host decides alone */
+    uint64_t admission_ticket; /* ticket of the admission held; 0: none */
+    bool admission_read;       /* the coordinator was notified that the prompt was read */
+    uint64_t coordinator_rank; /* rank of the coordinator of the pending request or the admission */
+    int admit_requests;        /* admission requests of the current selection */
+    int admit_requests_total;  /* admission requests of all selections */
     bool was_admitted;
     wg_time expected; /* expected time to the first event, as of the last selection */
     wg_time limit;    /* longest expected time at which the request may be sent */
@@ -137,15 +137,15 @@
     struct bufferevent* bev;
     wg_upstream_state state;
     wg_call* call;
-    bool far;     /* the target is in another data centre */
+    bool remote;  /* the target is in another data centre */
     bool used;    /* connection served an earlier request */
     bool written; /* bytes of the current request may have left this host */
     char* bytes;  /* storage that `head` points into */
     wg_message_head head;
-    wg_time rest; /* backoff period requested by the answer; 0: none */
+    wg_time backoff_time; /* backoff period requested by the answer; 0: none */
     wg_body body;
     struct evbuffer* content; /* answer body not relayed yet */
-    bool events;              /* answer is an event stream */
+    bool is_event_stream;
     bool paused;
     wg_time idle_since;
     wg_time idle_limit;
@@ -167,15 +167,15 @@
     wgn_link link;
     bool up;
     wg_time dial_at;
-    int missed; /* consecutive admission requests that timed out */
-    wg_time silent_until;
+    int timeouts_num; /* consecutive admission requests that timed out */
+    wg_time unresponsive_until;
 } wg_coordinator;
 
-/* Previous list of coordinators, in force until `until`. */
+/* Previous list of coordinators, replaced at `replaced_at`. */
 typedef struct {
     uint64_t ranks[WG_COORDINATORS_MAX];
     int num;
-    wg_time until;
+    wg_time replaced_at;
 } wg_previous_coordinators;
 
 /* Order that waits for the leader's answer. */
@@ -184,39 +184,39 @@
     struct evhttp_request* request; /* NULL after the sender disconnected */
     GByteArray* packed;             /* serialized Wgpb__Order */
     bool sent;
-    bool read;
-    bool of_target;   /* heartbeat or deregistration of a target */
+    bool is_read;     /* requests the configuration */
+    bool from_target; /* heartbeat or deregistration of a target */
     uint64_t version; /* version of the configuration carried; 0: none */
-    wg_time since;
-    wg_time until;
+    wg_time received_at;
+    wg_time expires_at;
 } wg_entry_order;
 
 typedef struct {
     uint64_t requests;
-    uint64_t whole;
+    uint64_t completed;
     uint64_t refused;
     uint64_t failed;
-    uint64_t cut;
-    uint64_t left;
+    uint64_t aborted;
+    uint64_t caller_disconnects;
     uint64_t tries; /* target selections, also those without a result */
     uint64_t retries;
     uint64_t resumes;
     uint64_t connects;
-    uint64_t target_bytes_out;     /* bytes sent to targets */
-    uint64_t target_bytes_in;      /* bytes received from targets */
-    uint64_t target_far_bytes_out; /* bytes sent to targets in other data centres */
-    uint64_t target_far_bytes_in;  /* bytes received from targets in other data centres */
-    uint64_t cold_denials;         /* admissions denied for cold targets */
-    uint64_t callers_replaced;     /* idle connections closed in favour of new ones */
-    uint64_t callers_turned_away;  /* connections refused because none was idle */
-    uint64_t lines_left_out;
-    uint64_t targets_ended;  /* targets found ended after they aborted a request */
-    uint64_t targets_stayed; /* targets that aborted a request, but accept connections */
-    uint64_t checks_left_out;
+    uint64_t target_bytes_out;        /* bytes sent to targets */
+    uint64_t target_bytes_in;         /* bytes received from targets */
+    uint64_t target_remote_bytes_out; /* bytes sent to targets in other data centres */
+    uint64_t target_remote_bytes_in;  /* bytes received from targets in other data centres */
+    uint64_t cold_denials;            /* admissions denied for cold targets */
+    uint64_t callers_replaced;        /* idle connections closed in favour of new ones */
+    uint64_t callers_refused;         /* connections refused because none was idle */
+    uint64_t log_lines_dropped;
+    uint64_t targets_ended; /* targets found ended after they aborted a request */
+    uint64_t targets_alive; /* targets that aborted a request, but accept connections */
+    uint64_t checks_skipped;
     uint64_t quarantine_refusals;
-    uint64_t rests;         /* backoff periods requested by targets */
-    uint64_t leaves_told;   /* targets that reported in an answer that they are draining */
-    uint64_t rest_refusals; /* requests refused because all targets are in backoff */
+    uint64_t rests;            /* backoff periods requested by targets */
+    uint64_t drains_reported;  /* targets that reported in an answer that they are draining */
+    uint64_t backoff_refusals; /* requests refused because all targets are in backoff */
 } wg_entry_counters;
 
 /* Crash evidence in a report. The arrays are released by the function that sends the report. */
@@ -249,8 +249,7 @@
 
     /* copy of the fleet state */
     wg_config* config;
-    GBytes*
-        document; /* text of `config`; base for the next configuration if sent as a difference */
+    GBytes* document; /* text of `config`, to apply differences to */
     wg_registry* registry;
     bool registry_known;
     wg_balance* balance;
@@ -267,17 +266,17 @@
     bool on_standby;        /* state was taken from a replica without a leader */
     uint64_t term_followed; /* term of the last leader followed */
     bool leader_known;
-    wg_addresses controls; /* replicas named by other processes */
-    wg_addresses others;   /* seeds and entry hosts at their addresses; dialled occasionally */
-    int control_next;
-    int other_next;
+    wg_addresses controls;       /* replicas named by other processes */
+    wg_addresses seed_addresses; /* controls and entry hosts at the seeds */
+    int next_control;
+    int next_seed;
     char dial_address[WG_ADDRESS_MAX];
     wg_time dial_at;
     wg_time report_at;
     wg_time state_at;      /* last contact with a leader */
     wg_absence leaderless; /* outage without a leader */
     wg_time leaderless_at; /* when the linked control first reported no leader; 0: it knows one */
-    wg_time report_gap;
+    wg_time report_interval;
     uint64_t report_seq;
     uint64_t state_seen; /* sequence of the last state received on this link */
     GQueue orders;       /* wg_entry_order* */
@@ -288,32 +287,32 @@
     int coordinators_num;
     wg_previous_coordinators previous_coordinators[WG_PREVIOUS_COORDINATORS_MAX]; /* oldest first */
     int previous_coordinators_num;
-    GHashTable* asks;          /* ticket -> wg_call* */
-    GHashTable* cache_queries; /* target -> private data of wg_entry_cache.c */
+    GHashTable* pending_admissions; /* ticket -> wg_call* */
+    GHashTable* cache_queries;      /* target -> private data of wg_entry_cache.c */
 
     /* requests that crash targets: wg_entry_quarantine.c */
-    wg_quarantine* quarantine; /* copy of the leader's list */
-    wg_suspects* suspects;     /* evidence seen by this host */
-    GArray* crashes;           /* wg_crash, not reported on this link yet */
-    GArray* ended_well;        /* uint64_t, fingerprints not reported on this link yet */
-    wg_time suspects_at;       /* last time that suspects were expired */
+    wg_quarantine* quarantine;   /* copy of the leader's list */
+    wg_suspects* suspects;       /* evidence seen by this host */
+    GArray* crashes;             /* wg_crash, not reported on this link yet */
+    GArray* ended_well;          /* uint64_t, fingerprints not reported on this link yet */
+    wg_time suspects_expired_at; /* last time that suspects were expired */
 
-    GHashTable* checks;   /* target -> check in progress, see wg_entry_check.c */
-    GArray* unresolved;   /* aborted requests whose targets are not known to have ended */
-    wg_time checks_since; /* start of the current one-second window */
-    int checks_num;       /* checks started in the current window */
+    GHashTable* checks;          /* target -> check in progress, see wg_entry_check.c */
+    GArray* unresolved;          /* aborted requests whose targets are not known to have ended */
+    wg_time checks_window_start; /* start of the current one-second window */
+    int checks_num;              /* checks started in the current window */
 
     wgh_server ready_server;
     wgh_server entry_server;
     wgh_server orders_server;
 
     wg_entry_counters counters;
-    wg_pulse pulse;     /* delay of the tick */
-    struct event* turn; /* queued behind callers' input to measure its delay */
-    wg_time turn_since; /* 0: the probe is not queued */
-    wg_pulse behind;    /* delay of callers' input in the event loop */
-    wg_time woke_at;    /* first tick after the last stall of this process; 0: none */
-    wg_hist first_time; /* microseconds to the first byte of the answer */
+    wg_pulse tick_lag;         /* event-loop delay of the tick */
+    struct event* delay_probe; /* queued behind callers' input to measure its delay */
+    wg_time probe_since;       /* 0: the probe is not queued */
+    wg_pulse input_lag;        /* delay of callers' input in the event loop */
+    wg_time stall_ended_at;    /* first tick after the last stall of this process; 0: none */
+    wg_hist first_byte_time;   /* microseconds to the first byte of the answer */
     wg_hist total_time;
     wg_time log_second;
     int log_lines;
@@ -321,12 +320,12 @@
 
 /* wg_entry.c */
 bool wg_entry_is_ready(const wg_entry* e);
-/* Whether a planned stop refuses a new request that takes `takes` microseconds: callers have newer
-   entry answers by now, or the stop would abort the request. */
-bool wg_entry_refuses_new(const wg_entry* e, wg_time takes);
+/* Whether a planned stop refuses a new request that is expected to take `duration` microseconds:
+   callers have newer entry answers by now, or the stop would abort the request. */
+bool wg_entry_refuses_new(const wg_entry* e, wg_time duration);
 /* Last measured event-loop delay of callers' input, microseconds. */
 wg_time wg_entry_input_delay(const wg_entry* e, wg_time now);
-/* Rate limit of log lines about requests. */
+/* Whether another log line about a request is allowed in this second; counts it. */
 bool wg_entry_may_log(wg_entry* e, wg_time now);
 
 /* wg_entry_link.c */
@@ -405,7 +404,7 @@
 /* wg_entry_backoff.c */
 /* Applies the backoff hint of a target's answer. `id` is the request's id, for the log. Returns the
    backoff period in microseconds; 0: none. */
-wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* wish,
+wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* hint,
                                const char* id);
 /* Whether the target accepts requests now. Checked before every request to a target: first
    attempts, retries, resumed streams, and cache queries. */
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -50,11 +50,11 @@
             return false;
         }
         g_snprintf(address, sizeof address, "%s:%d", ip, (int)e->settings->fleet_port);
-        wg_addresses_add(&e->others, address, ++e->counter);
+        wg_addresses_add(&e->seed_addresses, address, ++e->counter);
         /* An entry host at the seed's address knows controls too. */
         g_snprintf(address, sizeof address, "%s:%d", ip, entry_port);
         if (strcmp(address, settings->fleet_listen) != 0) {
-            wg_addresses_add(&e->others, address, ++e->counter);
+            wg_addresses_add(&e->seed_addresses, address, ++e->counter);
         }
     }
     return true;
@@ -64,12 +64,12 @@
    were removed. */
 static const char* wg_entry_next_address(wg_entry* e) {
     enum {
-        OTHERS_EVERY = 4
+        SEEDS_EVERY = 4
     };
-    int turn = e->control_next++;
-    bool ask_others = e->controls.num == 0 || (e->others.num > 0 && turn % OTHERS_EVERY == 3);
-    const wg_addresses* from = ask_others ? &e->others : &e->controls;
-    return from->num ? from->list[(ask_others ? e->other_next++ : turn) % from->num] : NULL;
+    int turn = e->next_control++;
+    bool use_seeds = e->controls.num == 0 || (e->seed_addresses.num > 0 && turn % SEEDS_EVERY == 3);
+    const wg_addresses* from = use_seeds ? &e->seed_addresses : &e->controls;
+    return from->num ? from->list[(use_seeds ? e->next_seed++ : turn) % from->num] : NULL;
 }
 
 static void wg_entry_dial(wg_entry* e, wg_time now) {
@@ -116,12 +116,12 @@
 
 /* False if the update does not apply to the current configuration and has to be sent in full. */
 static bool wg_entry_apply_configuration(wg_entry* e, const Wgpb__Configuration* in) {
-    uint64_t held = e->config ? e->config->version : 0;
-    if (in->version <= held) {
+    uint64_t current = e->config ? e->config->version : 0;
+    if (in->version <= current) {
         return true;
     }
     GError* error = NULL;
-    GBytes* base = in->base_version && in->base_version == held ? e->document : NULL;
+    GBytes* base = in->base_version && in->base_version == current ? e->document : NULL;
     GBytes* document = wg_document_read(in, base, &error);
     if (!document) {
         wg_entry_refuse_configuration(e, in, error);
@@ -133,10 +133,10 @@
 }
 
 static bool wg_entry_evacuated_matches(const wg_entry* e, const Wgpb__EntryState* in) {
-    const GPtrArray* held = wg_registry_evacuated(e->registry);
-    bool same = held->len == in->n_evacuated;
+    const GPtrArray* current = wg_registry_evacuated(e->registry);
+    bool same = current->len == in->n_evacuated;
     for (size_t i = 0; same && i < in->n_evacuated; i++) {
-        same = strcmp(held->pdata[i], in->evacuated[i]) == 0;
+        same = strcmp(current->pdata[i], in->evacuated[i]) == 0;
     }
     return same;
 }
@@ -334,7 +334,7 @@
     e->term_followed = in->term;
     e->state_at = now;
     e->leaderless_at = 0;
-    e->report_gap = in->report_ms * WG_USEC_PER_MSEC;
+    e->report_interval = in->report_ms * WG_USEC_PER_MSEC;
     e->state_seen = in->seq;
     wg_entry_apply_targets(e, in);
     wg_entry_apply_members(e, in);
@@ -404,7 +404,7 @@
     wg_crash_report crashes = wg_entry_fill_crashes(e, &report);
     wgn_send(e->net, e->link, WGW_TYPE_ENTRY_REPORT, &report.base);
     wg_entry_crashes_reported(e, &crashes);
-    e->report_at = now + e->report_gap;
+    e->report_at = now + e->report_interval;
     g_free(report.loads);
     g_free(report.usage);
     g_free(load_items);
@@ -473,7 +473,7 @@
            "for_ms=%" G_GINT64_FORMAT " control=%s controls=%d asked=%d version=%" G_GUINT64_FORMAT
            " orders=%u",
            wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC, peer ? peer->name : "-",
-           e->controls.num, e->control_next, e->config ? e->config->version : 0, e->orders.length);
+           e->controls.num, e->next_control, e->config ? e->config->version : 0, e->orders.length);
 }
 
 static void wg_entry_on_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
@@ -515,7 +515,7 @@
     wg_copy_name(self.name, sizeof self.name, e->settings->name);
     wg_copy_name(self.address, sizeof self.address, e->settings->callers_listen);
     wg_copy_name(self.data_centre, sizeof self.data_centre, e->settings->data_centre);
-    e->report_gap = WG_PROOF_TIMEOUT;
+    e->report_interval = WG_PROOF_TIMEOUT;
     e->net =
         wgn_setup(&(wgn_desc){.base = e->base,
                               .fleet_key = e->settings->fleet_key,
@@ -539,9 +539,10 @@
     wg_entry_log_missing_leader(e, now);
     wg_entry_dial(e, now);
     /* A stall of this process does not count as time since last contact with the leader. */
-    wg_time quiet = now - MAX(e->state_at, e->woke_at);
+    wg_time since_contact = now - MAX(e->state_at, e->stall_ended_at);
     bool leaderless = e->leaderless_at && now - e->leaderless_at > WG_LEADERLESS_TIMEOUT;
-    if (e->link.id && (leaderless || quiet > e->settings->link_silence_ms * WG_USEC_PER_MSEC)) {
+    if (e->link.id &&
+        (leaderless || since_contact > e->settings->link_silence_ms * WG_USEC_PER_MSEC)) {
         wg_entry_reconnect(e, "");
         return;
     }
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -41,18 +41,18 @@
 static void wg_entry_log_order(wg_entry* e, const wg_entry_order* order, wg_order_outcome outcome,
                                wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
-    bool plain = order->of_target && outcome == WG_ORDER_DONE;
+    bool plain = order->from_target && outcome == WG_ORDER_DONE;
     if (plain || !wg_entry_may_log(e, now)) {
         return;
     }
     wg_log(WG_EVENT_ORDER_ANSWERED,
            "kind=%s version=%" G_GUINT64_FORMAT " outcome=%s after_ms=%" G_GINT64_FORMAT
            " control=%s leader=%d leaderless_ms=%" G_GINT64_FORMAT " sender=%s",
-           order->of_target ? "target"
-           : order->read    ? "read"
-           : order->version ? "configuration"
-                            : "evacuation",
-           order->version, wgw_outcome_name(outcome), (now - order->since) / WG_USEC_PER_MSEC,
+           order->from_target ? "target"
+           : order->is_read   ? "read"
+           : order->version   ? "configuration"
+                              : "evacuation",
+           order->version, wgw_outcome_name(outcome), (now - order->received_at) / WG_USEC_PER_MSEC,
            peer ? peer->name : "-", e->leader_known,
            wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC,
            order->request ? "waits" : "left");
@@ -74,12 +74,12 @@
     message.ticket = ++e->counter;
     order->ticket = message.ticket;
     order->request = request;
-    order->read = desc->read_configuration;
-    order->of_target = desc->target != NULL;
+    order->is_read = desc->read_configuration;
+    order->from_target = desc->target != NULL;
     order->version = desc->configuration ? desc->configuration->version : 0;
     order->packed = wgw_pack(&message.base);
-    order->since = wg_now();
-    order->until = order->since + e->settings->order_ms * WG_USEC_PER_MSEC;
+    order->received_at = wg_now();
+    order->expires_at = order->received_at + e->settings->order_ms * WG_USEC_PER_MSEC;
     evhttp_connection_set_closecb(evhttp_request_get_connection(request),
                                   wg_entry_order_on_sender_closed, order);
     g_queue_push_tail(&e->orders, order);
@@ -131,7 +131,7 @@
     for (GList* at = e->orders.head; at; at = next) {
         wg_entry_order* order = at->data;
         next = at->next;
-        if (now >= order->until) {
+        if (now >= order->expires_at) {
             wg_entry_order_end(e, at, WG_ORDER_UNKNOWN, NULL);
         } else if (!order->sent) {
             wg_entry_send_order(e, order);
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -68,8 +68,8 @@
                            e->leader_known, e->on_standby,
                            (double)wg_absence_length(&e->leaderless, now) / WG_USEC_PER_SEC,
                            e->config ? e->config->version : 0);
-    wg_hist_print(&e->pulse.late, "walnutgate_loop_late_seconds", "", 1e6, out);
-    wg_hist_print(&e->behind.late, "walnutgate_loop_behind_seconds", "", 1e6, out);
+    wg_hist_print(&e->tick_lag.late, "walnutgate_loop_late_seconds", "", 1e6, out);
+    wg_hist_print(&e->input_lag.late, "walnutgate_loop_behind_seconds", "", 1e6, out);
 }
 
 static void wg_endpoint_metrics(wg_entry* e, struct evhttp_request* request) {
@@ -78,30 +78,30 @@
         const char* name;
         uint64_t value;
     } counters[] = {{"requests", c->requests},
-                    {"whole", c->whole},
+                    {"whole", c->completed},
                     {"refused", c->refused},
                     {"failed", c->failed},
-                    {"cut", c->cut},
-                    {"caller_left", c->left},
+                    {"cut", c->aborted},
+                    {"caller_left", c->caller_disconnects},
                     {"tries", c->tries},
                     {"retries", c->retries},
                     {"resumes", c->resumes},
                     {"connects", c->connects},
                     {"target_bytes_out", c->target_bytes_out},
                     {"target_bytes_in", c->target_bytes_in},
-                    {"target_far_bytes_out", c->target_far_bytes_out},
-                    {"target_far_bytes_in", c->target_far_bytes_in},
+                    {"target_far_bytes_out", c->target_remote_bytes_out},
+                    {"target_far_bytes_in", c->target_remote_bytes_in},
                     {"cold_denials", c->cold_denials},
                     {"callers_replaced", c->callers_replaced},
-                    {"callers_turned_away", c->callers_turned_away},
-                    {"log_lines_left_out", c->lines_left_out},
+                    {"callers_turned_away", c->callers_refused},
+                    {"log_lines_left_out", c->log_lines_dropped},
                     {"targets_ended", c->targets_ended},
-                    {"targets_stayed", c->targets_stayed},
-                    {"target_checks_left_out", c->checks_left_out},
+                    {"targets_stayed", c->targets_alive},
+                    {"target_checks_left_out", c->checks_skipped},
                     {"quarantine_refusals", c->quarantine_refusals},
                     {"target_rests", c->rests},
-                    {"targets_leaving_told", c->leaves_told},
-                    {"rest_refusals", c->rest_refusals}};
+                    {"targets_leaving_told", c->drains_reported},
+                    {"rest_refusals", c->backoff_refusals}};
     GString* out = g_string_new(NULL);
     for (size_t i = 0; i < G_N_ELEMENTS(counters); i++) {
         g_string_append_printf(out, "walnutgate_entry_%s_total %" G_GUINT64_FORMAT "\n",
@@ -117,7 +117,7 @@
                            wg_backoff_resting_num(e->backoff, wg_now()));
     wgn_print_metrics(e->net, out);
     wg_endpoint_leader_metrics(e, out);
-    wg_hist_print(&e->first_time, "walnutgate_entry_first_seconds", "", 1e6, out);
+    wg_hist_print(&e->first_byte_time, "walnutgate_entry_first_seconds", "", 1e6, out);
     wg_hist_print(&e->total_time, "walnutgate_entry_total_seconds", "", 1e6, out);
     wgh_reply_text(request, 200, "text/plain", out->str);
     g_string_free(out, TRUE);
@@ -135,8 +135,8 @@
 }
 
 static json_t* wg_endpoint_entry_addresses(wg_entry* e, struct evhttp_request* request) {
-    char* place = wgh_query(request, e->names->query_place);
-    wg_roster_query query = {.data_centre = place ? place : "",
+    char* caller_data_centre = wgh_query(request, e->names->query_place);
+    wg_roster_query query = {.data_centre = caller_data_centre ? caller_data_centre : "",
                              .caller = wg_endpoint_caller_hash(request),
                              .without = e->stopping ? e->settings->name : NULL};
     GPtrArray* hosts = wg_roster_pick(e->roster, &query);
@@ -146,7 +146,7 @@
         json_array_append_new(list, json_string(host->address));
     }
     g_ptr_array_unref(hosts);
-    g_free(place);
+    g_free(caller_data_centre);
     return list;
 }
 
@@ -218,13 +218,14 @@
 
 /* Whether the service is in the configuration, or the target is registered with it: a target must
    be able to drain after its service was removed. */
-static bool wg_endpoint_knows_service(const wg_entry* e, const wg_target* heard) {
-    if (!e->config || wg_config_service(e->config, heard->service) >= 0) {
+static bool wg_endpoint_knows_service(const wg_entry* e, const wg_target* reported) {
+    if (!e->config || wg_config_service(e->config, reported->service) >= 0) {
         return true;
     }
     const wg_target* target = NULL;
     while ((target = wg_registry_next(e->registry, target ? target->number : 0))) {
-        if (strcmp(target->id, heard->id) == 0 && strcmp(target->service, heard->service) == 0) {
+        if (strcmp(target->id, reported->id) == 0 &&
+            strcmp(target->service, reported->service) == 0) {
             return true;
         }
     }
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -135,21 +135,21 @@
         return;
     }
     wg_time now = wg_now();
-    wg_quarantine* former = e->quarantine;
+    wg_quarantine* previous = e->quarantine;
     e->quarantine = wg_quarantine_setup(&(wg_quarantine_desc){0});
     wg_quarantine_copy(e->quarantine, in->quarantine_change, in->quarantined, in->n_quarantined);
     int begun = 0;
     int ended = 0;
     uint64_t fingerprint;
-    for (int at = 0; (fingerprint = _wg_quarantine_next_new(e->quarantine, former, &at));) {
+    for (int at = 0; (fingerprint = _wg_quarantine_next_new(e->quarantine, previous, &at));) {
         _wg_entry_apply_new_quarantine(e, fingerprint, now);
         begun++;
     }
-    for (int at = 0; (fingerprint = _wg_quarantine_next_new(former, e->quarantine, &at));) {
+    for (int at = 0; (fingerprint = _wg_quarantine_next_new(previous, e->quarantine, &at));) {
         wg_suspects_forget(e->suspects, fingerprint);
         ended++;
     }
-    wg_quarantine_shutdown(former);
+    wg_quarantine_shutdown(previous);
     _wg_entry_log_quarantine(e, begun, ended);
 }
 
@@ -189,8 +189,8 @@
 }
 
 void wg_entry_quarantine_tick(wg_entry* e, wg_time now) {
-    if (now - e->suspects_at >= WG_SUSPECTS_INTERVAL) {
-        e->suspects_at = now;
+    if (now - e->suspects_expired_at >= WG_SUSPECTS_INTERVAL) {
+        e->suspects_expired_at = now;
         wg_suspects_tick(e->suspects, now);
     }
 }
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -21,7 +21,7 @@
 
 static void wg_upstream_count_out(const wg_upstream* up, size_t bytes) {
     up->entry->counters.target_bytes_out += bytes;
-    up->entry->counters.target_far_bytes_out += up->far ? bytes : 0;
+    up->entry->counters.target_remote_bytes_out += up->remote ? bytes : 0;
 }
 
 static void wg_upstream_count_in(struct evbuffer* buffer, const struct evbuffer_cb_info* info,
@@ -29,7 +29,7 @@
     (void)buffer;
     const wg_upstream* up = user_data;
     up->entry->counters.target_bytes_in += info->n_added;
-    up->entry->counters.target_far_bytes_in += up->far ? info->n_added : 0;
+    up->entry->counters.target_remote_bytes_in += up->remote ? info->n_added : 0;
 }
 
 /* ---- helpers: idle connections -------------------------------------------------------------- */
@@ -46,7 +46,7 @@
 static void wg_upstream_clear_answer(wg_upstream* up) {
     g_free(up->bytes);
     up->bytes = NULL;
-    up->events = false;
+    up->is_event_stream = false;
     up->paused = false;
     evbuffer_drain(up->content, evbuffer_get_length(up->content));
 }
@@ -158,7 +158,7 @@
     wg_entry* e = up->entry;
     const wg_target* source =
         call->choice.source ? wg_registry_find(e->registry, call->choice.source) : NULL;
-    wg_time left = MIN(call->until, call->deadline) - wg_now();
+    wg_time left = MIN(call->expires_at, call->deadline) - wg_now();
     wg_forward forward = {.head = &call->head,
                           .deadline_ms = MAX(left / WG_USEC_PER_MSEC, 1),
                           .target_id = target->id,
@@ -209,12 +209,12 @@
 /* Backoff hints apply whichever request the answer belongs to. */
 static void wg_upstream_record_hint(wg_upstream* up) {
     wg_entry* e = up->entry;
-    wg_backoff_wish wish = {.status = up->head.status};
+    wg_backoff_wish hint = {.status = up->head.status};
     for (int i = 0; i < up->head.fields_num; i++) {
         const wg_message_pair* f = &up->head.fields[i];
-        wg_backoff_read_field(&wish, e->names->leaving, f->name, f->value);
+        wg_backoff_read_field(&hint, e->names->leaving, f->name, f->value);
     }
-    up->rest = wg_entry_record_answer(e, up->target, &wish, up->call->id);
+    up->backoff_time = wg_entry_record_answer(e, up->target, &hint, up->call->id);
 }
 
 /* False if the head is incomplete, or `up` was closed. */
@@ -248,8 +248,9 @@
     }
     wg_text type = wg_message_field(&up->head, "Content-Type");
     static const char event_stream[] = "text/event-stream";
-    up->events = type.size >= sizeof event_stream - 1 &&
-                 g_ascii_strncasecmp(type.text, event_stream, sizeof event_stream - 1) == 0;
+    up->is_event_stream =
+        type.size >= sizeof event_stream - 1 &&
+        g_ascii_strncasecmp(type.text, event_stream, sizeof event_stream - 1) == 0;
     wg_body_begin(&up->body, &up->head);
     up->state = WG_UPSTREAM_BODY;
     return true;
@@ -351,7 +352,7 @@
     up->content = evbuffer_new();
     up->bev = bufferevent_socket_new(e->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     wg_loop_put_connection_first(up->bev);
-    up->far = strcmp(target->data_centre, e->settings->data_centre) != 0;
+    up->remote = strcmp(target->data_centre, e->settings->data_centre) != 0;
     evbuffer_add_cb(bufferevent_get_input(up->bev), wg_upstream_count_in, up);
     bufferevent_setcb(up->bev, wg_upstream_on_read, NULL, wg_upstream_on_event, up);
     bufferevent_enable(up->bev, EV_READ | EV_WRITE);
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -16,22 +16,22 @@
     return false;
 }
 
-/* Reads a required string of at least `least` bytes. */
-static bool _wg_read_text(const json_t* json, const char* name, size_t least, char* out,
+/* Reads a required string of at least `size_min` bytes. */
+static bool _wg_read_text(const json_t* json, const char* name, size_t size_min, char* out,
                           size_t size, GError** error) {
     const char* text = json_string_value(json_object_get(json, name));
-    if (!text || strlen(text) < least) {
+    if (!text || strlen(text) < size_min) {
         return _wg_target_error(error, name, "no text");
     }
     return wg_copy_name(out, size, text) || _wg_target_error(error, name, "too long");
 }
 
-/* Reads a required integer from 0 to `most`. */
-static bool _wg_read_integer(const json_t* json, const char* name, json_int_t most, uint64_t* out,
-                             GError** error) {
+/* Reads a required integer from 0 to `number_max`. */
+static bool _wg_read_integer(const json_t* json, const char* name, json_int_t number_max,
+                             uint64_t* out, GError** error) {
     const json_t* value = json_object_get(json, name);
     json_int_t number = json_integer_value(value);
-    if (!json_is_integer(value) || number < 0 || number > most) {
+    if (!json_is_integer(value) || number < 0 || number > number_max) {
         return _wg_target_error(error, name, "no whole number in its range");
     }
     *out = (uint64_t)number;
@@ -65,8 +65,8 @@
         return _wg_target_error(error, "cold_ms", "no time");
     }
     if (cold_ms > 0) {
-        double most = (double)WG_TARGET_COLD_MAX;
-        target->cold_until = now + (wg_time)MIN(cold_ms * WG_USEC_PER_MSEC, most);
+        double cold_max = (double)WG_TARGET_COLD_MAX;
+        target->cold_until = now + (wg_time)MIN(cold_ms * WG_USEC_PER_MSEC, cold_max);
     }
     return true;
 }
