--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -248,7 +248,7 @@
     bool elsewhere = leader_address[0] && !(peer && strcmp(peer->address, leader_address) == 0);
     if (e->leader_known) {
         wg_log(WG_EVENT_LEADER_LOST,
-               "control=%s leads no more, names=%s state_age_ms=%" G_GINT64_FORMAT
+               "control=%s is no longer the leader, names=%s state_age_ms=%" G_GINT64_FORMAT
                " version=%" G_GUINT64_FORMAT,
                peer ? peer->name : "-", leader_address[0] ? leader_address : "-",
                (now - e->state_at) / WG_USEC_PER_MSEC, e->config ? e->config->version : 0);
@@ -304,7 +304,7 @@
 static void wg_entry_leave_previous_leader(wg_entry* e, const Wgpb__EntryState* in) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     wg_log(WG_EVENT_LEADER_LOST,
-           "control=%s leads in a term that is over: term=%" G_GUINT64_FORMAT
+           "control=%s leads in an outdated term: term=%" G_GUINT64_FORMAT
            " followed=%" G_GUINT64_FORMAT,
            peer ? peer->name : "-", in->term, e->term_followed);
     wg_entry_reconnect(e, "");
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -272,7 +272,7 @@
                                  bool begins) {
     char* name = evhttp_uridecode(path, 0, NULL);
     if (!name || !name[0] || strlen(name) >= WG_NAME_MAX || strchr(name, '/')) {
-        wg_endpoint_error(request, 400, "bad_request", "that is not the name of a data centre");
+        wg_endpoint_error(request, 400, "bad_request", "invalid name of a data centre");
         free(name);
         return;
     }
@@ -307,7 +307,8 @@
                                           const char* text) {
     guint64 fingerprint = 0;
     if (!g_ascii_string_to_unsigned(text, 16, 1, G_MAXUINT64, &fingerprint, NULL)) {
-        wg_endpoint_error(request, 400, "bad_request", "that is not a fingerprint: 16 hex digits");
+        wg_endpoint_error(request, 400, "bad_request",
+                          "invalid fingerprint: expected 16 hexadecimal digits");
         return;
     }
     Wgpb__Quarantine quarantine = WGPB__QUARANTINE__INIT;
@@ -357,7 +358,7 @@
     } else if (get && strcmp(path, "/v1/state") == 0) {
         wgh_reply_json(request, 200, wg_entry_dump(e));
     } else {
-        wg_endpoint_error(request, 404, "not_found", "no such page");
+        wg_endpoint_error(request, 404, "not_found", "no such endpoint");
     }
 }
 
--- a/lib/entry/wg_forward.c
+++ b/lib/entry/wg_forward.c
@@ -10,8 +10,8 @@
     return false;
 }
 
-bool wg_forward_drops(const wg_entry_names* names, const wg_message_head* head, wg_text name,
-                      bool resumes) {
+bool wg_forward_removes_field(const wg_entry_names* names, const wg_message_head* head,
+                              wg_text name, bool resumes) {
     return wg_message_is_hop_field(head, name) || wg_text_is(name, names->key) ||
            wg_text_is(name, names->deadline) || wg_text_is(name, names->workspace) ||
            wg_text_is(name, names->expect) || wg_text_is(name, names->copy_from) ||
@@ -24,7 +24,7 @@
     bool resumes = f->last_event[0] != 0;
     for (int i = 0; i < head->fields_num; i++) {
         const wg_message_pair* pair = &head->fields[i];
-        if (!wg_forward_drops(names, head, pair->name, resumes)) {
+        if (!wg_forward_removes_field(names, head, pair->name, resumes)) {
             evbuffer_add_printf(out, "%.*s: %.*s\r\n", (int)pair->name.size, pair->name.text,
                                 (int)pair->value.size, pair->value.text);
         }
--- a/lib/entry/wg_forward.h
+++ b/lib/entry/wg_forward.h
@@ -30,7 +30,7 @@
 
 /* Whether a caller's field of this name is removed. `resumes`: a stream is resumed, so this host
    sets the id of the last event itself. */
-bool wg_forward_drops(const wg_entry_names* names, const wg_message_head* head, wg_text name,
-                      bool resumes);
+bool wg_forward_removes_field(const wg_entry_names* names, const wg_message_head* head,
+                              wg_text name, bool resumes);
 /* Appends the complete head, including the empty line. */
 void wg_forward_write(const wg_entry_names* names, const wg_forward* forward, struct evbuffer* out);
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -21,7 +21,7 @@
                           size_t size, GError** error) {
     const char* text = json_string_value(json_object_get(json, name));
     if (!text || strlen(text) < size_min) {
-        return _wg_target_error(error, name, "no text");
+        return _wg_target_error(error, name, "missing, empty or not a string");
     }
     return wg_copy_name(out, size, text) || _wg_target_error(error, name, "too long");
 }
@@ -32,7 +32,7 @@
     const json_t* value = json_object_get(json, name);
     json_int_t number = json_integer_value(value);
     if (!json_is_integer(value) || number < 0 || number > number_max) {
-        return _wg_target_error(error, name, "no whole number in its range");
+        return _wg_target_error(error, name, "not an integer in the allowed range");
     }
     *out = (uint64_t)number;
     return true;
@@ -62,7 +62,7 @@
     const json_t* value = json_object_get(json, "cold_ms");
     double cold_ms = json_number_value(value);
     if (value && (!json_is_number(value) || cold_ms < 0)) {
-        return _wg_target_error(error, "cold_ms", "no time");
+        return _wg_target_error(error, "cold_ms", "not a non-negative number");
     }
     if (cold_ms > 0) {
         double cold_max = (double)WG_TARGET_COLD_MAX;
