--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -241,7 +241,7 @@
 
     struct evconnlistener* listener;
     GPtrArray* clients;
-    GQueue idle_clients; /* wg_client in state HEAD; longest idle first */
+    GQueue idle_clients; /* wg_client waiting for a request; longest idle first */
     GHashTable* idle;    /* target -> GQueue of wg_upstream */
     GHashTable* queues;  /* name of a service -> GQueue of wg_call */
     int calls_num;
