--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -1,4 +1,4 @@
-/* wg_entry.c -- set-up, tick and planned stop; see wg_entry.h */
+/* wg_entry.c -- settings, setup, periodic tick and planned stop; see wg_entry.h */
 #include "wg_entry_internal.h"
 
 #include <string.h>
@@ -33,12 +33,10 @@
               "silence after which the link to a control is closed"),
     WG_NUMBER("timing", order_ms, "900", 50, 60000, "ms",
               "wait for the leader's answer to an order"),
-    /* An election (0.5 s) and the 1.5 s after which a new leader tells all hosts, with some room.
-     */
+    /* Covers an election and the time until a new leader has updated all hosts. */
     WG_NUMBER("timing", cold_settle_ms, "3000", 0, 60000, "ms",
               "after the start, before cold targets are sent anything or granted to others"),
-    /* The fleet has to serve again within 12 s of the end of a fault: no leader for longer than
-       that means that none will come by itself. */
+    /* Longer than the fleet needs to recover from a fault by itself. */
     WG_NUMBER("timing", standby_ms, "15000", 0, 3600000, "ms",
               "wait for a leader before a host serves by what a replica without one holds; 0: it "
               "never does"),
@@ -73,10 +71,10 @@
 
 enum {
     WG_TICK = 50 * WG_USEC_PER_MSEC,
-    WG_LOG_LINES_MAX = 200, /* about requests, in one second */
-    WG_LATE_CLOSE = 300 * WG_USEC_PER_MSEC,
-    WG_STOP_REFUSES = 2800 * WG_USEC_PER_MSEC,
-    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to end by itself before it is killed */
+    WG_LOG_LINES_MAX = 200, /* lines about requests, per second */
+    WG_STOP_CLOSE_DELAY = 300 * WG_USEC_PER_MSEC,
+    WG_STOP_REFUSE_AFTER = 2800 * WG_USEC_PER_MSEC,
+    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to exit before being killed */
 };
 
 /* ---- helpers -------------------------------------------------------------------------------- */
@@ -89,9 +87,10 @@
     return e->settings->grace_s * WG_USEC_PER_SEC - WG_STOP_MARGIN;
 }
 
-bool wg_entry_refuses_new(const wg_entry* e, wg_time takes) {
+bool wg_entry_refuses_new(const wg_entry* e, wg_time duration) {
     wg_time since = wg_now() - e->stop_at;
-    return e->stopping && (since > WG_STOP_REFUSES || since + takes > wg_entry_stop_time(e));
+    return e->stopping &&
+           (since > WG_STOP_REFUSE_AFTER || since + duration > wg_entry_stop_time(e));
 }
 
 bool wg_entry_may_log(wg_entry* e, wg_time now) {
@@ -103,11 +102,11 @@
         e->log_lines = 0;
     }
     bool may = ++e->log_lines <= WG_LOG_LINES_MAX;
-    e->counters.lines_left_out += !may;
+    e->counters.log_lines_dropped += !may;
     return may;
 }
 
-static void wg_entry_pass_retries(wg_entry* e) {
+static void wg_entry_advance_retries(wg_entry* e) {
     wg_retry_rules rules = {.percent = e->settings->retry_percent,
                             .slack = e->settings->retry_slack,
                             .window = e->settings->retry_window_ms * WG_USEC_PER_MSEC,
@@ -120,13 +119,14 @@
     }
 }
 
-/* Leave when nobody is served, no request waits unread, and no caller can still hold an answer that
-   names this host. */
+/* Ends the loop when no call is in progress, no request is unread, and no caller can still have an
+   entry answer that names this host; at the latest at the end of the grace period. */
 static void wg_entry_stop_tick(wg_entry* e, wg_time now) {
-    wg_time most = wg_entry_stop_time(e);
-    wg_time least = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_LATE_CLOSE;
+    wg_time stop_max = wg_entry_stop_time(e);
+    wg_time stop_min = 3 * e->settings->entry_keep_s * WG_USEC_PER_SEC + WG_STOP_CLOSE_DELAY;
     wg_time since = now - e->stop_at;
-    bool over = since >= most || (since >= least && e->calls_num == 0 && !wg_client_any_sends(e));
+    bool over =
+        since >= stop_max || (since >= stop_min && e->calls_num == 0 && !wg_client_any_sending(e));
     if (!over) {
         return;
     }
@@ -135,29 +135,30 @@
     event_base_loopbreak(e->base);
 }
 
-static void wg_entry_on_turn(evutil_socket_t fd, short what, void* user_data) {
+static void wg_entry_on_delay_probe(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     wg_entry* e = user_data;
     wg_time now = wg_now();
     wg_time waited;
-    if (wg_pulse_note(&e->behind, now, now - e->turn_since, &waited)) {
+    if (wg_pulse_note(&e->input_lag, now, now - e->probe_since, &waited)) {
         wg_log(WG_EVENT_LOOP_BEHIND, "waited_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
                waited / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
-    e->turn_since = 0;
+    e->probe_since = 0;
 }
 
-wg_time wg_entry_turn_wait(const wg_entry* e, wg_time now) {
-    wg_time waits = e->turn_since ? now - e->turn_since : 0;
-    return MAX(waits, e->behind.last);
+wg_time wg_entry_input_delay(const wg_entry* e, wg_time now) {
+    wg_time waits = e->probe_since ? now - e->probe_since : 0;
+    return MAX(waits, e->input_lag.last);
 }
 
-/* Ticks and links go first, so they tell nothing of how long a caller waits. */
-static void wg_entry_stand_in_line(wg_entry* e, wg_time now) {
-    if (!e->turn_since) {
-        e->turn_since = now;
-        event_active(e->turn, EV_TIMEOUT, 1);
+/* Queues an event of the same priority as callers' input to measure the delay of that input. Ticks
+   and links have a higher priority and do not show it. */
+static void wg_entry_queue_delay_probe(wg_entry* e, wg_time now) {
+    if (!e->probe_since) {
+        e->probe_since = now;
+        event_active(e->delay_probe, EV_TIMEOUT, 1);
     }
 }
 
@@ -166,26 +167,26 @@
     (void)what;
     wg_entry* e = user_data;
     wg_time now = wg_now();
-    wg_time late;
-    if (wg_pulse_beat(&e->pulse, now, WG_TICK, &late)) {
+    wg_time delay;
+    if (wg_pulse_beat(&e->tick_lag, now, WG_TICK, &delay)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
-               late / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
+               delay / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
-    if (e->pulse.last > WG_PULSE_LATE) {
-        e->woke_at = now;
-        wg_call_wake_all(e, now);
+    if (e->tick_lag.last > WG_PULSE_LATE) {
+        e->stall_ended_at = now;
+        wg_call_reset_timers(e, now);
     }
     wg_entry_link_tick(e, now);
-    wg_entry_fade_usage(e, now);
+    wg_entry_decay_usage(e, now);
     wg_entry_admit_tick(e, now);
     wg_entry_cache_tick(e, now);
-    wg_entry_check_doubts(e, now);
+    wg_entry_check_unresolved(e, now);
     wg_entry_quarantine_tick(e, now);
     wg_client_tick(e, now);
     wg_upstream_tick(e, now);
-    wg_entry_pass_retries(e);
+    wg_entry_advance_retries(e);
     wg_call_queue_run(e);
-    wg_entry_stand_in_line(e, now);
+    wg_entry_queue_delay_probe(e, now);
     if (e->stopping) {
         wg_entry_stop_tick(e, now);
     }
@@ -222,17 +223,17 @@
     e->balance = wg_balance_setup(&(wg_balance_desc){
         .data_centre = e->settings->data_centre, .seed = e->seed, .backoff = e->backoff});
     e->admit = wg_admit_setup(&(wg_admit_desc){0});
-    e->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
+    e->pending_admissions = g_hash_table_new(g_int64_hash, g_int64_equal);
     wg_entry_cache_setup(e);
     wg_entry_check_setup(e);
     wg_entry_quarantine_setup(e);
     g_queue_init(&e->orders);
-    if (!wg_entry_link_setup(e, error) || !wg_entry_pages_setup(e, error) ||
+    if (!wg_entry_link_setup(e, error) || !wg_entry_endpoints_setup(e, error) ||
         !wg_client_listen(e, error)) {
         wg_entry_shutdown(e);
         return NULL;
     }
-    e->turn = event_new(e->base, -1, 0, wg_entry_on_turn, e);
+    e->delay_probe = event_new(e->base, -1, 0, wg_entry_on_delay_probe, e);
     e->tick = event_new(e->base, -1, EV_PERSIST, wg_entry_on_tick, e);
     event_priority_set(e->tick, WGN_PRIORITY);
     struct timeval period = {.tv_usec = WG_TICK};
@@ -241,7 +242,7 @@
 }
 
 void wg_entry_reload(wg_entry* e, const wg_entry_settings* settings) {
-    wg_entry_learn_seeds(e, settings, NULL);
+    wg_entry_add_seeds(e, settings, NULL);
 }
 
 void wg_entry_stop(wg_entry* e) {
@@ -258,10 +259,10 @@
 }
 
 void wg_entry_shutdown(wg_entry* e) {
-    wg_call_cut_all(e);
+    wg_call_abort_all(e);
     if (e->tick) {
         event_free(e->tick);
-        event_free(e->turn);
+        event_free(e->delay_probe);
     }
     if (e->listener) {
         evconnlistener_free(e->listener);
@@ -279,7 +280,7 @@
     wg_entry_quarantine_shutdown(e);
     wg_admit_shutdown(e->admit);
     wg_backoff_shutdown(e->backoff);
-    g_hash_table_unref(e->asks);
+    g_hash_table_unref(e->pending_admissions);
     wg_balance_shutdown(e->balance);
     wg_registry_shutdown(e->registry);
     wg_roster_shutdown(e->roster);
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -1,19 +1,19 @@
-/* wg_entry_admit.c -- coordinators of targets: who they are, what they are asked, what they answer
+/* wg_entry_admit.c -- coordinators of targets: selection, admission requests and answers
 
-   A few entry hosts, the same ones on all, share the targets out among themselves by rendezvous
-   hashing. Each admits prompts to its targets for the whole fleet (lib/admit). What they say is
-   advice: where no answer comes in time, the host that has the request decides by itself. */
+   All entry hosts select the same few of them as coordinators and assign each target to one by
+   rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet (lib/admit).
+   Its answers are advisory: without one in time, the host with the request decides alone. */
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
 enum {
-    WG_ASK_TIME = 30 * WG_USEC_PER_MSEC, /* for an answer */
-    WG_ASK_MISSED_MAX = 2,               /* answers missed in a row, then it counts as silent */
-    WG_ASK_SILENT_TIME = 500 * WG_USEC_PER_MSEC,
-    WG_COORDINATOR_DIAL_GAP = 60 * WG_USEC_PER_MSEC,
+    WG_ADMIT_TIMEOUT = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
+    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive timeouts until it counts as unresponsive */
+    WG_COORDINATOR_UNRESPONSIVE_TIME = 500 * WG_USEC_PER_MSEC,
+    WG_COORDINATOR_DIAL_INTERVAL = 60 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_PING = 2 * WG_USEC_PER_SEC,
-    WG_COORDINATOR_SILENCE = 7 * WG_USEC_PER_SEC
+    WG_COORDINATOR_TIMEOUT = 7 * WG_USEC_PER_SEC
 };
 
 /* ---- helpers: who coordinates ---------------------------------------------------------------- */
@@ -40,7 +40,7 @@
     return NULL;
 }
 
-/* Rendezvous hashing: a coordinator that comes or goes moves only its own targets. */
+/* Rendezvous hashing: adding or removing a coordinator reassigns only its own targets. */
 static wg_coordinator* wg_coordinator_of(wg_entry* e, uint32_t target) {
     wg_coordinator* best = NULL;
     uint64_t best_rank = 0;
@@ -74,7 +74,7 @@
     return c;
 }
 
-/* Keep the entry hosts of the highest rank, with the links that there are. */
+/* Selects the entry hosts of the highest rank and keeps their existing links. */
 static int wg_coordinators_pick(wg_entry* e, wg_coordinator* picked) {
     int num = 0;
     for (int i = 0; i < wg_roster_num(e->roster); i++) {
@@ -104,7 +104,7 @@
     return false;
 }
 
-void wg_entry_admit_members(wg_entry* e) {
+void wg_entry_admit_update_members(wg_entry* e) {
     wg_coordinator picked[WG_COORDINATORS_MAX + 1];
     wgn_link dropped[WG_COORDINATORS_MAX];
     int dropped_num = 0;
@@ -115,7 +115,7 @@
             dropped[dropped_num++] = c->link;
         }
     }
-    wg_entry_note_coordinators(e, picked, num, wg_now());
+    wg_entry_record_coordinators(e, picked, num, wg_now());
     memcpy(e->coordinators, picked, sizeof *picked * (size_t)num);
     e->coordinators_num = num;
     for (int i = 0; i < dropped_num; i++) {
@@ -129,13 +129,13 @@
         if (c->self || c->link.id || now < c->dial_at) {
             continue;
         }
-        c->dial_at = now + wg_jitter_range(e->seed, ++e->counter, WG_COORDINATOR_DIAL_GAP,
-                                           2 * WG_COORDINATOR_DIAL_GAP);
+        c->dial_at = now + wg_jitter_range(e->seed, ++e->counter, WG_COORDINATOR_DIAL_INTERVAL,
+                                           2 * WG_COORDINATOR_DIAL_INTERVAL);
         c->link = wgn_dial(e->net, c->address);
     }
 }
 
-/* ---- helpers: questions ---------------------------------------------------------------------- */
+/* ---- helpers: admission requests ------------------------------------------------------------- */
 
 static wg_admit_request wg_call_admit_request(const wg_call* call, const wg_admit_limits* limits,
                                               uint64_t ticket) {
@@ -162,18 +162,18 @@
     return r;
 }
 
-/* Decide on a request of any host, this one (holder 0) too. */
+/* Decides on a request of any host; holder 0 is this host. */
 static wg_admit_answer wg_entry_admit_decide(wg_entry* e, wg_admit_request* request) {
     wg_balance_load_of(e->balance, request->target, &request->floor_unread,
                        &request->floor_running);
-    if (request->rate_most > 0 && !wg_entry_grants_cold(e, request->target, wg_now())) {
+    if (request->rate_most > 0 && !wg_entry_may_grant_cold(e, request->target, wg_now())) {
         return (wg_admit_answer){.ahead = request->floor_unread, .running = request->floor_running};
     }
     return wg_admit_ask(e->admit, wg_now(), request);
 }
 
-static bool wg_coordinator_send_ask(wg_entry* e, const wg_coordinator* c,
-                                    wg_admit_request* request) {
+static bool wg_coordinator_send_request(wg_entry* e, const wg_coordinator* c,
+                                        wg_admit_request* request) {
     Wgpb__AdmitAsk ask = WGPB__ADMIT_ASK__INIT;
     ask.ticket = request->ticket;
     ask.target = request->target;
@@ -193,67 +193,68 @@
     return wgn_send(e->net, c->link, WGW_TYPE_ADMIT_ASK, &ask.base);
 }
 
-static void wg_call_take_admission(wg_call* call, const wg_coordinator* c, uint64_t ticket,
-                                   const wg_admit_answer* answer) {
+static void wg_call_apply_admission(wg_call* call, const wg_coordinator* c, uint64_t ticket,
+                                    const wg_admit_answer* answer) {
     if (answer->granted) {
-        call->admitted = ticket;
-        call->admitted_by = c->rank;
+        call->admission_ticket = ticket;
+        call->coordinator_rank = c->rank;
     }
     wg_call_admit_answered(call, answer);
 }
 
-void wg_entry_admit_ask(wg_call* call, const wg_admit_limits* limits, wg_time now) {
+void wg_entry_admit_request(wg_call* call, const wg_admit_limits* limits, wg_time now) {
     wg_entry* e = call->entry;
     wg_coordinator* c = wg_coordinator_of(e, call->proposed.target);
     uint64_t ticket = ++e->counter;
     wg_admit_request request = wg_call_admit_request(call, limits, ticket);
-    if (request.rate_most > 0 && !wg_entry_feeds_cold(e, now)) {
+    if (request.rate_most > 0 && !wg_entry_may_use_cold(e, now)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
     if (c && c->self) {
         wg_admit_answer answer = wg_entry_admit_decide(e, &request);
-        wg_call_take_admission(call, c, ticket, &answer);
+        wg_call_apply_admission(call, c, ticket, &answer);
         return;
     }
-    if (!c || !c->up || now < c->silent_until || !wg_coordinator_send_ask(e, c, &request)) {
+    if (!c || !c->up || now < c->unresponsive_until ||
+        !wg_coordinator_send_request(e, c, &request)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
-    call->asked = ticket;
-    call->asked_until = now + WG_ASK_TIME;
-    call->admitted_by = c->rank;
-    g_hash_table_insert(e->asks, &call->asked, call);
+    call->admit_ticket = ticket;
+    call->admit_expires_at = now + WG_ADMIT_TIMEOUT;
+    call->coordinator_rank = c->rank;
+    g_hash_table_insert(e->pending_admissions, &call->admit_ticket, call);
     wg_call_set_timer(call, now);
 }
 
-static void wg_call_ask_over(wg_call* call) {
-    g_hash_table_remove(call->entry->asks, &call->asked);
-    call->asked = 0;
+static void wg_call_end_admit_request(wg_call* call) {
+    g_hash_table_remove(call->entry->pending_admissions, &call->admit_ticket);
+    call->admit_ticket = 0;
 }
 
 void wg_entry_admit_unanswered(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
-    wg_coordinator* c = wg_coordinator_by_rank(e, call->admitted_by);
-    wg_call_ask_over(call);
-    if (c && ++c->missed >= WG_ASK_MISSED_MAX) {
-        c->missed = 0;
-        c->silent_until = now + WG_ASK_SILENT_TIME;
+    wg_coordinator* c = wg_coordinator_by_rank(e, call->coordinator_rank);
+    wg_call_end_admit_request(call);
+    if (c && ++c->timeouts_num >= WG_ADMIT_TIMEOUTS_MAX) {
+        c->timeouts_num = 0;
+        c->unresponsive_until = now + WG_COORDINATOR_UNRESPONSIVE_TIME;
         wg_log(WG_EVENT_COORDINATOR_SILENT, "coordinator=%s target=%u id=%s", c->name,
                call->proposed.target, call->id);
     }
     wg_call_admit_unanswered(call, now);
 }
 
-/* ---- helpers: notes -------------------------------------------------------------------------- */
+/* ---- helpers: notifications ------------------------------------------------------------------ */
 
 typedef enum {
     WG_NOTE_READ = 0,
     WG_NOTE_ENDED,
-    WG_NOTE_FAILED /* ended by the target's fault */
+    WG_NOTE_FAILED /* ended by a failure of the target */
 } wg_admit_note;
 
-static void wg_coordinator_note(wg_entry* e, uint64_t rank, uint64_t ticket, wg_admit_note what) {
+static void wg_coordinator_notify(wg_entry* e, uint64_t rank, uint64_t ticket, wg_admit_note what) {
     const wg_coordinator* c = wg_coordinator_by_rank(e, rank);
     if (!c) {
         return;
@@ -274,24 +275,25 @@
 }
 
 void wg_entry_admit_read(wg_call* call) {
-    if (call->admitted && !call->admitted_read) {
-        call->admitted_read = true;
-        wg_coordinator_note(call->entry, call->admitted_by, call->admitted, WG_NOTE_READ);
+    if (call->admission_ticket && !call->admission_read) {
+        call->admission_read = true;
+        wg_coordinator_notify(call->entry, call->coordinator_rank, call->admission_ticket,
+                              WG_NOTE_READ);
     }
 }
 
 void wg_entry_admit_end(wg_call* call, bool failed) {
-    if (call->admitted) {
-        wg_coordinator_note(call->entry, call->admitted_by, call->admitted,
-                            failed ? WG_NOTE_FAILED : WG_NOTE_ENDED);
-        call->admitted = 0;
-        call->admitted_read = false;
+    if (call->admission_ticket) {
+        wg_coordinator_notify(call->entry, call->coordinator_rank, call->admission_ticket,
+                              failed ? WG_NOTE_FAILED : WG_NOTE_ENDED);
+        call->admission_ticket = 0;
+        call->admission_read = false;
     }
 }
 
-void wg_entry_admit_forget(wg_call* call) {
-    if (call->asked) {
-        wg_call_ask_over(call);
+void wg_entry_admit_cancel(wg_call* call) {
+    if (call->admit_ticket) {
+        wg_call_end_admit_request(call);
     }
     wg_entry_admit_end(call, false);
 }
@@ -304,15 +306,15 @@
         return false;
     }
     c->up = true;
-    c->missed = 0;
-    wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_SILENCE);
+    c->timeouts_num = 0;
+    wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     wg_log(WG_EVENT_LINK_UP, "coordinator=%s", c->name);
     return true;
 }
 
-void wg_entry_admit_on_asker(wg_entry* e, wgn_link link, const wgn_peer* peer) {
+void wg_entry_admit_on_peer_up(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     if (peer->role == WGW_ROLE_ENTRY) {
-        wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_SILENCE);
+        wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     }
 }
 
@@ -329,8 +331,8 @@
     c->up = false;
 }
 
-/* What the asker says counts too: a coordinator that has lost the leader may not know the target,
-   or not that it is cold. The lower of two rates holds. */
+/* Combines the requester's rate with this host's, as a coordinator without a leader may not know
+   that the target is cold. If both have a limit, the lower one applies. */
 static double wg_coordinator_cold_rate(const wg_entry* e, const Wgpb__AdmitAsk* ask) {
     double own = wg_entry_cold_rate(e, ask->target);
     if (own <= 0 || ask->cold_rate <= 0) {
@@ -339,8 +341,8 @@
     return MIN(own, ask->cold_rate);
 }
 
-/* A question of another host. False when it is malformed. */
-static bool wg_entry_admit_take_ask(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+/* Answers an admission request of another host. False if it is malformed. */
+static bool wg_entry_admit_handle_request(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     Wgpb__AdmitAsk* in = wgpb__admit_ask__unpack(NULL, frame->size, frame->payload);
     if (!in || in->n_parts > WG_ADMIT_PARTS_MAX || in->n_parts != in->n_sizes) {
         wgpb__admit_ask__free_unpacked(in, NULL);
@@ -376,7 +378,7 @@
     return true;
 }
 
-static bool wg_entry_admit_take_note(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+static bool wg_entry_admit_handle_note(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     Wgpb__AdmitNote* in = wgpb__admit_note__unpack(NULL, frame->size, frame->payload);
     if (!in) {
         return false;
@@ -390,7 +392,7 @@
     return true;
 }
 
-static bool wg_entry_admit_take_answer(wg_entry* e, wgn_link link, const wgw_frame* frame) {
+static bool wg_entry_admit_handle_answer(wg_entry* e, wgn_link link, const wgw_frame* frame) {
     wg_coordinator* c = wg_coordinator_by_link(e, link);
     Wgpb__AdmitAnswer* in = wgpb__admit_answer__unpack(NULL, frame->size, frame->payload);
     if (!in || !c) {
@@ -406,13 +408,13 @@
                               .ahead = in->ahead,
                               .running = in->running};
     wgpb__admit_answer__free_unpacked(in, NULL);
-    wg_call* call = g_hash_table_lookup(e->asks, &ticket);
-    c->missed = 0;
+    wg_call* call = g_hash_table_lookup(e->pending_admissions, &ticket);
+    c->timeouts_num = 0;
     if (call) {
-        wg_call_ask_over(call);
-        wg_call_take_admission(call, c, ticket, &answer);
+        wg_call_end_admit_request(call);
+        wg_call_apply_admission(call, c, ticket, &answer);
     } else if (answer.granted) {
-        wg_coordinator_note(e, c->rank, ticket, WG_NOTE_ENDED); /* it came too late */
+        wg_coordinator_notify(e, c->rank, ticket, WG_NOTE_ENDED); /* received after the timeout */
     }
     return true;
 }
@@ -421,13 +423,13 @@
     bool good = true;
     switch (frame->type) {
     case WGW_TYPE_ADMIT_ASK:
-        good = wg_entry_admit_take_ask(e, link, frame);
+        good = wg_entry_admit_handle_request(e, link, frame);
         break;
     case WGW_TYPE_ADMIT_NOTE:
-        good = wg_entry_admit_take_note(e, link, frame);
+        good = wg_entry_admit_handle_note(e, link, frame);
         break;
     case WGW_TYPE_ADMIT_ANSWER:
-        good = wg_entry_admit_take_answer(e, link, frame);
+        good = wg_entry_admit_handle_answer(e, link, frame);
         break;
     default:
         return false;
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -1,11 +1,11 @@
-/* wg_entry_attempt.c -- where and when a request is sent: limits, the queue, targets, retries */
+/* wg_entry_attempt.c -- request dispatch: latency limits, queueing, target selection, retries */
 #include "wg_entry_internal.h"
 
 enum {
-    WG_RETRY_WAIT = 15 * WG_USEC_PER_MSEC, /* a request with less time left is not sent again */
-    WG_ANSWER_TOKENS_FACTOR = 2,           /* a token made counts as two that are read */
-    WG_CHOICES_MAX = 6,                    /* targets looked at for one try */
-    WG_UNSENT_MAX = 4                      /* attempts of one request that reached no target */
+    WG_RETRY_TIME_MIN = 15 * WG_USEC_PER_MSEC, /* minimum time left for a retry */
+    WG_ANSWER_TOKENS_FACTOR = 2,               /* cost of a generated token in prompt tokens */
+    WG_CANDIDATES_MAX = 6,                     /* targets considered per selection */
+    WG_UNSENT_ATTEMPTS_MAX = 4                 /* attempts per request that reached no target */
 };
 
 static void wg_call_choose(wg_call* call, wg_time now);
@@ -19,7 +19,7 @@
                             .hosts = MAX(wg_roster_num(e->roster), 3)};
 }
 
-static wg_retry* wg_call_retry(const wg_call* call) {
+static wg_retry* wg_call_retry_budget(const wg_call* call) {
     wg_entry* e = call->entry;
     const char* name = call->config->services[call->service].name;
     wg_retry* retry = g_hash_table_lookup(e->retries, name);
@@ -60,13 +60,13 @@
     return wg_usage_of(call->entry->usage, call->workspace->hash);
 }
 
-bool wg_call_counts(const wg_call* call) {
+bool wg_call_is_charged(const wg_call* call) {
     return call->workspace && call->has_prompt;
 }
 
 static wg_policy_terms wg_call_terms(const wg_call* call) {
     const wg_entry* e = call->entry;
-    bool counts = wg_call_counts(call);
+    bool counts = wg_call_is_charged(call);
     wg_time objective = call->route->objective;
     return (wg_policy_terms){.counts = counts,
                              .used = counts ? wg_call_usage(call) : 0,
@@ -83,26 +83,25 @@
 
 /* ---- helpers: attempts ----------------------------------------------------------------------- */
 
-/* Seconds after which a refused request may come back. Where it comes back it is a new one, also to
-   targets that were tried. */
+/* Tried targets are considered again, as the caller's next request is a new one. */
 double wg_call_retry_after(const wg_call* call) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
     wg_need again = call->need;
     again.tried_num = 0;
     wg_time back_at = wg_balance_back_at(e->balance, now, &again);
-    wg_time left = (call->deadline == WG_TIME_NEVER ? call->until : call->deadline) - now;
+    wg_time left = (call->deadline == WG_TIME_NEVER ? call->expires_at : call->deadline) - now;
     wg_time after = back_at ? wg_policy_retry_after_rest(e->seed, ++e->counter, back_at - now, left)
                             : wg_policy_retry_after(e->seed, ++e->counter);
     return (double)after / WG_USEC_PER_SEC;
 }
 
-/* Wait for a target; what none can take in time is refused at once. */
+/* Queues the request, or refuses it at once if every target stays in backoff past its deadline. */
 static void wg_call_enqueue(wg_call* call, wg_time now) {
     wg_time wait_until = call->started + wg_policy_wait(call->route->objective);
     wg_time back_at = wg_balance_back_at(call->entry->balance, now, &call->need);
     if (back_at > wait_until) {
-        call->entry->counters.rest_refusals++;
+        call->entry->counters.backoff_refusals++;
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_rest",
                        wg_call_retry_after(call));
         return;
@@ -129,8 +128,8 @@
     wg_entry* e = call->entry;
     wg_retry_rules rules = wg_call_retry_rules(e);
     if (call->attempts == 0) {
-        wg_retry_first(wg_call_retry(call), &rules);
-        if (wg_call_counts(call)) {
+        wg_retry_first(wg_call_retry_budget(call), &rules);
+        if (wg_call_is_charged(call)) {
             wg_usage_serve(e->usage, call->workspace->hash, wg_call_tokens(call));
         }
     }
@@ -153,21 +152,21 @@
     wg_upstream_send(up, call);
 }
 
-/* The proposed target is not asked for again in this try. */
-static void wg_call_pass_over(wg_call* call) {
+/* Excludes the proposed target for the rest of this selection. */
+static void wg_call_exclude_proposed(wg_call* call) {
     wg_need* need = &call->need;
     if (need->denied_num < WG_DENIED_MAX) {
         need->denied[need->denied_num++] = call->proposed.target;
     }
 }
 
-/* Send to the target that was chosen, if it still takes work. */
-static void wg_call_go(wg_call* call, wg_time now) {
+/* Sends the request to the proposed target, or selects another one if it no longer accepts work. */
+static void wg_call_dispatch(wg_call* call, wg_time now) {
     wg_entry* e = call->entry;
     const wg_target* target = wg_registry_find(e->registry, call->proposed.target);
     if (!wg_entry_may_send(e, target, now)) {
         wg_entry_admit_end(call, false);
-        wg_call_pass_over(call);
+        wg_call_exclude_proposed(call);
         wg_call_choose(call, now);
         return;
     }
@@ -176,12 +175,12 @@
     call->choice = call->proposed;
     wg_call_send(call, target, now);
     if (waited) {
-        wg_call_queue_run(e); /* there may be room for the next one too */
+        wg_call_queue_run(e); /* there may be capacity for the next request */
     }
 }
 
-/* The coordinator's answer counts for more than this host's estimate. */
-static void wg_call_take_answer(wg_call* call, const wg_admit_answer* answer) {
+/* The coordinator's figures replace this host's estimate. */
+static void wg_call_apply_admit_answer(wg_call* call, const wg_admit_answer* answer) {
     wg_choice* choice = &call->proposed;
     wg_balance_note_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
                          answer->running);
@@ -196,9 +195,9 @@
     }
 }
 
-/* Denied: the next target, but for those who have more than others only one that needs not read the
-   shared parts again. */
-static void wg_call_denied(wg_call* call, const wg_admit_answer* answer, wg_time now) {
+/* Selects another target after a denial. A workspace above its fair share may only use one that can
+   copy the shared prompt parts instead of reading them again. */
+static void wg_call_handle_denial(wg_call* call, const wg_admit_answer* answer, wg_time now) {
     wg_need* need = &call->need;
     call->entry->counters.cold_denials +=
         wg_entry_cold_rate(call->entry, call->proposed.target) > 0;
@@ -206,7 +205,7 @@
         need->source = call->proposed.target;
         need->source_tokens = answer->held;
     }
-    wg_call_pass_over(call);
+    wg_call_exclude_proposed(call);
     wg_policy_terms terms = wg_call_terms(call);
     if (!wg_policy_may_spill(&terms) && need->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
         wg_call_enqueue(call, now);
@@ -217,42 +216,41 @@
 
 void wg_call_admit_answered(wg_call* call, const wg_admit_answer* answer) {
     wg_time now = wg_now();
-    wg_call_take_answer(call, answer);
+    wg_call_apply_admit_answer(call, answer);
     if (answer->granted) {
         call->was_admitted = true;
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     } else {
-        wg_call_denied(call, answer, now);
+        wg_call_handle_denial(call, answer, now);
     }
 }
 
-/* Nobody coordinates the target, or the answer did not come in time: this host decides alone. Not
-   about a cold target: all hosts together may send it no more than it bears. */
+/* Without a coordinator's answer this host decides alone, except for a cold target, whose request
+   rate is limited across all hosts. */
 void wg_call_admit_unanswered(wg_call* call, wg_time now) {
     if (wg_entry_cold_rate(call->entry, call->proposed.target) > 0) {
-        wg_call_denied(call, &(wg_admit_answer){0}, now);
+        wg_call_handle_denial(call, &(wg_admit_answer){0}, now);
     } else if (call->attempts == 0 && !wg_call_fits(call, &call->proposed, now)) {
         wg_call_enqueue(call, now);
     } else {
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     }
 }
 
-static void wg_call_ask(wg_call* call, wg_time now) {
+static void wg_call_request_admission(wg_call* call, wg_time now) {
     bool first = call->attempts == 0;
-    wg_admit_limits any = {WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
+    wg_admit_limits no_limits = {WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
     wg_policy_terms terms = wg_call_terms(call);
-    wg_admit_limits limits = first ? wg_policy_limits(&terms, now) : any;
-    call->asks++;
-    call->asks_all++;
-    wg_entry_admit_ask(call, &limits, now);
+    wg_admit_limits limits = first ? wg_policy_limits(&terms, now) : no_limits;
+    call->admit_requests++;
+    call->admit_requests_total++;
+    wg_entry_admit_request(call, &limits, now);
 }
 
-/* Choose among targets that were not denied; one that was told to be full a moment ago is not asked
-   again. */
+/* Skips targets that were recently reported as too busy to meet the limits. */
 static wg_choice wg_call_next_choice(wg_call* call, wg_time now) {
     wg_need* need = &call->need;
-    while (need->denied_num < WG_CHOICES_MAX) {
+    while (need->denied_num < WG_CANDIDATES_MAX) {
         wg_choice choice = wg_balance_choose(call->entry->balance, now, need);
         if (!choice.target || !choice.is_fresh || call->attempts > 0 ||
             wg_call_fits(call, &choice, now)) {
@@ -264,19 +262,19 @@
     return (wg_choice){0};
 }
 
-/* No target would answer in time: once more, for one that answers late. */
+/* Selects again without the latency limit, as no target meets it. */
 static void wg_call_relax(wg_call* call, wg_time now) {
     call->relaxed = true;
-    call->asks = 0;
+    call->admit_requests = 0;
     call->need.denied_num = 0;
     wg_call_choose(call, now);
 }
 
-/* Choose a target and send, or ask its coordinator first, or wait for another one. */
+/* Selects a target, then sends, requests an admission from its coordinator, or queues. */
 static void wg_call_choose(wg_call* call, wg_time now) {
     wg_choice choice = {0};
     wg_policy_terms terms = wg_call_terms(call);
-    if (call->asks < wg_policy_asks_max(&terms)) {
+    if (call->admit_requests < wg_policy_asks_max(&terms)) {
         choice = wg_call_next_choice(call, now);
     }
     if (!choice.target && !call->relaxed && wg_policy_is_modest(&terms)) {
@@ -290,16 +288,16 @@
     call->expected = choice.wait;
     call->proposed = choice;
     if (call->has_prompt || wg_entry_cold_rate(call->entry, choice.target) > 0) {
-        wg_call_ask(call, now);
+        wg_call_request_admission(call, now);
     } else {
-        wg_call_go(call, now);
+        wg_call_dispatch(call, now);
     }
 }
 
 void wg_call_try(wg_call* call) {
     wg_time now = wg_now();
     call->retry_at = 0;
-    if (call->asked) {
+    if (call->admit_ticket) {
         return;
     }
     if (wg_entry_is_quarantined(call->entry, call->fingerprint)) {
@@ -316,7 +314,7 @@
         call->need.limit = wg_policy_may_spill(&terms) ? call->limit : WG_TIME_NEVER;
     }
     call->need.slots_share = wg_policy_slots_share(&terms);
-    call->asks = 0;
+    call->admit_requests = 0;
     call->relaxed = false;
     call->need.denied_num = 0;
     call->need.source = 0;
@@ -324,21 +322,22 @@
     wg_call_choose(call, now);
 }
 
-/* An attempt that reached no target counts neither as one nor against the fleet's budget. */
+/* An attempt that reached no target counts neither against the route's attempts nor against the
+   fleet's retry budget. */
 static bool wg_call_may_attempt(const wg_call* call, bool unsent) {
     if (unsent) {
-        return call->unsent <= WG_UNSENT_MAX;
+        return call->unsent <= WG_UNSENT_ATTEMPTS_MAX;
     }
     wg_retry_rules rules = wg_call_retry_rules(call->entry);
     return call->attempts - call->unsent < call->route->attempts &&
-           wg_retry_take(wg_call_retry(call), &rules);
+           wg_retry_take(wg_call_retry_budget(call), &rules);
 }
 
-bool wg_call_again(wg_call* call, bool unsent) {
+bool wg_call_schedule_retry(wg_call* call, bool unsent) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
     bool may = !call->may_have_run || wg_route_is_repeatable(call->route);
-    if (!may || now + WG_RETRY_WAIT >= call->until || !wg_call_may_attempt(call, unsent)) {
+    if (!may || now + WG_RETRY_TIME_MIN >= call->expires_at || !wg_call_may_attempt(call, unsent)) {
         return false;
     }
     e->counters.retries++;
@@ -348,14 +347,14 @@
     return true;
 }
 
-/* The lightest workspace's oldest request goes first. */
+/* Returns the oldest request of the workspace with the least usage. */
 static wg_call* wg_call_queue_first(GQueue* queue) {
     wg_call* best = NULL;
     double best_usage = 0;
     wg_time now = wg_now();
     for (GList* at = queue->head; at; at = at->next) {
         wg_call* call = at->data;
-        if (call->asked || now < call->next_try_at) {
+        if (call->admit_ticket || now < call->next_try_at) {
             continue;
         }
         double usage = call->workspace ? wg_call_usage(call) : 0;
@@ -375,7 +374,7 @@
         GQueue* queue = value;
         wg_call* call = wg_call_queue_first(queue);
         if (call && !call->retry_at) {
-            call->retry_at = wg_now(); /* tried from the loop, not from within another call */
+            call->retry_at = wg_now(); /* runs from the event loop, to avoid recursion */
             wg_call_set_timer(call, call->retry_at);
         }
     }
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -1,9 +1,9 @@
-/* wg_entry_cache.c -- what a target holds, asked of it once by the host that begins to coordinate
-   it
+/* wg_entry_cache.c -- initial query of a target's prompt cache by its new coordinator
 
-   A coordinator knows what a target holds from what it admitted there. After a restart, and when
-   targets move between coordinators, it knows nothing: prompts would count as to be read whole, and
-   be refused or sent elsewhere to be read again. The target itself still knows. */
+   A coordinator tracks the cached prompt parts of a target from its own admissions. After a
+   restart, or when it takes over a target from another coordinator, it knows none and would assume
+   that every prompt has to be read completely. So it queries the target once for its cached parts.
+ */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 
@@ -13,107 +13,108 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CACHE_ASKS_MAX = 4, /* under way at once: a list may be some tens of kilobytes */
-    WG_CACHE_TIME_S = 1,   /* for an answer */
+    WG_CACHE_QUERIES_MAX = 4, /* concurrent queries; a list may have tens of kilobytes */
+    WG_CACHE_TIMEOUT_S = 1,
     WG_CACHE_TRIES = 3,
-    WG_CACHE_RETRY = 500 * WG_USEC_PER_MSEC,
+    WG_CACHE_RETRY_INTERVAL = 500 * WG_USEC_PER_MSEC,
     WG_CACHE_BYTES_MAX = 1 << 20
 };
 
-/* A target that this host coordinates. */
+/* State of the query for a target that this host coordinates. */
 typedef struct {
     wg_entry* entry;
     uint32_t target;
-    struct evhttp_connection* connection; /* while it is asked */
+    struct evhttp_connection* connection; /* NULL if no query is in progress */
     bool known;
     int tries;
     wg_time next_at;
-} wg_cache_ask;
+} wg_cache_query;
 
-static void wg_cache_ask_free(void* data) {
-    wg_cache_ask* ask = data;
-    if (ask->connection) {
-        evhttp_connection_free(ask->connection);
+static void wg_cache_query_free(void* data) {
+    wg_cache_query* query = data;
+    if (query->connection) {
+        evhttp_connection_free(query->connection);
     }
-    g_free(ask);
+    g_free(query);
 }
 
-static int wg_cache_asks_under_way(const wg_entry* e) {
+static int wg_cache_queries_active(const wg_entry* e) {
     int num = 0;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, e->cache_asks);
+    g_hash_table_iter_init(&iter, e->cache_queries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        num += ((wg_cache_ask*)value)->connection != NULL;
+        num += ((wg_cache_query*)value)->connection != NULL;
     }
     return num;
 }
 
-static void wg_cache_take(wg_cache_ask* ask, struct evhttp_request* request) {
+static void wg_cache_apply_list(wg_cache_query* query, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
     size_t size = evbuffer_get_length(in);
     GArray* parts = wg_cache_list_parse((const char*)evbuffer_pullup(in, -1), size);
     if (!parts) {
-        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u reason=malformed bytes=%zu", ask->target, size);
+        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u reason=malformed bytes=%zu", query->target, size);
         return;
     }
-    ask->known = true;
-    wg_admit_learn(ask->entry->admit, wg_now(), ask->target, (const uint64_t*)(void*)parts->data,
-                   (int)parts->len);
-    wg_log(WG_EVENT_CACHE_KNOWN, "target=%u parts=%u bytes=%zu", ask->target, parts->len, size);
+    query->known = true;
+    wg_admit_learn(query->entry->admit, wg_now(), query->target,
+                   (const uint64_t*)(void*)parts->data, (int)parts->len);
+    wg_log(WG_EVENT_CACHE_KNOWN, "target=%u parts=%u bytes=%zu", query->target, parts->len, size);
     g_array_unref(parts);
 }
 
-/* A target that turns the question away may ask for rest as it does with requests. */
-static void wg_cache_take_wish(const wg_cache_ask* ask, struct evhttp_request* request) {
-    wg_entry* e = ask->entry;
-    wg_backoff_wish wish = {.status = evhttp_request_get_response_code(request)};
+/* Answers to cache queries carry backoff hints as answers to requests do. */
+static void wg_cache_record_hint(const wg_cache_query* query, struct evhttp_request* request) {
+    wg_entry* e = query->entry;
+    wg_backoff_wish hint = {.status = evhttp_request_get_response_code(request)};
     const struct evkeyvalq* fields = evhttp_request_get_input_headers(request);
     for (const struct evkeyval* f = fields->tqh_first; f; f = f->next.tqe_next) {
-        wg_backoff_read_field(&wish, e->names->leaving, (wg_text){f->key, strlen(f->key)},
+        wg_backoff_read_field(&hint, e->names->leaving, (wg_text){f->key, strlen(f->key)},
                               (wg_text){f->value, strlen(f->value)});
     }
-    wg_entry_note_answer(e, ask->target, &wish, "-");
+    wg_entry_record_answer(e, query->target, &hint, "-");
 }
 
 static void wg_cache_on_answer(struct evhttp_request* request, void* user_data) {
-    wg_cache_ask* ask = user_data;
+    wg_cache_query* query = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    ask->connection = NULL; /* it frees itself */
+    query->connection = NULL; /* freed by libevent on completion */
     if (status > 0) {
-        wg_cache_take_wish(ask, request);
+        wg_cache_record_hint(query, request);
     }
     if (status == HTTP_OK) {
-        wg_cache_take(ask, request);
+        wg_cache_apply_list(query, request);
     } else if (status == HTTP_NOTFOUND) {
-        ask->known = true; /* it tells no lists */
+        query->known = true; /* the target does not provide a list */
     } else {
-        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u status=%d try=%d", ask->target, status,
-               ask->tries);
+        wg_log(WG_EVENT_CACHE_UNKNOWN, "target=%u status=%d try=%d", query->target, status,
+               query->tries);
     }
 }
 
-static void wg_cache_send(wg_cache_ask* ask, const wg_target* target, wg_time now) {
-    wg_entry* e = ask->entry;
+static void wg_cache_send(wg_cache_query* query, const wg_target* target, wg_time now) {
+    wg_entry* e = query->entry;
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
-    ask->tries++;
-    ask->next_at = now + WG_CACHE_RETRY;
+    query->tries++;
+    query->next_at = now + WG_CACHE_RETRY_INTERVAL;
     if (!wgn_split_address(target->address, ip, &port)) {
         return;
     }
-    ask->connection = evhttp_connection_base_new(e->base, NULL, ip, port);
-    evhttp_connection_set_timeout(ask->connection, WG_CACHE_TIME_S);
-    evhttp_connection_set_max_body_size(ask->connection, WG_CACHE_BYTES_MAX);
-    evhttp_connection_free_on_completion(ask->connection);
-    struct evhttp_request* request = evhttp_request_new(wg_cache_on_answer, ask);
+    query->connection = evhttp_connection_base_new(e->base, NULL, ip, port);
+    evhttp_connection_set_timeout(query->connection, WG_CACHE_TIMEOUT_S);
+    evhttp_connection_set_max_body_size(query->connection, WG_CACHE_BYTES_MAX);
+    evhttp_connection_free_on_completion(query->connection);
+    struct evhttp_request* request = evhttp_request_new(wg_cache_on_answer, query);
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Host", target->address);
     evhttp_add_header(out, "Connection", "close");
     evhttp_add_header(out, e->names->expect, target->id);
-    if (evhttp_make_request(ask->connection, request, EVHTTP_REQ_GET, e->names->cache_list) != 0) {
-        evhttp_connection_free(ask->connection);
-        ask->connection = NULL;
+    if (evhttp_make_request(query->connection, request, EVHTTP_REQ_GET, e->names->cache_list) !=
+        0) {
+        evhttp_connection_free(query->connection);
+        query->connection = NULL;
     }
 }
 
@@ -122,38 +123,38 @@
     return service >= 0 && e->config->services[service].engine;
 }
 
-static void wg_cache_look_at(wg_entry* e, const wg_target* target, wg_time now) {
+static void wg_cache_check_target(wg_entry* e, const wg_target* target, wg_time now) {
     gpointer key = GUINT_TO_POINTER(target->number);
-    wg_cache_ask* ask = g_hash_table_lookup(e->cache_asks, key);
+    wg_cache_query* query = g_hash_table_lookup(e->cache_queries, key);
     if (!wg_registry_takes(e->registry, target) || !wg_entry_admit_coordinates(e, target->number)) {
-        g_hash_table_remove(e->cache_asks, key);
+        g_hash_table_remove(e->cache_queries, key);
         return;
     }
-    if (!ask) {
-        ask = g_new0(wg_cache_ask, 1);
-        ask->entry = e;
-        ask->target = target->number;
-        g_hash_table_insert(e->cache_asks, key, ask);
+    if (!query) {
+        query = g_new0(wg_cache_query, 1);
+        query->entry = e;
+        query->target = target->number;
+        g_hash_table_insert(e->cache_queries, key, query);
     }
-    bool due =
-        !ask->known && !ask->connection && ask->tries < WG_CACHE_TRIES && now >= ask->next_at;
-    /* What a cold target bears in a second is left to requests; it rarely holds anything. */
+    bool due = !query->known && !query->connection && query->tries < WG_CACHE_TRIES &&
+               now >= query->next_at;
+    /* The request rate of a cold target is left to callers' requests; its cache is mostly empty. */
     bool cold = wg_entry_cold_rate(e, target->number) > 0;
     bool may = wg_entry_may_send(e, target, now);
-    if (due && may && !cold && wg_cache_asks_under_way(e) < WG_CACHE_ASKS_MAX &&
+    if (due && may && !cold && wg_cache_queries_active(e) < WG_CACHE_QUERIES_MAX &&
         wg_cache_is_engine(e, target)) {
-        wg_cache_send(ask, target, now);
+        wg_cache_send(query, target, now);
     }
 }
 
 /* ---- functions of the library ---------------------------------------------------------------- */
 
 void wg_entry_cache_setup(wg_entry* e) {
-    e->cache_asks = g_hash_table_new_full(NULL, NULL, NULL, wg_cache_ask_free);
+    e->cache_queries = g_hash_table_new_full(NULL, NULL, NULL, wg_cache_query_free);
 }
 
 void wg_entry_cache_shutdown(wg_entry* e) {
-    g_hash_table_unref(e->cache_asks);
+    g_hash_table_unref(e->cache_queries);
 }
 
 void wg_entry_cache_tick(wg_entry* e, wg_time now) {
@@ -162,6 +163,6 @@
     }
     const wg_target* target = NULL;
     while ((target = wg_registry_next(e->registry, target ? target->number : 0))) {
-        wg_cache_look_at(e, target, now);
+        wg_cache_check_target(e, target, now);
     }
 }
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -1,43 +1,42 @@
-/* wg_entry_check.c -- has a target ended, or did it only drop a connection?
+/* wg_entry_check.c -- distinguishes a target that ended from one that only closed a connection
 
-   A connection that ends while the target owes an answer says either. A new connection tells them
-   apart where the process is gone: it is refused. One that is taken says nothing yet: a proxy or a
-   supervisor takes it for a process that is gone, a target that starts again fast takes it itself,
-   and a live one that has too many connections takes it and closes it at once. Then the registry
-   tells, for some seconds: this start of the target falls silent, or another one comes in its
-   place.
+   A connection that ends mid-request can mean either. A check opens a new connection: if it is
+   refused, the target has ended. If it is accepted, the result is unresolved, as a proxy, a
+   supervisor or a restarted target may accept it, and an overloaded target may close it at once.
+   The registry then resolves it within seconds, if the target's incarnation becomes unresponsive
+   or is replaced.
 
-   Requests that were under way at a target that has ended may have ended it. */
+   Requests in progress at a target that ended are recorded as crash evidence. */
 #include "wg_entry_internal.h"
 
 #include <errno.h>
 #include <string.h>
 
 enum {
-    WG_CHECK_TIME = 250 * WG_USEC_PER_MSEC, /* for the connection, as for requests */
-    WG_CHECK_STAYS = 30 * WG_USEC_PER_MSEC, /* one that is open for so long was taken to stay */
-    WG_CHECK_AGAIN = 50 * WG_USEC_PER_MSEC, /* for a process that is about to go to be gone */
-    /* Begun in one second: a target takes some tens of connections a second, and when all
-       connections of a fleet are reset at once each host needs to know of a few targets only. */
+    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; same as for requests */
+    WG_CHECK_OPEN_TIME =
+        30 * WG_USEC_PER_MSEC, /* a connection open for this long counts as accepted */
+    WG_CHECK_RETRY_DELAY = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
+    /* Limits the load of checks when many connections are reset at once. */
     WG_CHECKS_PER_SECOND = 4,
     WG_CHECK_TRIES = 2,
-    /* A connection that lasted so long was not one to a proxy before a target that had long ended.
-     */
-    WG_BROKEN_LASTED = 100 * WG_USEC_PER_MSEC,
-    /* For the registry to tell: a target is back after some seconds, and says so at once. */
-    WG_DOUBT_TIME = 5 * WG_USEC_PER_SEC,
-    WG_DOUBTS_MAX = 256
+    /* Minimum duration of a connection to a live target. A proxy closes a connection to an ended
+       target sooner. */
+    WG_SERVED_CONNECTION_TIME = 100 * WG_USEC_PER_MSEC,
+    /* Wait for the registry to report that the target ended or was replaced. */
+    WG_UNRESOLVED_TIMEOUT = 5 * WG_USEC_PER_SEC,
+    WG_UNRESOLVED_MAX = 256
 };
 
-/* A request that was under way when its connection ended. */
+/* Request whose connection ended before a complete answer. */
 typedef struct {
     char id[WG_NAME_MAX];
-    wg_crash crash; /* what it is evidence of, if the target has ended */
+    wg_crash crash; /* evidence to record if the target has ended */
     int64_t events;
     wg_time sent_at;
-    wg_time broken_at;
-    bool was_served; /* the target was there when the request came to it, as its connection shows */
-} wg_broken;
+    wg_time aborted_at;
+    bool was_served; /* the target was alive when it received the request */
+} wg_aborted_request;
 
 typedef struct {
     wg_entry* entry;
@@ -45,74 +44,75 @@
     struct bufferevent* bev;
     struct event* timer;
     bool connected;
-    bool waits; /* for the second try */
+    bool retry_pending; /* waits before the second try */
     int tries;
     wg_time since;
-    GArray* broken; /* wg_broken */
+    GArray* aborted; /* wg_aborted_request: aborted requests at the target */
 } wg_check;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static void _wg_check_hang_up(wg_check* check) {
+static void _wg_check_disconnect(wg_check* check) {
     g_clear_pointer(&check->bev, bufferevent_free);
 }
 
 static void _wg_check_free(void* data) {
     wg_check* check = data;
-    _wg_check_hang_up(check);
+    _wg_check_disconnect(check);
     event_free(check->timer);
-    g_array_unref(check->broken);
+    g_array_unref(check->aborted);
     g_free(check);
 }
 
-static void _wg_take_evidence(wg_entry* e, const wg_broken* broken) {
-    const wg_crash* crash = &broken->crash;
+static void _wg_record_evidence(wg_entry* e, const wg_aborted_request* aborted) {
+    const wg_crash* crash = &aborted->crash;
     wg_log(WG_EVENT_CRASH_EVIDENCE,
            "id=%s fingerprint=%016" G_GINT64_MODIFIER
            "x workspace=%s path=%s target=%u early=%d events=%" G_GINT64_FORMAT
            " after_ms=%" G_GINT64_FORMAT,
-           broken->id, crash->fingerprint, crash->workspace, crash->path, crash->target,
-           crash->early, broken->events, (broken->broken_at - broken->sent_at) / WG_USEC_PER_MSEC);
-    wg_entry_note_crash(e, crash);
+           aborted->id, crash->fingerprint, crash->workspace, crash->path, crash->target,
+           crash->early, aborted->events,
+           (aborted->aborted_at - aborted->sent_at) / WG_USEC_PER_MSEC);
+    wg_entry_record_crash(e, crash);
 }
 
 static void _wg_check_target_ended(wg_check* check, const char* how) {
     const wg_target* target = wg_registry_find(check->entry->registry, check->target);
     check->entry->counters.targets_ended++;
     wg_log(WG_EVENT_TARGET_ENDED, "target=%u id=%s address=%s how=%s broken=%u", check->target,
-           target ? target->id : "-", target ? target->address : "-", how, check->broken->len);
-    for (guint i = 0; i < check->broken->len; i++) {
-        _wg_take_evidence(check->entry, &g_array_index(check->broken, wg_broken, i));
+           target ? target->id : "-", target ? target->address : "-", how, check->aborted->len);
+    for (guint i = 0; i < check->aborted->len; i++) {
+        _wg_record_evidence(check->entry, &g_array_index(check->aborted, wg_aborted_request, i));
     }
-    /* At once: until all hosts know, each copy of the request costs another target. */
+    /* Report at once: until all hosts know, each copy of the request may crash another target. */
     wg_entry_report(check->entry, wg_now());
 }
 
-/* Keep what may be evidence until the registry tells; the oldest gives way. */
-static void _wg_doubt(wg_entry* e, const wg_broken* broken) {
-    if (!broken->was_served) {
+/* Keeps possible evidence until the registry resolves it; drops the oldest if the list is full. */
+static void _wg_add_unresolved(wg_entry* e, const wg_aborted_request* aborted) {
+    if (!aborted->was_served) {
         return;
     }
-    if (e->doubts->len >= WG_DOUBTS_MAX) {
-        g_array_remove_index(e->doubts, 0);
+    if (e->unresolved->len >= WG_UNRESOLVED_MAX) {
+        g_array_remove_index(e->unresolved, 0);
     }
-    g_array_append_val(e->doubts, *broken);
+    g_array_append_val(e->unresolved, *aborted);
 }
 
-static void _wg_check_target_stays(wg_check* check, const char* how) {
-    check->entry->counters.targets_stayed++;
+static void _wg_check_target_alive(wg_check* check, const char* how) {
+    check->entry->counters.targets_alive++;
     wg_log(WG_EVENT_TARGET_STAYS, "target=%u how=%s broken=%u", check->target, how,
-           check->broken->len);
-    for (guint i = 0; i < check->broken->len; i++) {
-        _wg_doubt(check->entry, &g_array_index(check->broken, wg_broken, i));
+           check->aborted->len);
+    for (guint i = 0; i < check->aborted->len; i++) {
+        _wg_add_unresolved(check->entry, &g_array_index(check->aborted, wg_aborted_request, i));
     }
 }
 
-static void _wg_check_over(wg_check* check, bool ended, const char* how) {
+static void _wg_check_finish(wg_check* check, bool ended, const char* how) {
     if (ended) {
         _wg_check_target_ended(check, how);
     } else {
-        _wg_check_target_stays(check, how);
+        _wg_check_target_alive(check, how);
     }
     g_hash_table_remove(check->entry->checks, GUINT_TO_POINTER(check->target));
 }
@@ -128,15 +128,15 @@
     bool refused = !check->connected && EVUTIL_SOCKET_ERROR() == ECONNREFUSED;
     if (what & BEV_EVENT_CONNECTED) {
         check->connected = true;
-        _wg_check_wait(check, WG_CHECK_STAYS);
+        _wg_check_wait(check, WG_CHECK_OPEN_TIME);
     } else if (refused) {
-        _wg_check_over(check, true, "refused");
+        _wg_check_finish(check, true, "refused");
     } else if (check->tries < WG_CHECK_TRIES) {
-        _wg_check_hang_up(check);
-        check->waits = true;
-        _wg_check_wait(check, WG_CHECK_AGAIN);
+        _wg_check_disconnect(check);
+        check->retry_pending = true;
+        _wg_check_wait(check, WG_CHECK_RETRY_DELAY);
     } else {
-        _wg_check_over(check, false, "closed-at-once");
+        _wg_check_finish(check, false, "closed-at-once");
     }
 }
 
@@ -148,36 +148,36 @@
         return false;
     }
     check->tries++;
-    check->waits = false;
+    check->retry_pending = false;
     check->connected = false;
     check->bev = bufferevent_socket_new(check->entry->base, -1,
                                         BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(check->bev, NULL, NULL, _wg_check_on_event, check);
     bufferevent_enable(check->bev, EV_READ);
-    _wg_check_wait(check, WG_CHECK_TIME);
+    _wg_check_wait(check, WG_CHECK_TIMEOUT);
     return bufferevent_socket_connect(check->bev, (struct sockaddr*)&address, size) == 0;
 }
 
-/* Nothing came of a connection in time: a cut, not an end, as far as this host can see. */
+/* A connection that is open or that timed out does not show that the target ended. */
 static void _wg_check_on_timer(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     wg_check* check = user_data;
-    if (!check->waits) {
-        _wg_check_over(check, false, check->connected ? "connected" : "no-answer");
+    if (!check->retry_pending) {
+        _wg_check_finish(check, false, check->connected ? "connected" : "no-answer");
     } else if (!_wg_check_connect(check)) {
-        _wg_check_over(check, false, "gone");
+        _wg_check_finish(check, false, "gone");
     }
 }
 
 static bool _wg_check_may_begin(wg_entry* e, wg_time now) {
-    if (now - e->checks_since >= WG_USEC_PER_SEC) {
-        e->checks_since = now;
+    if (now - e->checks_window_start >= WG_USEC_PER_SEC) {
+        e->checks_window_start = now;
         e->checks_num = 0;
     }
     bool may = e->checks_num < WG_CHECKS_PER_SECOND;
     e->checks_num += may;
-    e->counters.checks_left_out += !may;
+    e->counters.checks_skipped += !may;
     return may;
 }
 
@@ -189,7 +189,7 @@
     check->entry = e;
     check->target = target;
     check->since = now;
-    check->broken = g_array_new(FALSE, FALSE, sizeof(wg_broken));
+    check->aborted = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
     check->timer = evtimer_new(e->base, _wg_check_on_timer, check);
     if (!_wg_check_connect(check)) {
         _wg_check_free(check);
@@ -202,63 +202,64 @@
 static void _wg_check_add(wg_check* check, const wg_call* call, const wg_upstream* up) {
     bool began = up->state == WG_UPSTREAM_BODY;
     wg_time now = wg_now();
-    wg_broken broken = {.crash = {.fingerprint = call->fingerprint,
-                                  .target = up->target,
-                                  .early = began && call->events == 0},
-                        .events = call->events,
-                        .sent_at = call->sent_at,
-                        .broken_at = now};
-    broken.was_served = began || up->used || now - call->sent_at >= WG_BROKEN_LASTED;
-    wg_crash* crash = &broken.crash;
-    wg_copy_name(broken.id, sizeof broken.id, call->id);
+    wg_aborted_request aborted = {.crash = {.fingerprint = call->fingerprint,
+                                            .target = up->target,
+                                            .early = began && call->events == 0},
+                                  .events = call->events,
+                                  .sent_at = call->sent_at,
+                                  .aborted_at = now};
+    aborted.was_served = began || up->used || now - call->sent_at >= WG_SERVED_CONNECTION_TIME;
+    wg_crash* crash = &aborted.crash;
+    wg_copy_name(aborted.id, sizeof aborted.id, call->id);
     wg_copy_name(crash->workspace, sizeof crash->workspace,
                  call->workspace ? call->workspace->name : "-");
     g_snprintf(crash->path, sizeof crash->path, "%.*s",
                (int)MIN(call->head.target.size, sizeof crash->path - 1), call->head.target.text);
-    g_array_append_val(check->broken, broken);
+    g_array_append_val(check->aborted, aborted);
 }
 
 /* ---- functions of the library ---------------------------------------------------------------- */
 
 void wg_entry_check_setup(wg_entry* e) {
     e->checks = g_hash_table_new_full(NULL, NULL, NULL, _wg_check_free);
-    e->doubts = g_array_new(FALSE, FALSE, sizeof(wg_broken));
+    e->unresolved = g_array_new(FALSE, FALSE, sizeof(wg_aborted_request));
 }
 
 void wg_entry_check_shutdown(wg_entry* e) {
     g_hash_table_unref(e->checks);
-    g_array_unref(e->doubts);
+    g_array_unref(e->unresolved);
 }
 
-void wg_entry_check_doubts(wg_entry* e, wg_time now) {
-    bool told = false;
-    for (guint i = 0; i < e->doubts->len;) {
-        wg_broken broken = g_array_index(e->doubts, wg_broken, i);
-        const wg_target* target = wg_registry_find(e->registry, broken.crash.target);
+void wg_entry_check_unresolved(wg_entry* e, wg_time now) {
+    bool resolved = false;
+    for (guint i = 0; i < e->unresolved->len;) {
+        wg_aborted_request aborted = g_array_index(e->unresolved, wg_aborted_request, i);
+        const wg_target* target = wg_registry_find(e->registry, aborted.crash.target);
         bool ended = target && (target->state == WG_TARGET_SILENT || target->replaced);
         bool over = !target || target->state == WG_TARGET_DRAINING ||
-                    target->state == WG_TARGET_GONE || now - broken.broken_at >= WG_DOUBT_TIME;
+                    target->state == WG_TARGET_GONE ||
+                    now - aborted.aborted_at >= WG_UNRESOLVED_TIMEOUT;
         if (!ended && !over) {
             i++;
             continue;
         }
-        g_array_remove_index(e->doubts, i);
+        g_array_remove_index(e->unresolved, i);
         if (ended) {
-            _wg_take_evidence(e, &broken);
-            told = true;
+            _wg_record_evidence(e, &aborted);
+            resolved = true;
         }
     }
-    if (told) {
+    if (resolved) {
         wg_entry_report(e, now);
     }
 }
 
-void wg_entry_check_broken(wg_entry* e, const wg_call* call, const wg_upstream* up) {
+void wg_entry_check_target(wg_entry* e, const wg_call* call, const wg_upstream* up) {
     const wg_target* target = wg_registry_find(e->registry, up->target);
     bool expected =
         target && target->state != WG_TARGET_DRAINING && target->state != WG_TARGET_GONE;
     if (!expected) {
-        return; /* it leaves, or is known to be gone: its end says nothing of the request */
+        return; /* draining or removed: its end is no evidence against the request */
     }
     wg_check* check = g_hash_table_lookup(e->checks, GUINT_TO_POINTER(up->target));
     if (!check) {
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -1,4 +1,4 @@
-/* wg_entry_client.c -- callers' connections: strict heads, bodies, limits, idle time */
+/* wg_entry_client.c -- callers' connections: strict parsing of requests, limits, timeouts */
 #include "wg_entry_internal.h"
 
 #include <errno.h>
@@ -8,13 +8,13 @@
 #include <sys/socket.h>
 
 enum {
-    WG_HEAD_TIME_START = 3 * WG_USEC_PER_SEC,  /* while there is no configuration */
-    WG_IDLE_TIME_START = 15 * WG_USEC_PER_SEC, /* the same */
-    WG_ENDING_TIME = 2 * WG_USEC_PER_SEC,      /* for the last answer to leave */
+    WG_HEAD_TIMEOUT_START = 3 * WG_USEC_PER_SEC,  /* before a configuration is known */
+    WG_IDLE_TIMEOUT_START = 15 * WG_USEC_PER_SEC, /* before a configuration is known */
+    WG_ENDING_TIMEOUT = 2 * WG_USEC_PER_SEC,      /* to flush the last answer */
     WG_LISTEN_BACKLOG = 512
 };
 
-static void wg_client_next(wg_client* client);
+static void wg_client_process_input(wg_client* client);
 
 /* ---- helpers -------------------------------------------------------------------------------- */
 
@@ -26,7 +26,7 @@
         }
     }
     if (evbuffer_get_length(bytes) > 0) {
-        evbuffer_add_buffer(out, bytes); /* an error shows when the loop writes it */
+        evbuffer_add_buffer(out, bytes); /* errors are reported when the loop writes */
     }
 }
 
@@ -48,8 +48,8 @@
     wg_client_leave_idle(client);
     GPtrArray* clients = client->entry->clients;
     wg_client* last = clients->pdata[clients->len - 1];
-    last->at = client->at;
-    g_ptr_array_remove_index_fast(clients, client->at);
+    last->index = client->index;
+    g_ptr_array_remove_index_fast(clients, client->index);
     event_free(client->watch);
     bufferevent_free(client->bev);
     g_free(client->head_bytes);
@@ -64,13 +64,13 @@
         wg_call* call = client->call;
         client->call = NULL;
         call->client = NULL;
-        wg_call_caller_left(call);
+        wg_call_caller_disconnected(call);
     }
     wg_client_free(client);
 }
 
-/* While a request is under way only the end of the caller's connection is waited for, before all
-   new requests. Bytes are left for later. */
+/* While a call is in progress, only watches for the end of the caller's connection, at a higher
+   priority than new requests. Input stays in the socket. */
 static void wg_client_watch(wg_client* client, bool busy) {
     if (busy && !client->watched) {
         event_add(client->watch, NULL);
@@ -82,8 +82,8 @@
     client->watched = busy;
 }
 
-/* The caller of a request that is under way has left, or has sent its next request already. After
-   that its end can only be read behind the request. */
+/* The caller closed the connection, or sent its next request already. In the latter case the end of
+   the connection can only be detected by reading that request. */
 static void wg_client_on_watch(evutil_socket_t fd, short what, void* user_data) {
     (void)what;
     wg_client* client = user_data;
@@ -96,11 +96,11 @@
     wg_client_watch(client, false);
 }
 
-static void wg_client_enter(wg_client* client, wg_client_state state) {
+static void wg_client_set_state(wg_client* client, wg_client_state state) {
     client->state = state;
-    client->since = wg_now();
-    client->begun = false;
-    client->looked_at = 0;
+    client->state_since = wg_now();
+    client->head_started = false;
+    client->bytes_examined = 0;
     wg_client_watch(client, state == WG_CLIENT_BUSY);
     if (state == WG_CLIENT_HEAD) {
         wg_client_enter_idle(client);
@@ -109,9 +109,9 @@
     }
 }
 
-/* Close once what was written has left. */
+/* Closes once the output is flushed. */
 static void wg_client_end(wg_client* client) {
-    wg_client_enter(client, WG_CLIENT_ENDING);
+    wg_client_set_state(client, WG_CLIENT_ENDING);
     if (evbuffer_get_length(bufferevent_get_output(client->bev)) == 0) {
         shutdown(bufferevent_getfd(client->bev), SHUT_WR);
     }
@@ -154,25 +154,24 @@
     return e->config ? e->config->limits.body_bytes : WGH_BODY_MAX_DEFAULT;
 }
 
-/* Has the caller sent something that this host has not looked at? At a host that is behind it waits
-   for its turn, and the caller is neither resting nor slow: closing such connections left requests
-   without an answer, and refused as too slow who had sent all in time. */
+/* Whether there is input that was not examined yet. On an overloaded host such a connection must be
+   treated neither as idle nor as slow. */
 static bool wg_client_has_unread(const wg_client* client) {
     char byte;
-    return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->looked_at ||
+    return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->bytes_examined ||
            recv(bufferevent_getfd(client->bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool wg_socket_peer_has_left(struct bufferevent* bev) {
+bool wg_socket_peer_has_closed(struct bufferevent* bev) {
     char byte;
     return recv(bufferevent_getfd(bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-/* The request is whole: begin its call, unless its caller left while it stood in line at a busy
-   host. The loop would tell after the request was sent to a target, which would work for nobody. */
+/* Starts the call of a complete request, unless the caller has closed meanwhile. The event loop
+   would report that only after the request was sent to a target. */
 static void wg_client_start_call(wg_client* client) {
-    if (wg_socket_peer_has_left(client->bev)) {
-        client->entry->counters.left++;
+    if (wg_socket_peer_has_closed(client->bev)) {
+        client->entry->counters.caller_disconnects++;
         wg_client_close(client);
         return;
     }
@@ -181,11 +180,11 @@
     struct evbuffer* body = client->body_bytes;
     client->head_bytes = NULL;
     client->body_bytes = NULL;
-    wg_client_enter(client, WG_CLIENT_BUSY);
+    wg_client_set_state(client, WG_CLIENT_BUSY);
     wg_call_begin(client, bytes, size, body);
 }
 
-/* False when the body is not whole yet, or was refused. */
+/* False if the body is incomplete or was refused. */
 static bool wg_client_read_body(wg_client* client) {
     wg_body_state state =
         wg_body_read(&client->body, bufferevent_get_input(client->bev), client->body_bytes);
@@ -210,10 +209,10 @@
         wg_socket_write(client->bev, out);
         evbuffer_free(out);
     }
-    wg_client_enter(client, WG_CLIENT_BODY);
+    wg_client_set_state(client, WG_CLIENT_BODY);
 }
 
-/* False when there is no whole head yet, or it was refused. */
+/* False if the head is incomplete or was refused. */
 static bool wg_client_read_head(wg_client* client) {
     struct evbuffer* in = bufferevent_get_input(client->bev);
     size_t max = wg_client_head_max(client->entry);
@@ -221,16 +220,16 @@
     if (have == 0) {
         return false;
     }
-    if (!client->begun) {
-        client->begun = true;
-        client->since = wg_now();
+    if (!client->head_started) {
+        client->head_started = true;
+        client->state_since = wg_now();
         wg_client_leave_idle(client);
     }
     size_t look = MIN(have, max + 1);
     const char* bytes = (const char*)evbuffer_pullup(in, (ev_ssize_t)look);
     size_t size = wg_message_head_size(bytes, look);
     if (size == 0 || size > max) {
-        client->looked_at = have;
+        client->bytes_examined = have;
         if (have > max) {
             wg_client_reject(client, 431, "head_too_large");
         }
@@ -254,8 +253,8 @@
     return true;
 }
 
-/* Take the next step with what has come. */
-static void wg_client_next(wg_client* client) {
+/* Advances the connection with the input received. */
+static void wg_client_process_input(wg_client* client) {
     if (client->state == WG_CLIENT_ENDING) {
         struct evbuffer* in = bufferevent_get_input(client->bev);
         evbuffer_drain(in, evbuffer_get_length(in));
@@ -271,7 +270,7 @@
 
 static void wg_client_on_read(struct bufferevent* bev, void* user_data) {
     (void)bev;
-    wg_client_next(user_data);
+    wg_client_process_input(user_data);
 }
 
 static void wg_client_on_write(struct bufferevent* bev, void* user_data) {
@@ -292,42 +291,39 @@
 
 /* ---- functions of the library --------------------------------------------------------------- */
 
-void wg_client_call_over(wg_client* client, bool keep) {
+void wg_client_call_ended(wg_client* client, bool keep) {
     client->call = NULL;
     client->answered = true;
     if (!keep) {
         wg_client_end(client);
         return;
     }
-    wg_client_enter(client, WG_CLIENT_HEAD);
+    wg_client_set_state(client, WG_CLIENT_HEAD);
     if (evbuffer_get_length(bufferevent_get_input(client->bev)) > 0) {
         bufferevent_trigger(client->bev, EV_READ, BEV_TRIG_DEFER_CALLBACKS);
     }
 }
 
-/* How many connections of callers there may be: some descriptors are left for targets, and what
-   targets and other hosts have already is taken off. Without descriptors a new caller cannot be
-   taken off the listener's queue, which then wakes the loop again and again. */
-static guint wg_client_most(const wg_entry* e) {
+/* Maximum number of callers' connections. Reserves descriptors for connections to targets and other
+   hosts: without free descriptors accept() fails and the listener wakes the loop continuously. */
+static guint wg_client_connections_max(const wg_entry* e) {
     enum {
-        CALLERS_PERCENT = 70,
-        ALL_PERCENT =
-            95 /* the rest is for pages, their callers, and connections that are closing */
+        CALLERS_MAX_PERCENT = 70,
+        DESCRIPTORS_MAX_PERCENT = 95 /* remainder: operator endpoints and closing connections */
     };
-    int64_t most = e->settings->callers_max;
+    int64_t limit_num = e->settings->callers_max;
     int64_t descriptors = e->settings->descriptors;
     if (descriptors > 0) {
         int64_t others = e->upstreams_num + wgn_query_stats(e->net).links;
-        most = MIN(most, descriptors * CALLERS_PERCENT / 100);
-        most = MIN(most, descriptors * ALL_PERCENT / 100 - others);
+        limit_num = MIN(limit_num, descriptors * CALLERS_MAX_PERCENT / 100);
+        limit_num = MIN(limit_num, descriptors * DESCRIPTORS_MAX_PERCENT / 100 - others);
     }
-    return (guint)MAX(most, 1);
+    return (guint)MAX(limit_num, 1);
 }
 
-/* Room for one more: the connection that was idle longest gives way, as it would at the end of its
-   idle time. False when none rests. */
+/* Closes the longest idle connection if the limit is reached. False if no connection is idle. */
 static bool wg_client_make_room(wg_entry* e) {
-    if (e->clients->len < wg_client_most(e)) {
+    if (e->clients->len < wg_client_connections_max(e)) {
         return true;
     }
     wg_client* oldest;
@@ -335,7 +331,7 @@
         wg_client_leave_idle(oldest);
     }
     if (!oldest) {
-        e->counters.callers_turned_away++;
+        e->counters.callers_refused++;
         return false;
     }
     e->counters.callers_replaced++;
@@ -367,9 +363,9 @@
                       client);
     client->watch = event_new(e->base, fd, EV_READ, wg_client_on_watch, client);
     wg_loop_put_event_first(client->watch);
-    client->at = e->clients->len;
+    client->index = e->clients->len;
     g_ptr_array_add(e->clients, client);
-    wg_client_enter(client, WG_CLIENT_HEAD);
+    wg_client_set_state(client, WG_CLIENT_HEAD);
     bufferevent_enable(client->bev, EV_READ | EV_WRITE);
 }
 
@@ -389,18 +385,18 @@
     return e->listener != NULL;
 }
 
-/* Time that a connection may spend in its state; 0: as long as its call. */
-static wg_time wg_client_limit(const wg_client* client) {
+/* Maximum time in the current state; 0: not limited. */
+static wg_time wg_client_state_timeout(const wg_client* client) {
     const wg_config* config = client->entry->config;
-    wg_time head = config ? config->limits.head_time : WG_HEAD_TIME_START;
-    wg_time idle = config ? config->limits.idle_time : WG_IDLE_TIME_START;
+    wg_time head = config ? config->limits.head_time : WG_HEAD_TIMEOUT_START;
+    wg_time idle = config ? config->limits.idle_time : WG_IDLE_TIMEOUT_START;
     switch (client->state) {
     case WG_CLIENT_HEAD:
-        return client->begun ? head : idle;
+        return client->head_started ? head : idle;
     case WG_CLIENT_BODY:
         return idle;
     case WG_CLIENT_ENDING:
-        return WG_ENDING_TIME;
+        return WG_ENDING_TIMEOUT;
     case WG_CLIENT_BUSY:
         break;
     }
@@ -408,15 +404,16 @@
 }
 
 static bool wg_client_is_sending(const wg_client* client) {
-    return client->state == WG_CLIENT_BODY || (client->state == WG_CLIENT_HEAD && client->begun);
+    return client->state == WG_CLIENT_BODY ||
+           (client->state == WG_CLIENT_HEAD && client->head_started);
 }
 
-/* Has it been in its state for too long? Not while what it sent waits unread, but for half a
-   request twice the limit is the most: bytes that come one by one do not hold a connection for
-   ever. */
-static bool wg_client_is_over(const wg_client* client, wg_time now) {
-    wg_time limit = wg_client_limit(client);
-    wg_time spent = now - client->since;
+/* Whether the connection exceeded the timeout of its state. Unread input extends the timeout, for
+   an incomplete request at most to twice its length, so that a slow sender cannot hold a
+   connection indefinitely. */
+static bool wg_client_is_expired(const wg_client* client, wg_time now) {
+    wg_time limit = wg_client_state_timeout(client);
+    wg_time spent = now - client->state_since;
     if (limit == 0 || spent < limit) {
         return false;
     }
@@ -425,7 +422,7 @@
     return !may_wait || !wg_client_has_unread(client);
 }
 
-bool wg_client_any_sends(const wg_entry* e) {
+bool wg_client_any_sending(const wg_entry* e) {
     for (guint i = 0; i < e->clients->len; i++) {
         const wg_client* client = e->clients->pdata[i];
         bool waits = client->state == WG_CLIENT_HEAD && wg_client_has_unread(client);
@@ -439,7 +436,7 @@
 void wg_client_tick(wg_entry* e, wg_time now) {
     for (guint i = e->clients->len; i > 0; i--) {
         wg_client* client = e->clients->pdata[i - 1];
-        if (!wg_client_is_over(client, now)) {
+        if (!wg_client_is_expired(client, now)) {
             continue;
         }
         if (wg_client_is_sending(client)) {
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -1,7 +1,7 @@
-/* wg_entry_orders.c -- orders of operators and targets on their way to the leader
+/* wg_entry_orders.c -- orders of operators and targets, forwarded to the leader
 
-   An order waits until a leader answers it or its time is over; a lost link or another leader has
-   it sent again. */
+   An order is pending until a leader answers it or it times out. It is sent again after a link
+   failure or a change of leader. */
 #include "wg_document.h"
 
 #include "wg_entry_internal.h"
@@ -15,7 +15,7 @@
     g_free(order);
 }
 
-static void wg_entry_order_forget(struct evhttp_connection* connection, void* user_data) {
+static void wg_entry_order_on_sender_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     wg_entry_order* order = user_data;
     wgh_request_lost(order->request);
@@ -37,31 +37,31 @@
     }
 }
 
-/* Heartbeats come by the hundred a second: of these only what was not done is told. */
+/* Orders of targets are frequent, so only those that were not applied are logged. */
 static void wg_entry_log_order(wg_entry* e, const wg_entry_order* order, wg_order_outcome outcome,
                                wg_time now) {
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
-    bool plain = order->of_target && outcome == WG_ORDER_DONE;
+    bool plain = order->from_target && outcome == WG_ORDER_DONE;
     if (plain || !wg_entry_may_log(e, now)) {
         return;
     }
     wg_log(WG_EVENT_ORDER_ANSWERED,
            "kind=%s version=%" G_GUINT64_FORMAT " outcome=%s after_ms=%" G_GINT64_FORMAT
            " control=%s leader=%d leaderless_ms=%" G_GINT64_FORMAT " sender=%s",
-           order->of_target ? "target"
-           : order->read    ? "read"
-           : order->version ? "configuration"
-                            : "evacuation",
-           order->version, wgw_outcome_name(outcome), (now - order->since) / WG_USEC_PER_MSEC,
+           order->from_target ? "target"
+           : order->is_read   ? "read"
+           : order->version   ? "configuration"
+                              : "evacuation",
+           order->version, wgw_outcome_name(outcome), (now - order->received_at) / WG_USEC_PER_MSEC,
            peer ? peer->name : "-", e->leader_known,
            wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC,
            order->request ? "waits" : "left");
 }
 
-/* Whose sender has left was perhaps sent again elsewhere, and the opposite after it. */
+/* An order whose sender has closed may have been retried at another host and superseded there. */
 static bool wg_entry_order_is_stale(struct evhttp_request* request) {
     struct evhttp_connection* connection = evhttp_request_get_connection(request);
-    return wg_socket_peer_has_left(evhttp_connection_get_bufferevent(connection));
+    return wg_socket_peer_has_closed(evhttp_connection_get_bufferevent(connection));
 }
 
 void wg_entry_order_begin(wg_entry* e, struct evhttp_request* request, const Wgpb__Order* desc) {
@@ -74,14 +74,14 @@
     message.ticket = ++e->counter;
     order->ticket = message.ticket;
     order->request = request;
-    order->read = desc->read_configuration;
-    order->of_target = desc->target != NULL;
+    order->is_read = desc->read_configuration;
+    order->from_target = desc->target != NULL;
     order->version = desc->configuration ? desc->configuration->version : 0;
     order->packed = wgw_pack(&message.base);
-    order->since = wg_now();
-    order->until = order->since + e->settings->order_ms * WG_USEC_PER_MSEC;
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), wg_entry_order_forget,
-                                  order);
+    order->received_at = wg_now();
+    order->expires_at = order->received_at + e->settings->order_ms * WG_USEC_PER_MSEC;
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request),
+                                  wg_entry_order_on_sender_closed, order);
     g_queue_push_tail(&e->orders, order);
     wg_entry_send_order(e, order);
 }
@@ -97,7 +97,7 @@
     wg_entry_order_free(order);
 }
 
-static void wg_entry_take_outcome(wg_entry* e, GList* at, const Wgpb__OrderAnswer* in) {
+static void wg_entry_order_apply_outcome(wg_entry* e, GList* at, const Wgpb__OrderAnswer* in) {
     GError* error = NULL;
     GBytes* document = in->configuration ? wg_document_read(in->configuration, NULL, &error) : NULL;
     wg_order_outcome outcome = error ? WG_ORDER_UNKNOWN : (wg_order_outcome)in->outcome;
@@ -109,29 +109,29 @@
     g_clear_pointer(&document, g_bytes_unref);
 }
 
-void wg_entry_orders_take_answer(wg_entry* e, const Wgpb__OrderAnswer* in) {
+void wg_entry_orders_apply_answer(wg_entry* e, const Wgpb__OrderAnswer* in) {
     for (GList* at = e->orders.head; at; at = at->next) {
         wg_entry_order* order = at->data;
         if (order->ticket != in->ticket) {
             continue;
         }
         if (in->outcome == WG_ORDER_NOT_LEADER || in->outcome == WG_ORDER_UNKNOWN) {
-            order->sent = false; /* the next tick asks again, whoever leads then */
+            order->sent = false; /* sent again at the next tick */
         } else {
-            wg_entry_take_outcome(e, at, in);
+            wg_entry_order_apply_outcome(e, at, in);
         }
         return;
     }
 }
 
-/* A leader that was late may refuse an order and have its lease again before anybody was told: no
-   word of another leader comes then, so what is not sent is sent with each tick. */
+/* Retries at each tick: a leader may refuse an order while its lease is expired and then renew the
+   lease, without any notification of a leader change. */
 void wg_entry_orders_tick(wg_entry* e, wg_time now) {
     GList* next;
     for (GList* at = e->orders.head; at; at = next) {
         wg_entry_order* order = at->data;
         next = at->next;
-        if (now >= order->until) {
+        if (now >= order->expires_at) {
             wg_entry_order_end(e, at, WG_ORDER_UNKNOWN, NULL);
         } else if (!order->sent) {
             wg_entry_send_order(e, order);
@@ -139,7 +139,7 @@
     }
 }
 
-void wg_entry_orders_link_lost(wg_entry* e) {
+void wg_entry_orders_link_down(wg_entry* e) {
     for (GList* at = e->orders.head; at; at = at->next) {
         ((wg_entry_order*)at->data)->sent = false;
     }
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -1,25 +1,23 @@
-/* wg_entry_quarantine.c -- requests that end targets: what this host saw, and what it was told
+/* wg_entry_quarantine.c -- requests that crash targets: local evidence and the leader's quarantine
 
-   Evidence goes to the leader with the next report. A quarantine comes back with the state and is
-   in force at once, also for requests that wait here or that a target has not begun. Without a
-   leader this host goes by what it saw itself. */
+   Evidence is sent to the leader with the next report. The leader's quarantine list arrives with
+   the state and applies at once, also to queued requests and to those that a target has not started
+   to answer. Without a leader this host uses its own evidence. */
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CRASHES_TOLD_MAX = 256, /* in one report, 40 KB at most; the rest goes with the next one */
-    WG_ENDED_WELL_MAX = 256,   /* no more are quarantined */
-    WG_SUSPECTS_TICK = WG_USEC_PER_SEC
+    WG_CRASHES_REPORTED_MAX = 256, /* per report; the remainder follows in the next one */
+    WG_COMPLETIONS_MAX = 256,      /* maximum length of the quarantine list */
+    WG_SUSPECTS_INTERVAL = WG_USEC_PER_SEC
 };
 
-/* Seconds. Long beside a caller's patience, so that a caller that heeds it does not come again;
-   short beside the time for which the request is refused, so that one that is let through early
-   waits no longer than that. */
+/* Seconds. Longer than callers usually retry, and shorter than the quarantine, so that a request
+   released early is not delayed much. */
 static const double WG_QUARANTINE_RETRY_AFTER = 60;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* A target that has begun to answer may not be stopped any more; one that still has the request in
-   its queue drops it. */
+/* A call may be stopped until its target starts to answer. */
 static bool _wg_call_may_stop(const wg_call* call) {
     return !call->upstream || call->upstream->state == WG_UPSTREAM_CONNECTING ||
            call->upstream->state == WG_UPSTREAM_HEAD;
@@ -40,14 +38,14 @@
     g_ptr_array_unref(calls);
 }
 
-static void _wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint) {
-    if (e->ended_well->len < WG_ENDED_WELL_MAX) {
+static void _wg_entry_queue_completion(wg_entry* e, uint64_t fingerprint) {
+    if (e->ended_well->len < WG_COMPLETIONS_MAX) {
         g_array_append_val(e->ended_well, fingerprint);
         e->report_at = 0;
     }
 }
 
-/* The first quarantined request that is not in `other` and comes behind `at`; 0: none. */
+/* Next fingerprint in `q` from index `*at` that is not in `other`; advances `*at`. 0: none. */
 static uint64_t _wg_quarantine_next_new(const wg_quarantine* q, const wg_quarantine* other,
                                         int* at) {
     const wg_quarantined* entry;
@@ -59,9 +57,9 @@
     return 0;
 }
 
-static void _wg_entry_take_begun(wg_entry* e, uint64_t fingerprint, wg_time now) {
+static void _wg_entry_apply_new_quarantine(wg_entry* e, uint64_t fingerprint, wg_time now) {
     if (wg_suspects_ended_well(e->suspects, now, fingerprint)) {
-        _wg_entry_note_ended_well(e, fingerprint);
+        _wg_entry_queue_completion(e, fingerprint);
     }
     _wg_entry_stop_calls(e, fingerprint);
 }
@@ -106,7 +104,7 @@
     wg_call_refuse(call, may_have_run ? 502 : 503, "quarantined", WG_QUARANTINE_RETRY_AFTER);
 }
 
-void wg_entry_note_crash(wg_entry* e, const wg_crash* crash) {
+void wg_entry_record_crash(wg_entry* e, const wg_crash* crash) {
     wg_time now = wg_now();
     const wg_suspect* before = wg_suspects_find(e->suspects, crash->fingerprint);
     bool was_due = before && wg_suspect_is_due(before);
@@ -125,44 +123,44 @@
     }
 }
 
-void wg_entry_note_ended_well(wg_entry* e, uint64_t fingerprint) {
+void wg_entry_record_completion(wg_entry* e, uint64_t fingerprint) {
     wg_suspects_clear(e->suspects, wg_now(), fingerprint);
     if (wg_quarantine_holds(e->quarantine, fingerprint)) {
-        _wg_entry_note_ended_well(e, fingerprint);
+        _wg_entry_queue_completion(e, fingerprint);
     }
 }
 
-void wg_entry_take_quarantine(wg_entry* e, const Wgpb__EntryState* in) {
+void wg_entry_apply_quarantine(wg_entry* e, const Wgpb__EntryState* in) {
     if (in->quarantine_change == wg_quarantine_change(e->quarantine)) {
         return;
     }
     wg_time now = wg_now();
-    wg_quarantine* former = e->quarantine;
+    wg_quarantine* previous = e->quarantine;
     e->quarantine = wg_quarantine_setup(&(wg_quarantine_desc){0});
     wg_quarantine_copy(e->quarantine, in->quarantine_change, in->quarantined, in->n_quarantined);
     int begun = 0;
     int ended = 0;
     uint64_t fingerprint;
-    for (int at = 0; (fingerprint = _wg_quarantine_next_new(e->quarantine, former, &at));) {
-        _wg_entry_take_begun(e, fingerprint, now);
+    for (int at = 0; (fingerprint = _wg_quarantine_next_new(e->quarantine, previous, &at));) {
+        _wg_entry_apply_new_quarantine(e, fingerprint, now);
         begun++;
     }
-    for (int at = 0; (fingerprint = _wg_quarantine_next_new(former, e->quarantine, &at));) {
+    for (int at = 0; (fingerprint = _wg_quarantine_next_new(previous, e->quarantine, &at));) {
         wg_suspects_forget(e->suspects, fingerprint);
         ended++;
     }
-    wg_quarantine_shutdown(former);
+    wg_quarantine_shutdown(previous);
     _wg_entry_log_quarantine(e, begun, ended);
 }
 
-/* Another leader, or another life of this one, knows nothing of what this host saw. */
-void wg_entry_tell_crashes_again(wg_entry* e) {
+/* A new leader, or a new incarnation of the same one, does not have this host's evidence. */
+void wg_entry_requeue_crashes(wg_entry* e) {
     g_array_unref(e->crashes);
     e->crashes = wg_suspects_crashes(e->suspects);
 }
 
 wg_crash_report wg_entry_fill_crashes(wg_entry* e, Wgpb__EntryReport* report) {
-    guint num = MIN(e->crashes->len, (guint)WG_CRASHES_TOLD_MAX);
+    guint num = MIN(e->crashes->len, (guint)WG_CRASHES_REPORTED_MAX);
     wg_crash_report out = {
         .items = g_new(Wgpb__Crash, num + 1), .list = g_new(Wgpb__Crash*, num + 1), .num = num};
     for (guint i = 0; i < num; i++) {
@@ -183,7 +181,7 @@
     return out;
 }
 
-void wg_entry_crashes_told(wg_entry* e, wg_crash_report* report) {
+void wg_entry_crashes_reported(wg_entry* e, wg_crash_report* report) {
     g_array_remove_range(e->crashes, 0, report->num);
     g_array_set_size(e->ended_well, 0);
     g_free(report->list);
@@ -191,8 +189,8 @@
 }
 
 void wg_entry_quarantine_tick(wg_entry* e, wg_time now) {
-    if (now - e->suspects_at >= WG_SUSPECTS_TICK) {
-        e->suspects_at = now;
+    if (now - e->suspects_expired_at >= WG_SUSPECTS_INTERVAL) {
+        e->suspects_expired_at = now;
         wg_suspects_tick(e->suspects, now);
     }
 }
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -1,4 +1,4 @@
-/* wg_entry_upstream.c -- connections to targets and the answers that come on them */
+/* wg_entry_upstream.c -- connections to targets, and answers received on them */
 #include "wg_entry_internal.h"
 #include "wg_forward.h"
 
@@ -9,9 +9,9 @@
 #include <sys/socket.h>
 
 enum {
-    WG_CONNECT_TIME = 250 * WG_USEC_PER_MSEC,
-    WG_IDLE_TIME = 4 * WG_USEC_PER_SEC,     /* when the target tells none */
-    WG_IDLE_MARGIN = 700 * WG_USEC_PER_MSEC /* before the time that it tells */
+    WG_CONNECT_TIMEOUT = 250 * WG_USEC_PER_MSEC,
+    WG_IDLE_TIMEOUT = 4 * WG_USEC_PER_SEC,  /* if the target reports no keep-alive time */
+    WG_IDLE_MARGIN = 700 * WG_USEC_PER_MSEC /* subtracted from the reported keep-alive time */
 };
 
 static void wg_upstream_on_read(struct bufferevent* bev, void* user_data);
@@ -21,7 +21,7 @@
 
 static void wg_upstream_count_out(const wg_upstream* up, size_t bytes) {
     up->entry->counters.target_bytes_out += bytes;
-    up->entry->counters.target_far_bytes_out += up->far ? bytes : 0;
+    up->entry->counters.target_remote_bytes_out += up->remote ? bytes : 0;
 }
 
 static void wg_upstream_count_in(struct evbuffer* buffer, const struct evbuffer_cb_info* info,
@@ -29,7 +29,7 @@
     (void)buffer;
     const wg_upstream* up = user_data;
     up->entry->counters.target_bytes_in += info->n_added;
-    up->entry->counters.target_far_bytes_in += up->far ? info->n_added : 0;
+    up->entry->counters.target_remote_bytes_in += up->remote ? info->n_added : 0;
 }
 
 /* ---- helpers: idle connections -------------------------------------------------------------- */
@@ -46,7 +46,7 @@
 static void wg_upstream_clear_answer(wg_upstream* up) {
     g_free(up->bytes);
     up->bytes = NULL;
-    up->events = false;
+    up->is_event_stream = false;
     up->paused = false;
     evbuffer_drain(up->content, evbuffer_get_length(up->content));
 }
@@ -73,7 +73,7 @@
                     evbuffer_get_length(bufferevent_get_output(up->bev)) == 0 &&
                     wg_entry_may_keep(up->entry, target) && !up->entry->stopping;
     wg_time limit = up->head.keep_time >= 0 ? up->head.keep_time * WG_USEC_PER_SEC - WG_IDLE_MARGIN
-                                            : WG_IDLE_TIME;
+                                            : WG_IDLE_TIMEOUT;
     up->call = NULL;
     if (!reusable || limit <= 0) {
         wg_upstream_close(up);
@@ -90,8 +90,8 @@
     g_queue_push_head_link(wg_upstream_idle(up->entry, up->target), &up->idle_link);
 }
 
-/* Take the connection that was idle longest out of its queue; NULL when there is none. */
-static wg_upstream* wg_upstream_take_oldest(GQueue* queue) {
+/* Removes the longest idle connection from `queue`; NULL if there is none. */
+static wg_upstream* wg_upstream_pop_oldest(GQueue* queue) {
     GList* link = g_queue_pop_tail_link(queue);
     wg_upstream* up = link ? link->data : NULL;
     if (up) {
@@ -101,7 +101,7 @@
 }
 
 static void wg_upstream_close_queue(GQueue* queue) {
-    for (wg_upstream* up; (up = wg_upstream_take_oldest(queue));) {
+    for (wg_upstream* up; (up = wg_upstream_pop_oldest(queue));) {
         wg_upstream_close(up);
     }
 }
@@ -118,13 +118,13 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         GQueue* queue = value;
         while (wg_upstream_is_stale(queue, now)) {
-            wg_upstream_close(wg_upstream_take_oldest(queue));
+            wg_upstream_close(wg_upstream_pop_oldest(queue));
         }
     }
 }
 
-/* Targets that take no more work need no idle connections. */
-void wg_upstream_forget(wg_entry* e) {
+/* Closes idle connections to targets that no longer accept work. */
+void wg_upstream_drop_unusable(wg_entry* e) {
     GHashTableIter iter;
     gpointer key;
     gpointer value;
@@ -158,7 +158,7 @@
     wg_entry* e = up->entry;
     const wg_target* source =
         call->choice.source ? wg_registry_find(e->registry, call->choice.source) : NULL;
-    wg_time left = MIN(call->until, call->deadline) - wg_now();
+    wg_time left = MIN(call->expires_at, call->deadline) - wg_now();
     wg_forward forward = {.head = &call->head,
                           .deadline_ms = MAX(left / WG_USEC_PER_MSEC, 1),
                           .target_id = target->id,
@@ -179,7 +179,7 @@
     up->call = call;
     call->upstream = up;
     if (up->state == WG_UPSTREAM_CONNECTING) {
-        return; /* sent once the connection is up */
+        return; /* sent when the connection is established */
     }
     const wg_target* target = wg_registry_find(up->entry->registry, up->target);
     up->state = WG_UPSTREAM_HEAD;
@@ -197,26 +197,27 @@
     wg_call_attempt_failed(call, up, reason);
 }
 
-/* The target has to echo the id of the request; another one belongs to an earlier request. */
-static bool wg_upstream_is_for_call(const wg_upstream* up) {
+/* Targets echo the request id; a different id means that the answer belongs to an earlier request.
+ */
+static bool wg_upstream_matches_call(const wg_upstream* up) {
     wg_text echoed = wg_message_field(&up->head, up->entry->names->request_id);
     return !echoed.text || !up->call->id[0] ||
            (echoed.size == strlen(up->call->id) &&
             memcmp(echoed.text, up->call->id, echoed.size) == 0);
 }
 
-/* What the target asks of this host, whichever request the answer belongs to. */
-static void wg_upstream_take_wish(wg_upstream* up) {
+/* Backoff hints apply whichever request the answer belongs to. */
+static void wg_upstream_record_hint(wg_upstream* up) {
     wg_entry* e = up->entry;
-    wg_backoff_wish wish = {.status = up->head.status};
+    wg_backoff_wish hint = {.status = up->head.status};
     for (int i = 0; i < up->head.fields_num; i++) {
         const wg_message_pair* f = &up->head.fields[i];
-        wg_backoff_read_field(&wish, e->names->leaving, f->name, f->value);
+        wg_backoff_read_field(&hint, e->names->leaving, f->name, f->value);
     }
-    up->rest = wg_entry_note_answer(e, up->target, &wish, up->call->id);
+    up->backoff_time = wg_entry_record_answer(e, up->target, &hint, up->call->id);
 }
 
-/* False when there is no whole head yet, or the connection is gone. */
+/* False if the head is incomplete, or `up` was closed. */
 static bool wg_upstream_read_head(wg_upstream* up) {
     struct evbuffer* in = bufferevent_get_input(up->bev);
     for (;;) {
@@ -240,15 +241,16 @@
             break;
         }
     }
-    wg_upstream_take_wish(up);
-    if (!wg_upstream_is_for_call(up)) {
+    wg_upstream_record_hint(up);
+    if (!wg_upstream_matches_call(up)) {
         wg_upstream_fail(up, "answer-of-another-request");
         return false;
     }
     wg_text type = wg_message_field(&up->head, "Content-Type");
     static const char event_stream[] = "text/event-stream";
-    up->events = type.size >= sizeof event_stream - 1 &&
-                 g_ascii_strncasecmp(type.text, event_stream, sizeof event_stream - 1) == 0;
+    up->is_event_stream =
+        type.size >= sizeof event_stream - 1 &&
+        g_ascii_strncasecmp(type.text, event_stream, sizeof event_stream - 1) == 0;
     wg_body_begin(&up->body, &up->head);
     up->state = WG_UPSTREAM_BODY;
     return true;
@@ -258,7 +260,7 @@
     (void)bev;
     wg_upstream* up = user_data;
     if (up->state == WG_UPSTREAM_IDLE || !up->call) {
-        wg_upstream_close(up); /* bytes that belong to no request */
+        wg_upstream_close(up); /* unsolicited data */
         return;
     }
     if (up->state == WG_UPSTREAM_HEAD) {
@@ -268,7 +270,7 @@
         wg_call* call = up->call;
         wg_call_answer_head(call, up);
         if (call->upstream != up) {
-            return; /* the call went elsewhere, this connection is closed or idle */
+            return; /* the call was retried or refused; `up` is closed or idle */
         }
     }
     if (up->state != WG_UPSTREAM_BODY) {
@@ -281,7 +283,7 @@
         return;
     }
     if (state == WG_BODY_WHOLE) {
-        wg_call_answer_whole(call, up);
+        wg_call_answer_complete(call, up);
         return;
     }
     if (evbuffer_get_length(up->content) > 0) {
@@ -311,11 +313,11 @@
     }
     if ((what & BEV_EVENT_EOF) && up->state == WG_UPSTREAM_BODY && up->call &&
         up->body.framing == WG_FRAMING_CLOSE) {
-        wg_call_answer_whole(up->call, up);
+        wg_call_answer_complete(up->call, up);
         return;
     }
     if (up->call && up->written) {
-        wg_entry_check_broken(up->entry, up->call, up);
+        wg_entry_check_target(up->entry, up->call, up);
     }
     wg_upstream_fail(up, up->state == WG_UPSTREAM_CONNECTING ? "no-connection"
                          : (what & BEV_EVENT_EOF)            ? "connection-closed"
@@ -350,11 +352,11 @@
     up->content = evbuffer_new();
     up->bev = bufferevent_socket_new(e->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     wg_loop_put_connection_first(up->bev);
-    up->far = strcmp(target->data_centre, e->settings->data_centre) != 0;
+    up->remote = strcmp(target->data_centre, e->settings->data_centre) != 0;
     evbuffer_add_cb(bufferevent_get_input(up->bev), wg_upstream_count_in, up);
     bufferevent_setcb(up->bev, wg_upstream_on_read, NULL, wg_upstream_on_event, up);
     bufferevent_enable(up->bev, EV_READ | EV_WRITE);
-    struct timeval limit = {.tv_usec = WG_CONNECT_TIME};
+    struct timeval limit = {.tv_usec = WG_CONNECT_TIMEOUT};
     bufferevent_set_timeouts(up->bev, &limit, &limit);
     e->counters.connects++;
     e->upstreams_num++;
@@ -362,6 +364,6 @@
         wg_upstream_close(up);
         return NULL;
     }
-    wg_loop_put_connection_first(up->bev); /* connecting has set it back */
+    wg_loop_put_connection_first(up->bev); /* connecting resets the priority */
     return up;
 }
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -16,23 +16,23 @@
     return false;
 }
 
-/* A text that has to be there and to fit; it may be empty when `least` is 0. */
-static bool _wg_read_text(const json_t* json, const char* name, size_t least, char* out,
+/* Reads a required string of at least `size_min` bytes. */
+static bool _wg_read_text(const json_t* json, const char* name, size_t size_min, char* out,
                           size_t size, GError** error) {
     const char* text = json_string_value(json_object_get(json, name));
-    if (!text || strlen(text) < least) {
-        return _wg_target_error(error, name, "no text");
+    if (!text || strlen(text) < size_min) {
+        return _wg_target_error(error, name, "missing, empty or not a string");
     }
     return wg_copy_name(out, size, text) || _wg_target_error(error, name, "too long");
 }
 
-/* A whole number of at most `most`. */
-static bool _wg_read_whole(const json_t* json, const char* name, json_int_t most, uint64_t* out,
-                           GError** error) {
+/* Reads a required integer from 0 to `number_max`. */
+static bool _wg_read_integer(const json_t* json, const char* name, json_int_t number_max,
+                             uint64_t* out, GError** error) {
     const json_t* value = json_object_get(json, name);
     json_int_t number = json_integer_value(value);
-    if (!json_is_integer(value) || number < 0 || number > most) {
-        return _wg_target_error(error, name, "no whole number in its range");
+    if (!json_is_integer(value) || number < 0 || number > number_max) {
+        return _wg_target_error(error, name, "not an integer in the allowed range");
     }
     *out = (uint64_t)number;
     return true;
@@ -62,19 +62,19 @@
     const json_t* value = json_object_get(json, "cold_ms");
     double cold_ms = json_number_value(value);
     if (value && (!json_is_number(value) || cold_ms < 0)) {
-        return _wg_target_error(error, "cold_ms", "no time");
+        return _wg_target_error(error, "cold_ms", "not a non-negative number");
     }
     if (cold_ms > 0) {
-        double most = (double)WG_TARGET_COLD_MAX;
-        target->cold_until = now + (wg_time)MIN(cold_ms * WG_USEC_PER_MSEC, most);
+        double cold_max = (double)WG_TARGET_COLD_MAX;
+        target->cold_until = now + (wg_time)MIN(cold_ms * WG_USEC_PER_MSEC, cold_max);
     }
     return true;
 }
 
-/* Targets of earlier releases do not say when they started. */
-static bool _wg_read_born(const json_t* json, wg_target* target, GError** error) {
+/* Optional, as targets of earlier releases do not send it. */
+static bool _wg_read_incarnation(const json_t* json, wg_target* target, GError** error) {
     return !json_object_get(json, "born") ||
-           _wg_read_whole(json, "born", G_MAXINT64, &target->born, error);
+           _wg_read_integer(json, "born", G_MAXINT64, &target->born, error);
 }
 
 static bool _wg_read_id(const char* id, wg_target* target, GError** error) {
@@ -95,10 +95,11 @@
                 _wg_read_text(json, "data_centre", 0, target->data_centre,
                               sizeof target->data_centre, error) &&
                 _wg_read_text(json, "version", 0, version, sizeof version, error) &&
-                _wg_read_whole(json, "slots", WG_TARGET_SLOTS_MAX, &slots, error) &&
-                _wg_read_whole(json, "sequence", G_MAXINT64, &target->sequence, error) &&
+                _wg_read_integer(json, "slots", WG_TARGET_SLOTS_MAX, &slots, error) &&
+                _wg_read_integer(json, "sequence", G_MAXINT64, &target->sequence, error) &&
                 _wg_read_state(json, &target->state, error) &&
-                _wg_read_cold(json, now, target, error) && _wg_read_born(json, target, error);
+                _wg_read_cold(json, now, target, error) &&
+                _wg_read_incarnation(json, target, error);
     target->slots = (uint32_t)slots;
     return good;
 }
@@ -108,5 +109,5 @@
     if (json && !json_is_object(json)) {
         return _wg_target_error(error, "body", "not an object");
     }
-    return _wg_read_id(id, target, error) && (!json || _wg_read_born(json, target, error));
+    return _wg_read_id(id, target, error) && (!json || _wg_read_incarnation(json, target, error));
 }
