--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -1,4 +1,4 @@
-/* wg_router.c -- set-up, configuration, tick and planned stop; see wg_router.h */
+/* wg_router.c -- setup, configuration, tick and planned stop; see wg_router.h */
 #include "wg_router_internal.h"
 
 #include <string.h>
@@ -146,7 +146,8 @@
     }
 }
 
-/* Stop when nobody can hold an answer that names this router, and all work is done. */
+/* Leaves the event loop once every entry-host answer that names this router has expired and no
+   call, claim or parked request is left. */
 static void _wgro_stop_tick(wgro_router* r, wg_time now) {
     wg_time kept = (r->settings->entry_keep_ms + r->settings->stop_wait_ms) * WG_USEC_PER_MSEC;
     if (now < r->stop_at + kept || r->calls_pool.used > 0 || g_hash_table_size(r->claim_ends) > 0 ||
--- a/lib/router/wg_router.h
+++ b/lib/router/wg_router.h
@@ -1,22 +1,26 @@
 #pragma once
 /*
-    wg_router.h -- a router: callers' requests in, targets' answers out
+    wg_router.h -- router: accepts callers' requests and relays targets' answers
 
     WHAT IT DOES
-        Takes callers' HTTP requests, queues them fairly, chooses targets, relays answers, and says
-        which entry hosts to use. Works under leases of a leader: the table and the slots.
+        Accepts callers' HTTP requests, queues them fairly, picks targets, relays answers, and
+        tells callers which entry hosts to use. Works under two leases from the leader: one on the
+        table, one on target slots.
 
     FEATURES
-        - each request is a wgc_call; each service has its wgq_queue and retry budget
-        - streams are relayed event by event with bounded memory; a broken one is resumed elsewhere
-        - reports to the leader are sparse, sent on change and held to a byte budget
-        - planned stop: says that it leaves, serves until no caller can hold an answer naming it
+        - one wgc_call per request; one wgq_queue and one retry budget per service
+        - streams are relayed event by event with bounded memory, and a stream that its target
+          aborted is resumed at another target
+        - reports to the leader are sent on change, at most at an interval and within a byte budget
+        - planned stop: reports that it is leaving, and serves until every entry-host answer that
+          names it has expired
 
     USE
         1. wgi_load(path, wgro_keys, wgro_keys_num, &settings, &error);
         2. wgro_router* r = wgro_setup(&(wgro_desc){.base = base, .settings = &settings}, &error);
         3. event_base_dispatch(base);
-        4. wgro_stop(r) leaves the loop when all is finished; wgro_shutdown(r);
+        4. wgro_stop(r); leaves the event loop when all work is finished
+        5. wgro_shutdown(r);
 
     THE CALLER OWNS
         base and settings, for as long as the router lives.
@@ -73,7 +77,7 @@
 
 wgro_router* wgro_setup(const wgro_desc* desc, GError** error);
 void wgro_shutdown(wgro_router* router);
-/* Planned stop. A second call cuts off what still runs and leaves the loop. */
+/* Begins a planned stop. A second call aborts all running calls and leaves the event loop. */
 void wgro_stop(wgro_router* router);
-/* State dump; the caller releases it. */
+/* State dump; the caller owns the reference. */
 json_t* wgro_dump(wgro_router* router);
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -1,4 +1,4 @@
-/* wg_router_accept.c -- what callers may ask: entry hosts, model and application services */
+/* wg_router_accept.c -- caller endpoints: entry hosts, model and application services */
 #include "wg_router_internal.h"
 
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 enum {
     _WGRO_PARK_TIME = 1500 * WG_USEC_PER_MSEC,
     _WGRO_PARKED_MAX = 1024,
-    _WGRO_PREFIX_BYTES = 1024 /* of a prompt that make up its prefix */
+    _WGRO_PREFIX_BYTES = 1024 /* leading bytes of a prompt that are hashed as its prefix */
 };
 
 static void _wgro_serve(wgro_router* r, struct evhttp_request* request, const wgt_row* workspace);
@@ -80,7 +80,7 @@
     parked->request = NULL;
 }
 
-/* Keep the request until the leader said whose key it is. */
+/* Holds the request until the leader has answered the row query for its key. */
 static void _wgro_park(wgro_router* r, struct evhttp_request* request, const uint8_t* hash,
                        wg_time now) {
     uint64_t ticket = ++r->counter;
@@ -119,7 +119,7 @@
 
 /* ---- helpers: requests --------------------------------------------------------------------- */
 
-/* Priority (RFC 9218): urgency 0 or 1 is urgent. */
+/* Priority header (RFC 9218): urgency 0 or 1 counts as urgent. */
 static bool _wgro_is_urgent(struct evhttp_request* request) {
     const char* value = evhttp_find_header(evhttp_request_get_input_headers(request), "Priority");
     const char* urgency = value ? strstr(value, "u=") : NULL;
@@ -195,7 +195,7 @@
     }
 }
 
-/* ---- pages --------------------------------------------------------------------------------- */
+/* ---- endpoints ----------------------------------------------------------------------------- */
 
 static void _wgro_entry(wgro_router* r, struct evhttp_request* request) {
     char* workspace = wgh_query(request, "workspace");
@@ -263,7 +263,7 @@
     }
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 bool _wgro_accept_setup(wgro_router* r, GError** error) {
     const wgro_settings* s = r->settings;
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -1,4 +1,4 @@
-/* wg_router_attempt.c -- attempts at targets over evhttp, and relaying their answers */
+/* wg_router_attempt.c -- sends attempts to targets over evhttp and relays their answers */
 #include "wg_router_internal.h"
 
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 
 /* ---- headers ------------------------------------------------------------------------------- */
 
-/* Headers of one connection (RFC 9110, section 7.6.1), and those that evhttp writes itself. */
+/* Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that evhttp writes itself. */
 bool _wgro_is_hop_header(const char* name) {
     static const char* hop[] = {
         "Connection", "Keep-Alive", "Proxy-Authenticate", "Transfer-Encoding",   "TE",
@@ -17,7 +17,7 @@
             return true;
         }
     }
-    /* What speaks for the system, or between target and router, is not passed on. */
+    /* Headers reserved for the fleet, and headers between target and router, are not forwarded. */
     return g_ascii_strncasecmp(name, WGH_HEADER_PREFIX, strlen(WGH_HEADER_PREFIX)) == 0 ||
            g_ascii_strncasecmp(name, "Target-", 7) == 0;
 }
@@ -60,7 +60,7 @@
     g_free(conn);
 }
 
-/* Connections are freed outside of their own callbacks. */
+/* Deferred to the event loop: evhttp does not allow freeing a connection in its own callbacks. */
 static void _wgro_conn_close(_wgro_conn_t* conn) {
     struct timeval soon = {0};
     conn->attempt = NULL;
@@ -86,7 +86,7 @@
     }
 }
 
-/* Bytes that leave the buffer have gone to the kernel: from then on the target may act on them. */
+/* Bytes removed from the output buffer were handed to the kernel: the target may act on them. */
 static void _wgro_on_written(struct evbuffer* buffer, const struct evbuffer_cb_info* info,
                              void* user_data) {
     (void)buffer;
@@ -161,7 +161,7 @@
         return;
     }
     evhttp_send_reply_chunk_with_cb(call->request, ready, _wgro_resume_reading, call);
-    /* A slow caller: stop reading from the target until what was sent has left. */
+    /* Backpressure: stop reading from the target until the caller has drained its buffer. */
     struct evhttp_connection* caller = evhttp_request_get_connection(call->request);
     struct evbuffer* unsent = bufferevent_get_output(evhttp_connection_get_bufferevent(caller));
     bool over = evbuffer_get_length(unsent) > (size_t)call->router->settings->high_water;
@@ -173,7 +173,7 @@
 
 /* ---- answers of targets --------------------------------------------------------------------- */
 
-/* What the target asks of this router beside leaving: a time without requests. */
+/* Applies the backoff that the answer requests from this router. Draining is handled separately. */
 static void _wgro_take_wish(const _wgro_attempt_t* attempt, const struct evkeyvalq* in) {
     wgro_router* r = attempt->router;
     wg_backoff_wish wish = {.status = attempt->status};
@@ -232,7 +232,8 @@
     }
 }
 
-/* Move whole events on. False when the stream is not what it should be. */
+/* Moves complete events to `ready`, without tokens that an earlier attempt already relayed. False
+   when an event is too long or tokens are missing. */
 static bool _wgro_take_events(_wgro_call_t* call, _wgro_attempt_t* attempt) {
     for (;;) {
         struct evbuffer* out = evbuffer_new();
@@ -323,11 +324,11 @@
     g_free(attempt);
 }
 
-/* The whole exchange is over; `request` is NULL or has no status when it failed. */
+/* The exchange with the target has ended; `request` is NULL or has no status when it failed. */
 static void _wgro_on_done(struct evhttp_request* request, void* user_data) {
     _wgro_attempt_t* attempt = user_data;
     if (attempt->aborted) {
-        return; /* connection and attempt are freed outside of this callback */
+        return; /* _wgro_abort_later() frees the connection and the attempt */
     }
     wgro_router* r = attempt->router;
     _wgro_call_t* call = _wgro_call_find(r, attempt->call);
@@ -335,7 +336,7 @@
     bool whole = answered && _wgro_is_whole(attempt);
     _wgro_conn_t* conn = attempt->conn;
     attempt->conn = NULL;
-    /* The connection is idle again, or it will be closed; nothing of this attempt is on it. */
+    /* After a complete answer the connection is idle; otherwise it is closed below. */
     if (answered && whole) {
         conn->attempt = NULL;
     }
@@ -358,15 +359,15 @@
     _wgro_attempt_free(attempt);
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 bool _wgro_attempt_begin(_wgro_call_t* call, int number, int64_t resume_from) {
     wgro_router* r = call->router;
-    /* A kept connection may just have been closed by the target; what may not be repeated gets a
-       fresh one, so that this cannot leave its verdict open. */
+    /* The target may just have closed an idle connection, and then it is unknown whether the
+       request ran. A request that must not be repeated gets a new connection. */
     bool fresh = !call->machine.desc.repeatable;
     if (!wgp_may_send(r->place, wg_now(), call->choice.target)) {
-        return false; /* it has asked for rest meanwhile */
+        return false; /* the target has started draining or requested backoff since the pick */
     }
     _wgro_conn_t* conn = _wgro_conn_open(r, call->choice.target, fresh);
     if (!conn || !call->request) {
@@ -396,7 +397,7 @@
     call->attempt = attempt;
     enum evhttp_cmd_type command = evhttp_request_get_command(call->request);
     if (evhttp_make_request(conn->http, attempt->request, command, call->uri) != 0) {
-        /* evhttp has released the request and calls nobody back. */
+        /* evhttp has freed the request and will not invoke its callbacks. */
         conn->attempt = NULL;
         call->attempt = NULL;
         _wgro_conn_close(conn);
@@ -418,9 +419,9 @@
 void _wgro_attempt_abort(_wgro_attempt_t* attempt) {
     attempt->call = (wg_handle){0};
     if (!attempt->conn || attempt->aborted) {
-        return; /* it is in its last callback, which frees it */
+        return; /* _wgro_on_done() or _wgro_abort_later() frees the attempt */
     }
-    /* Closing the connection is what tells the target to stop. */
+    /* Closing the connection cancels the request at the target. */
     struct timeval soon = {0};
     attempt->aborted = true;
     attempt->conn->attempt = NULL;
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -1,11 +1,12 @@
-/* wg_router_call.c -- calls: admission to the queue, dispatch to slots, actions of the machine */
+/* wg_router_call.c -- calls: queue admission, dispatch to slots, actions of the call state machine
+ */
 #include "wg_router_internal.h"
 
 #include <string.h>
 
 /* ---- types -------------------------------------------------------------------------------- */
 
-/* Admissions refused by the queue, as callers see them. */
+/* How a refusal by the queue is reported to the caller. */
 static const struct {
     int status;
     const char* code;
@@ -48,7 +49,8 @@
     wg_pool_free(&r->calls_pool, call->handle);
 }
 
-/* Give back slot and place in the queue. `cost` settles what the request took. */
+/* Releases the target slot and the queue entry. `cost` is the final cost charged to the workspace.
+ */
 static void _wgro_release(_wgro_call_t* call, int64_t cost, wgp_result result) {
     wgro_router* r = call->router;
     wg_time now = wg_now();
@@ -70,7 +72,7 @@
     }
 }
 
-/* What the call cost so far: tokens, or milliseconds at the target. */
+/* Cost of the call so far: tokens for a model service, else milliseconds at the target. */
 static int64_t _wgro_cost(const _wgro_call_t* call) {
     const _wgro_service_t* service = &call->router->services[call->service];
     if (strcmp(service->row.service.kind, "model") != 0) {
@@ -101,7 +103,7 @@
     return MAX(MAX(wait, back_at - now), SOONEST);
 }
 
-/* How long the call may wait for a slot from now on. */
+/* Latest time at which the call may still be waiting for a slot. */
 static wg_time _wgro_wait_until(_wgro_call_t* call, wg_time now) {
     wg_time most = _wgro_service_of(call)->row.service.queue_ms * WG_USEC_PER_MSEC;
     return MIN(now + most, call->deadline);
@@ -125,9 +127,10 @@
                                                 .message = messages[action->code]});
 }
 
-/* A caller's connection that is to be closed outside of its own callbacks. */
+/* A caller's connection that must be closed from the event loop: evhttp does not allow freeing a
+   connection inside its own callbacks. */
 typedef struct {
-    struct evhttp_connection* connection; /* NULL once it is gone */
+    struct evhttp_connection* connection; /* NULL once the caller has closed it */
 } _wgro_doomed_t;
 
 static void _wgro_doomed_gone(struct evhttp_connection* connection, void* user_data) {
@@ -146,8 +149,9 @@
     g_free(doomed);
 }
 
-/* Part of an answer has left. A stream gets an error event and no end marker; any other answer is
-   broken off by closing the connection, so that it cannot pass for whole. */
+/* Aborts an answer of which a part was already sent. A stream ends with an error event and without
+   its end marker; for any other answer the connection is closed, so that the caller cannot take
+   the truncated answer for a complete one. */
 static void _wgro_cut(_wgro_call_t* call, const wgc_action* action) {
     call->router->counters.cut++;
     _wgro_detach_caller(call);
@@ -291,10 +295,10 @@
     call->claim_attempt = wg_jitter(r->incarnation, call->claim_ticket);
     wg_time until = wg_now() + r->settings->claim_wait_ms * WG_USEC_PER_MSEC;
     _wgro_arm(call, MIN(until, call->deadline), WGC_EVENT_CLAIM_REFUSED);
-    _wgro_ask_claim(r, call); /* without a link it is asked again when one is up */
+    _wgro_ask_claim(r, call); /* without a link, sent when the next one is up */
 }
 
-/* The last action of a call: answer as it says, then let go of everything. */
+/* Runs the final action of a call: answers the caller, then releases and frees the call. */
 static void _wgro_do_end(_wgro_call_t* call, const wgc_action* action) {
     wgro_router* r = call->router;
     int64_t cost = _wgro_cost(call);
@@ -355,8 +359,9 @@
     _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_CALLER_GONE});
 }
 
-/* Learn when the caller leaves. While a request is worked on, evhttp does not expect data: bytes of
-   a next request stay unread in the buffer, up to a limit. */
+/* Keeps reading from the caller's connection so that a close is noticed while the request runs.
+   evhttp expects no data at that time, so its read callback is removed; bytes of a pipelined
+   request stay in the input buffer. */
 static void _wgro_watch_caller(_wgro_call_t* call) {
     struct evhttp_connection* connection = evhttp_request_get_connection(call->request);
     wg_time whole = _wgro_service_of(call)->row.service.deadline_ms / 1000;
@@ -406,7 +411,7 @@
     _wgro_free_call(call);
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 _wgro_call_t* _wgro_call_find(wgro_router* r, wg_handle handle) {
     int slot = wg_pool_slot(&r->calls_pool, handle);
@@ -469,11 +474,11 @@
     uint32_t workspace = call->workspace;
     _wgro_dispatch(r);
     if (wgq_query_waiting(queue, workspace) == 1) {
-        _wgro_report_soon(r); /* it begins to wait here */
+        _wgro_report_soon(r); /* the workspace has become backlogged on this router */
     }
 }
 
-/* Start one waiting request of a service if a slot is free; false when there is none. */
+/* Starts one waiting request of a service. False when no request waits or no slot is free. */
 static bool _wgro_dispatch_one(wgro_router* r, _wgro_service_t* service, wg_time now) {
     bool room = wgp_has_room(r->place, now, service->row.id, false);
     bool reserve = !room && wgp_has_room(r->place, now, service->row.id, true);
@@ -602,7 +607,7 @@
         [WGK_OUTCOME_FULL] = WGC_EVENT_CLAIM_REFUSED,
     };
     if (outcome == WGK_OUTCOME_NO_LEADER || outcome <= 0 || outcome >= WGK_OUTCOME_NUM) {
-        return; /* the next link's leader is asked again, until the wait is over */
+        return; /* requested again over the next link, until the claim wait is over */
     }
     if (outcome == WGK_OUTCOME_ENDED) {
         wgc_step(&call->machine, wg_now(), &(wgc_event){.type = WGC_EVENT_CLAIM_ENDED});
--- a/lib/router/wg_router_internal.h
+++ b/lib/router/wg_router_internal.h
@@ -13,9 +13,9 @@
 enum {
     _WGRO_SERVICES_MAX = 32,
     _WGRO_CONTROLS_MAX = 8,
-    _WGRO_HELD_WHOLE = 64 * 1024, /* answers up to this size are relayed only when whole */
-    _WGRO_CONNS_PER_TARGET = 64,  /* idle connections kept */
-    _WGRO_UNKNOWN_KEYS = 1024     /* remembered keys that are not in the table */
+    _WGRO_HELD_WHOLE = 64 * 1024, /* answers up to this size are relayed only when complete */
+    _WGRO_CONNS_PER_TARGET = 64,  /* idle connections kept per target */
+    _WGRO_UNKNOWN_KEYS = 1024     /* slots of the cache of keys that are not in the table */
 };
 
 typedef struct _wgro_call_t _wgro_call_t;
@@ -29,36 +29,36 @@
     _wgro_attempt_t* attempt; /* NULL while idle */
 } _wgro_conn_t;
 
-/* One send of a call. Lives until its connection is idle again or closed. */
+/* One attempt of a call. Freed when its connection is idle again or closed. */
 struct _wgro_attempt_t {
     wgro_router* router;
-    wg_handle call; /* may be stale: then nothing of it counts any more */
+    wg_handle call; /* stale once the call has ended: events of the attempt are ignored */
     int number;
     uint32_t target;
     _wgro_conn_t* conn;
     struct evhttp_request* request;
-    struct evbuffer* held;  /* answer not relayed yet */
-    struct evbuffer* ready; /* whole events to relay */
+    struct evbuffer* held;  /* bytes of the answer that are not relayed yet */
+    struct evbuffer* ready; /* complete events to relay */
     int status;
     bool stream;       /* server-sent events */
-    bool length_known; /* the end of the answer can be told from a cut */
+    bool length_known; /* a truncated answer can be detected */
     bool done_seen;
     bool said_not_run;
     bool aborted;
     bool paused;   /* reading from the target is stopped */
-    int64_t usage; /* tokens that the target counted, -1 unknown */
+    int64_t usage; /* tokens reported by the target; -1: unknown */
 };
 
 struct _wgro_call_t {
     wgro_router* router;
     wg_handle handle;
     wgc_call machine;
-    struct evhttp_request* request; /* NULL when the caller left */
+    struct evhttp_request* request; /* NULL once the caller has closed the connection */
     int service;
     uint32_t workspace;
     wgq_limits limits;
     wgq_handle queued;
-    wgp_choice choice; /* whose slot it has; target 0 none */
+    wgp_choice choice; /* target whose slot the call holds; target 0: none */
     uint32_t last_target;
     _wgro_attempt_t* attempt;
     struct evbuffer* body;
@@ -73,13 +73,13 @@
     int64_t tokens;
     wg_time started;
     wg_time deadline;
-    wg_time wait_until; /* for a slot */
+    wg_time wait_until; /* end of the wait for a slot */
     wg_time picked_at;
     struct event* timer;
     wgc_event_type timer_event;
 };
 
-/* A call that waits for the row of its workspace. */
+/* A request that waits for the row of its workspace. */
 typedef struct {
     uint64_t ticket;
     struct evhttp_request* request;
@@ -113,7 +113,7 @@
     uint64_t lease_refusals;
     uint64_t reports;
     uint64_t row_queries;
-    uint64_t rests; /* that targets asked this router for */
+    uint64_t rests; /* backoff periods requested by targets */
 } _wgro_counters_t;
 
 struct wgro_router {
@@ -121,7 +121,7 @@
     struct event_base* base;
     uint64_t seed;
     uint64_t incarnation;
-    uint64_t counter; /* of tickets and jitter */
+    uint64_t counter; /* source of tickets and jitter */
     wg_time started_at;
 
     wgh_server callers;
@@ -138,19 +138,19 @@
     bool link_up;
     wg_time link_since;
     wg_time dial_at;
-    char dial_address[WG_ADDRESS_MAX]; /* as a control named the leader; "" none */
+    char dial_address[WG_ADDRESS_MAX]; /* leader's address as reported by a control; "": unknown */
     uint64_t term;
     bool leader_known;
     uint64_t report_seq;
     uint64_t applied;
     bool report_full;
-    uint64_t full_seq; /* of the last full report */
+    uint64_t full_seq; /* seq of the last full report */
     wgf_pacer pacer;
     wg_time reply_at;
-    wg_time slot_lease_until; /* 0: no slots are held */
+    wg_time slot_lease_until; /* 0: no slots are leased */
     wg_time table_lease_until;
     bool table_in_force;
-    GHashTable* claim_ends; /* ticket -> packed ClaimAsk, until confirmed */
+    GHashTable* claim_ends; /* ticket -> packed ClaimAsk, until the leader confirms it */
 
     wgt_table* table;
     bool table_complete;
@@ -204,7 +204,7 @@
     struct evhttp_request* request;
     const wgt_row* workspace;
     int service;
-    char* uri; /* taken over */
+    char* uri; /* owned by the call from then on */
     bool repeatable;
     bool urgent;
     uint64_t prefix;
@@ -215,9 +215,9 @@
 void _wgro_claim_answered(wgro_router* r, uint64_t ticket, int outcome, const Wgpb__ClaimEnd* end);
 void _wgro_dispatch(wgro_router* r);
 void _wgro_expire(wgro_router* r, wg_time now);
-/* Answer all waiting requests with a refusal: another entry host can serve them. */
+/* Refuses all waiting requests, so that their callers can use another entry host. */
 void _wgro_give_up_queued(wgro_router* r);
-/* Calls that wait for targets which all rest for longer than they may wait. */
+/* Fails calls whose wait ends before any target of their service leaves its backoff period. */
 void _wgro_give_up_resting(wgro_router* r, wg_time now);
 void _wgro_cut_off_all(wgro_router* r);
 
@@ -225,7 +225,7 @@
 bool _wgro_attempt_begin(_wgro_call_t* call, int number, int64_t resume_from);
 void _wgro_attempt_abort(_wgro_attempt_t* attempt);
 void _wgro_conns_shutdown(wgro_router* r);
-/* Relay what the attempt has ready; starts the answer's head when it has not left yet. */
+/* Relays what the attempt has buffered; sends the head of the answer first if it was not sent. */
 void _wgro_relay(_wgro_call_t* call);
 bool _wgro_is_hop_header(const char* name);
 
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -6,15 +6,15 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGRO_ACCOUNTS_MAX = 1024, /* in one report */
+    _WGRO_ACCOUNTS_MAX = 1024, /* accounts in one report */
     _WGRO_REPLY_DEADLINE = 1500 * WG_USEC_PER_MSEC,
     _WGRO_DIAL_GAP = 100 * WG_USEC_PER_MSEC,
-    _WGRO_FRAME_OVERHEAD = 60 /* IP and TCP heads of a small frame, bytes */
+    _WGRO_FRAME_OVERHEAD = 60 /* bytes of IP and TCP headers per frame */
 };
 
 /* ---- helpers: budget ----------------------------------------------------------------------- */
 
-/* What the links carried since the start, heads of the lower layers included. */
+/* Bytes on the control links since start, IP and TCP headers included. */
 static uint64_t _wgro_link_bytes(const wgro_router* r) {
     wgn_stats stats = wgn_query_stats(r->net);
     uint64_t frames = stats.frames_sent + stats.frames_received;
@@ -69,7 +69,7 @@
     }
 }
 
-/* Slots that changed since they were last told. */
+/* Adds the targets whose leased slots or health changed since they were last reported. */
 static void _wgro_fill_held(wgro_router* r, _wgro_report_t* out) {
     out->report.held = out->held_list;
     if (r->report_full) {
@@ -120,7 +120,8 @@
 
 static void _wgro_take_rows(wgro_router* r, const Wgpb__Reply* reply) {
     if (reply->reset) {
-        /* Deletions that old are forgotten at the leader: what is not sent again does not exist. */
+        /* The leader no longer has the deletions since our version and sends the whole table: a row
+           that is not in it was deleted. */
         for (int kind = WGT_KIND_WORKSPACE; kind < WGT_KIND_NUM; kind++) {
             int at = -1;
             for (const wgt_row* row; (row = wgt_next(r->table, (wgt_kind)kind, &at));) {
@@ -192,21 +193,21 @@
     wgn_close(r->net, r->link);
 }
 
-/* Slots added and asked back. Orders that left before the leader had our last full report do not
-   count: it has counted anew since. */
+/* Applies granted slots and quotas. The caller skips orders that the leader sent before it received
+   our last full report, because that report reset its count of our slots. */
 static void _wgro_take_orders(wgro_router* r, const Wgpb__Reply* reply) {
     for (size_t i = 0; i < reply->n_quotas; i++) {
         wgp_set_quota(r->place, reply->quotas[i]->service, reply->quotas[i]->most);
     }
     for (size_t i = 0; i < reply->n_grants; i++) {
         wgp_add_slots(r->place, reply->grants[i]->target, (int)reply->grants[i]->add);
-        /* The next report says what came of it, even if it was given back at once. */
+        /* Forces an entry in the next report, even if the slots were released at once. */
         g_hash_table_insert(r->held_reported, GUINT_TO_POINTER(reply->grants[i]->target),
                             GUINT_TO_POINTER(G_MAXUINT));
     }
 }
 
-/* The leader has given the slots away by now, or soon will. */
+/* Drops all slots: the leader may already have granted them to other routers. */
 static void _wgro_end_slot_leases(wgro_router* r) {
     r->slot_lease_until = 0;
     wgp_clear_slots(r->place);
@@ -227,7 +228,7 @@
     if (new_leader || reply->seq == 0) {
         bool told_all = reply->seq > 0 && reply->report_seq > 0;
         if (!told_all) {
-            /* It has not had a full report in this term yet. */
+            /* The leader has not received a full report from us in this term. */
             r->report_full = true;
             _wgro_report_soon(r);
             return;
@@ -250,7 +251,7 @@
     if (r->table_complete) {
         r->table_lease_until = MAX(r->table_lease_until, reply->echo + reply->table_lease);
     } else {
-        _wgro_report_soon(r); /* ask for the next rows */
+        _wgro_report_soon(r); /* the reply carries the next rows */
     }
     _wgro_dispatch(r);
 }
@@ -341,7 +342,7 @@
     }
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 bool _wgro_link_setup(wgro_router* r, GError** error) {
     for (int i = 0; r->settings->controls[i]; i++) {
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_pages.c
@@ -1,4 +1,4 @@
-/* wg_router_pages.c -- operators' pages of a router, and the platform's host list */
+/* wg_router_pages.c -- operator endpoints of a router, and polling of the platform's host list */
 #include "wg_router_internal.h"
 
 #include <event2/http.h>
@@ -71,7 +71,7 @@
     return json;
 }
 
-/* ---- pages --------------------------------------------------------------------------------- */
+/* ---- operator endpoints -------------------------------------------------------------------- */
 
 static void _wgro_get_metrics(wgro_router* r, struct evhttp_request* request) {
     const _wgro_counters_t* c = &r->counters;
