--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -134,14 +134,14 @@
 
 /* ---- tick and stop -------------------------------------------------------------------------- */
 
-static void _wgro_follow_lease(wgro_router* r, wg_time now) {
+static void _wgro_update_lease_state(wgro_router* r, wg_time now) {
     bool in_force = _wgro_in_force(r, now);
     if (in_force != r->table_in_force) {
         r->table_in_force = in_force;
         wg_log(in_force ? WG_EVENT_TABLE_LEASE_HELD : WG_EVENT_TABLE_LEASE_LOST,
                "version=%" G_GUINT64_FORMAT, wgt_version(r->table));
         if (!in_force) {
-            _wgro_give_up_queued(r);
+            _wgro_fail_queued(r);
         }
     }
 }
@@ -164,9 +164,9 @@
     wgro_router* r = user_data;
     wg_time now = wg_now();
     _wgro_link_tick(r, now);
-    _wgro_follow_lease(r, now);
+    _wgro_update_lease_state(r, now);
     _wgro_expire(r, now);
-    _wgro_give_up_resting(r, now);
+    _wgro_fail_backoff_waits(r, now);
     _wgro_parked_tick(r, now);
     _wgro_hosts_tick(r, now);
     wgh_guard(&r->callers, r->settings->files_max);
@@ -234,7 +234,7 @@
                                       .gap = r->settings->report_gap_ms * WG_USEC_PER_MSEC,
                                       .budget = r->settings->budget_bytes});
     if (!_wgro_setup_parts(r, error) || !_wgro_accept_setup(r, error) ||
-        !_wgro_pages_setup(r, error) || !_wgro_link_setup(r, error)) {
+        !_wgro_operators_setup(r, error) || !_wgro_link_setup(r, error)) {
         wgro_shutdown(r);
         return NULL;
     }
@@ -286,7 +286,7 @@
 
 void wgro_stop(wgro_router* r) {
     if (r->stopping) {
-        _wgro_cut_off_all(r);
+        _wgro_abort_all(r);
         event_base_loopbreak(r->base);
         return;
     }
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -62,7 +62,7 @@
            memcmp(r->unknown_keys[slot].hash, hash, WG_KEY_HASH_SIZE) == 0;
 }
 
-static void _wgro_note_unknown_key(wgro_router* r, const uint8_t* hash) {
+static void _wgro_record_unknown_key(wgro_router* r, const uint8_t* hash) {
     uint64_t slot = wg_hash(hash, WG_KEY_HASH_SIZE, r->seed) % _WGRO_UNKNOWN_KEYS;
     memcpy(r->unknown_keys[slot].hash, hash, WG_KEY_HASH_SIZE);
     r->unknown_keys[slot].version = wgt_version(r->table);
@@ -73,7 +73,7 @@
     _wgro_refuse(r, request, 401, "workspace_key", 0, "the workspace key is missing or wrong");
 }
 
-static void _wgro_parked_left(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_parked_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_parked_t* parked = user_data;
     wgh_request_lost(parked->request);
@@ -84,7 +84,7 @@
 static void _wgro_park(wgro_router* r, struct evhttp_request* request, const uint8_t* hash,
                        wg_time now) {
     uint64_t ticket = ++r->counter;
-    if (r->parked.length >= _WGRO_PARKED_MAX || !_wgro_ask_row(r, ticket, hash)) {
+    if (r->parked.length >= _WGRO_PARKED_MAX || !_wgro_query_row(r, ticket, hash)) {
         _wgro_refuse_no_lease(r, request);
         return;
     }
@@ -93,7 +93,7 @@
     parked->request = request;
     parked->until = now + _WGRO_PARK_TIME;
     memcpy(parked->key_hash, hash, WG_KEY_HASH_SIZE);
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgro_parked_left,
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgro_on_parked_closed,
                                   parked);
     g_queue_push_tail(&r->parked, parked);
 }
@@ -108,7 +108,7 @@
         if (row) {
             _wgro_serve(r, request, row);
         } else if (outcome == 2) {
-            _wgro_note_unknown_key(r, parked->key_hash);
+            _wgro_record_unknown_key(r, parked->key_hash);
             _wgro_refuse_key(r, request);
         } else {
             _wgro_refuse_no_lease(r, request);
@@ -200,12 +200,13 @@
 static void _wgro_entry(wgro_router* r, struct evhttp_request* request) {
     char* workspace = wgh_query(request, "workspace");
     char* data_centre = wgh_query(request, "data_centre");
-    const char* near = data_centre ? data_centre : r->settings->data_centre;
+    const char* caller_data_centre = data_centre ? data_centre : r->settings->data_centre;
     const wgt_row* row = workspace ? wgt_find(r->table, WGT_KIND_WORKSPACE, workspace) : NULL;
     int spread = row && row->workspace.entry_hosts > 0 ? (int)row->workspace.entry_hosts : 0;
     json_t* json = json_object();
-    json_object_set_new(json, "entry_hosts",
-                        _wgro_entry_list(r, workspace ? workspace : "", spread, near));
+    json_object_set_new(
+        json, "entry_hosts",
+        _wgro_entry_list(r, workspace ? workspace : "", spread, caller_data_centre));
     json_object_set_new(json, "keep_ms", json_integer(r->settings->entry_keep_ms));
     wgh_reply_json(request, 200, json);
     g_free(workspace);
@@ -276,7 +277,7 @@
     return true;
 }
 
-void _wgro_row_came(wgro_router* r, uint64_t ticket, int outcome) {
+void _wgro_on_row_answer(wgro_router* r, uint64_t ticket, int outcome) {
     for (GList* link = r->parked.head; link; link = link->next) {
         if (((_wgro_parked_t*)link->data)->ticket == ticket) {
             _wgro_unpark(r, link, outcome);
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -76,7 +76,7 @@
     return idle;
 }
 
-static void _wgro_conn_put_back(_wgro_conn_t* conn) {
+static void _wgro_conn_release(_wgro_conn_t* conn) {
     GQueue* idle = _wgro_idle_conns(conn->router, conn->target);
     conn->attempt = NULL;
     if (idle->length >= _WGRO_CONNS_PER_TARGET) {
@@ -134,7 +134,7 @@
     }
 }
 
-static void _wgro_start_head(_wgro_call_t* call) {
+static void _wgro_send_head(_wgro_call_t* call) {
     struct evkeyvalq* in = evhttp_request_get_input_headers(call->attempt->request);
     struct evkeyvalq* out = evhttp_request_get_output_headers(call->request);
     for (struct evkeyval* h = in->tqh_first; h; h = h->next.tqe_next) {
@@ -154,9 +154,9 @@
         return;
     }
     if (!call->head_sent) {
-        _wgro_start_head(call);
+        _wgro_send_head(call);
     }
-    struct evbuffer* ready = attempt->stream ? attempt->ready : attempt->held;
+    struct evbuffer* ready = attempt->stream ? attempt->ready : attempt->buffered;
     if (evbuffer_get_length(ready) == 0) {
         return;
     }
@@ -174,26 +174,26 @@
 /* ---- answers of targets --------------------------------------------------------------------- */
 
 /* Applies the backoff that the answer requests from this router. Draining is handled separately. */
-static void _wgro_take_wish(const _wgro_attempt_t* attempt, const struct evkeyvalq* in) {
+static void _wgro_apply_backoff_hint(const _wgro_attempt_t* attempt, const struct evkeyvalq* in) {
     wgro_router* r = attempt->router;
-    wg_backoff_wish wish = {.status = attempt->status};
+    wg_backoff_wish hint = {.status = attempt->status};
     for (const struct evkeyval* h = in->tqh_first; h; h = h->next.tqe_next) {
-        wg_backoff_read_field(&wish, "", (wg_text){h->key, strlen(h->key)},
+        wg_backoff_read_field(&hint, "", (wg_text){h->key, strlen(h->key)},
                               (wg_text){h->value, strlen(h->value)});
     }
     int64_t unix_time = g_get_real_time() / WG_USEC_PER_SEC;
-    if (wgp_note_answer(r->place, wg_now(), attempt->target, &wish, unix_time) == WGP_EVENT_RESTS) {
+    if (wgp_note_answer(r->place, wg_now(), attempt->target, &hint, unix_time) == WGP_EVENT_RESTS) {
         wgp_target_info info;
         wgp_query_target_id(r->place, attempt->target, &info);
-        r->counters.rests++;
+        r->counters.backoffs++;
         wg_log(WG_EVENT_TARGET_RESTS, "target=%s rest_ms=%" G_GINT64_FORMAT, info.name,
-               wg_backoff_wish_rest(&wish, unix_time,
+               wg_backoff_wish_rest(&hint, unix_time,
                                     r->settings->target_rest_max_s * WG_USEC_PER_SEC) /
                    WG_USEC_PER_MSEC);
     }
 }
 
-static void _wgro_note_target_headers(wgro_router* r, _wgro_attempt_t* attempt) {
+static void _wgro_apply_target_headers(wgro_router* r, _wgro_attempt_t* attempt) {
     struct evkeyvalq* in = evhttp_request_get_input_headers(attempt->request);
     const char* running = evhttp_find_header(in, "Target-Running");
     guint64 number;
@@ -208,8 +208,8 @@
     if (dropped && g_ascii_string_to_unsigned(dropped, 16, 1, UINT64_MAX, &number, NULL)) {
         wgp_forget_prefix(r->place, number, attempt->target);
     }
-    attempt->said_not_run = evhttp_find_header(in, "Target-Not-Run") != NULL;
-    _wgro_take_wish(attempt, in);
+    attempt->reported_not_run = evhttp_find_header(in, "Target-Not-Run") != NULL;
+    _wgro_apply_backoff_hint(attempt, in);
 }
 
 static int _wgro_on_head(struct evhttp_request* request, void* user_data) {
@@ -221,7 +221,7 @@
     attempt->stream = type && g_ascii_strncasecmp(type, "text/event-stream", 17) == 0;
     attempt->length_known = evhttp_find_header(in, "Content-Length") ||
                             (coding && g_ascii_strcasecmp(coding, "chunked") == 0);
-    _wgro_note_target_headers(attempt->router, attempt);
+    _wgro_apply_target_headers(attempt->router, attempt);
     return 0;
 }
 
@@ -234,11 +234,11 @@
 
 /* Moves complete events to `ready`, without tokens that an earlier attempt already relayed. False
    when an event is too long or tokens are missing. */
-static bool _wgro_take_events(_wgro_call_t* call, _wgro_attempt_t* attempt) {
+static bool _wgro_read_events(_wgro_call_t* call, _wgro_attempt_t* attempt) {
     for (;;) {
         struct evbuffer* out = evbuffer_new();
         wgx_sse_event event;
-        wgx_sse_result result = wgx_sse_next(attempt->held, out, &event);
+        wgx_sse_result result = wgx_sse_next(attempt->buffered, out, &event);
         if (result != WGX_SSE_EVENT) {
             evbuffer_free(out);
             return result == WGX_SSE_MORE;
@@ -263,7 +263,7 @@
 }
 
 static void _wgro_on_stream_data(_wgro_call_t* call, _wgro_attempt_t* attempt) {
-    bool good = _wgro_take_events(call, attempt);
+    bool valid = _wgro_read_events(call, attempt);
     if (evbuffer_get_length(attempt->ready) > 0) {
         if (call->machine.head_relayed) {
             _wgro_relay(call);
@@ -276,7 +276,7 @@
                                             .tokens = call->tokens});
         wgq_charge(call->router->services[call->service].queue, call->queued, call->tokens);
     }
-    if (!good) {
+    if (!valid) {
         _wgro_fail_attempt(attempt);
     }
 }
@@ -289,10 +289,11 @@
         evbuffer_drain(in, evbuffer_get_length(in));
         return;
     }
-    evbuffer_add_buffer(attempt->held, in);
+    evbuffer_add_buffer(attempt->buffered, in);
     if (attempt->stream) {
         _wgro_on_stream_data(call, attempt);
-    } else if (evbuffer_get_length(attempt->held) > _WGRO_HELD_WHOLE || call->head_sent) {
+    } else if (evbuffer_get_length(attempt->buffered) > _WGRO_BUFFERED_ANSWER_MAX ||
+               call->head_sent) {
         if (call->machine.head_relayed) {
             _wgro_relay(call);
         } else {
@@ -302,24 +303,24 @@
     }
 }
 
-static bool _wgro_is_whole(const _wgro_attempt_t* attempt) {
+static bool _wgro_is_complete(const _wgro_attempt_t* attempt) {
     if (attempt->stream) {
-        return attempt->done_seen && evbuffer_get_length(attempt->held) == 0;
+        return attempt->done_seen && evbuffer_get_length(attempt->buffered) == 0;
     }
     return attempt->length_known;
 }
 
-static void _wgro_take_usage(_wgro_call_t* call, _wgro_attempt_t* attempt) {
+static void _wgro_read_usage(_wgro_call_t* call, _wgro_attempt_t* attempt) {
     bool model = strcmp(call->router->services[call->service].row.service.kind, "model") == 0;
     if (model && !attempt->stream && !call->head_sent) {
-        size_t size = evbuffer_get_length(attempt->held);
-        const char* text = (const char*)evbuffer_pullup(attempt->held, -1);
+        size_t size = evbuffer_get_length(attempt->buffered);
+        const char* text = (const char*)evbuffer_pullup(attempt->buffered, -1);
         attempt->usage = text ? wgx_usage_cost(text, size) : -1;
     }
 }
 
 static void _wgro_attempt_free(_wgro_attempt_t* attempt) {
-    evbuffer_free(attempt->held);
+    evbuffer_free(attempt->buffered);
     evbuffer_free(attempt->ready);
     g_free(attempt);
 }
@@ -333,26 +334,26 @@
     wgro_router* r = attempt->router;
     _wgro_call_t* call = _wgro_call_find(r, attempt->call);
     bool answered = request && evhttp_request_get_response_code(request) != 0;
-    bool whole = answered && _wgro_is_whole(attempt);
+    bool complete = answered && _wgro_is_complete(attempt);
     _wgro_conn_t* conn = attempt->conn;
     attempt->conn = NULL;
     /* After a complete answer the connection is idle; otherwise it is closed below. */
-    if (answered && whole) {
+    if (answered && complete) {
         conn->attempt = NULL;
     }
     if (call) {
         wgc_event event = {.type = WGC_EVENT_FAILED, .attempt = attempt->number};
-        if (answered && attempt->said_not_run) {
+        if (answered && attempt->reported_not_run) {
             event.type = WGC_EVENT_NOT_RUN_SAID;
-        } else if (whole) {
+        } else if (complete) {
             event.type = WGC_EVENT_WHOLE;
-            _wgro_take_usage(call, attempt);
+            _wgro_read_usage(call, attempt);
             wgp_note_prefix(r->place, call->prefix, attempt->target);
         }
         _wgro_call_event(call, &event);
     }
-    if (whole) {
-        _wgro_conn_put_back(conn);
+    if (complete) {
+        _wgro_conn_release(conn);
     } else {
         _wgro_conn_close(conn);
     }
@@ -372,7 +373,7 @@
     _wgro_conn_t* conn = _wgro_conn_open(r, call->choice.target, fresh);
     if (!conn || !call->request) {
         if (conn) {
-            _wgro_conn_put_back(conn);
+            _wgro_conn_release(conn);
         }
         return false;
     }
@@ -383,7 +384,7 @@
     attempt->target = call->choice.target;
     attempt->conn = conn;
     attempt->usage = -1;
-    attempt->held = evbuffer_new();
+    attempt->buffered = evbuffer_new();
     attempt->ready = evbuffer_new();
     attempt->request = evhttp_request_new(_wgro_on_done, attempt);
     evhttp_request_set_chunked_cb(attempt->request, _wgro_on_chunk);
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -1,5 +1,4 @@
-/* wg_router_call.c -- calls: queue admission, dispatch to slots, actions of the call state machine
- */
+/* wg_router_call.c -- calls: queue admission, dispatch to slots, state machine actions */
 #include "wg_router_internal.h"
 
 #include <string.h>
@@ -89,24 +88,24 @@
     if (action->type == WGC_ACTION_FINISH && call->attempt->status < 500) {
         return WGP_RESULT_GOOD;
     }
-    return call->attempt->said_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+    return call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
 }
 
 static wg_time _wgro_retry_after(_wgro_call_t* call) {
     enum {
-        SOONEST = 200 * WG_USEC_PER_MSEC
+        RETRY_AFTER_MIN = 200 * WG_USEC_PER_MSEC
     };
     wg_time now = wg_now();
     const _wgro_service_t* service = _wgro_service_of(call);
     wg_time wait = wgq_expected_wait(service->queue, now, call->workspace);
-    wg_time back_at = wgp_back_at(call->router->place, now, service->row.id);
-    return MAX(MAX(wait, back_at - now), SOONEST);
+    wg_time backoff_end = wgp_back_at(call->router->place, now, service->row.id);
+    return MAX(MAX(wait, backoff_end - now), RETRY_AFTER_MIN);
 }
 
 /* Latest time at which the call may still be waiting for a slot. */
 static wg_time _wgro_wait_until(_wgro_call_t* call, wg_time now) {
-    wg_time most = _wgro_service_of(call)->row.service.queue_ms * WG_USEC_PER_MSEC;
-    return MIN(now + most, call->deadline);
+    wg_time max_wait = _wgro_service_of(call)->row.service.queue_ms * WG_USEC_PER_MSEC;
+    return MIN(now + max_wait, call->deadline);
 }
 
 static void _wgro_answer_error(_wgro_call_t* call, const wgc_action* action) {
@@ -131,29 +130,29 @@
    connection inside its own callbacks. */
 typedef struct {
     struct evhttp_connection* connection; /* NULL once the caller has closed it */
-} _wgro_doomed_t;
+} _wgro_closing_t;
 
-static void _wgro_doomed_gone(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_closing_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
-    ((_wgro_doomed_t*)user_data)->connection = NULL;
+    ((_wgro_closing_t*)user_data)->connection = NULL;
 }
 
-static void _wgro_close_doomed(evutil_socket_t fd, short what, void* user_data) {
+static void _wgro_close_deferred(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    _wgro_doomed_t* doomed = user_data;
-    if (doomed->connection) {
-        evhttp_connection_set_closecb(doomed->connection, NULL, NULL);
-        evhttp_connection_free(doomed->connection);
+    _wgro_closing_t* closing = user_data;
+    if (closing->connection) {
+        evhttp_connection_set_closecb(closing->connection, NULL, NULL);
+        evhttp_connection_free(closing->connection);
     }
-    g_free(doomed);
+    g_free(closing);
 }
 
 /* Aborts an answer of which a part was already sent. A stream ends with an error event and without
    its end marker; for any other answer the connection is closed, so that the caller cannot take
    the truncated answer for a complete one. */
-static void _wgro_cut(_wgro_call_t* call, const wgc_action* action) {
-    call->router->counters.cut++;
+static void _wgro_abort_answer(_wgro_call_t* call, const wgc_action* action) {
+    call->router->counters.answers_aborted++;
     _wgro_detach_caller(call);
     if (call->attempt && call->attempt->stream) {
         struct evbuffer* last = evbuffer_new();
@@ -166,10 +165,10 @@
         return;
     }
     struct timeval soon = {0};
-    _wgro_doomed_t* doomed = g_new0(_wgro_doomed_t, 1);
-    doomed->connection = evhttp_request_get_connection(call->request);
-    evhttp_connection_set_closecb(doomed->connection, _wgro_doomed_gone, doomed);
-    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_doomed, doomed, &soon);
+    _wgro_closing_t* closing = g_new0(_wgro_closing_t, 1);
+    closing->connection = evhttp_request_get_connection(call->request);
+    evhttp_connection_set_closecb(closing->connection, _wgro_on_closing_closed, closing);
+    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_deferred, closing, &soon);
 }
 
 static void _wgro_copy_headers(_wgro_call_t* call) {
@@ -187,7 +186,7 @@
 
 static void _wgro_finish(_wgro_call_t* call) {
     wgro_router* r = call->router;
-    r->counters.whole++;
+    r->counters.complete++;
     _wgro_detach_caller(call);
     if (call->head_sent) {
         _wgro_relay(call);
@@ -197,12 +196,12 @@
         struct evkeyvalq* out = evhttp_request_get_output_headers(call->request);
         evhttp_add_header(out, WGH_HEADER_VERDICT, wg_verdict_name(WG_VERDICT_RAN));
         evhttp_send_reply(call->request, call->attempt->status, wgh_reason(call->attempt->status),
-                          call->attempt->held);
+                          call->attempt->buffered);
     }
     wg_hist_add(&_wgro_service_of(call)->total_time, wg_now() - call->started);
 }
 
-static void _wgro_end_claim_by(_wgro_call_t* call, const wgc_action* action) {
+static void _wgro_end_claim_for(_wgro_call_t* call, const wgc_action* action) {
     if (!action->end_claim) {
         return;
     }
@@ -213,14 +212,14 @@
         status = call->attempt->status;
         type = evhttp_find_header(evhttp_request_get_input_headers(call->attempt->request),
                                   "Content-Type");
-        body = call->head_sent ? NULL : call->attempt->held;
+        body = call->head_sent ? NULL : call->attempt->buffered;
     }
     _wgro_end_claim(call->router, call, action->verdict, status, type, body);
 }
 
 /* ---- helpers: actions ---------------------------------------------------------------------- */
 
-static void _wgro_arm(_wgro_call_t* call, wg_time at, wgc_event_type event) {
+static void _wgro_set_timer(_wgro_call_t* call, wg_time at, wgc_event_type event) {
     wg_time wait = MAX(at - wg_now(), 0);
     struct timeval tv = {.tv_sec = wait / WG_USEC_PER_SEC, .tv_usec = wait % WG_USEC_PER_SEC};
     call->timer_event = event;
@@ -262,7 +261,7 @@
         call->router->counters.resumes++;
         wg_log(WG_EVENT_STREAM_RESUMED, "token=%" G_GINT64_FORMAT, action->resume_from);
     }
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     if (!_wgro_attempt_begin(call, action->attempt, action->resume_from)) {
         _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_FAILED, .attempt = action->attempt});
     }
@@ -273,15 +272,15 @@
     wg_log(WG_EVENT_ATTEMPT_FAILED, "attempt=%d wait_us=%" G_GINT64_FORMAT, action->attempt,
            action->wait);
     wgp_result result =
-        call->attempt && call->attempt->said_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+        call->attempt && call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
     _wgro_release(call, _wgro_cost(call), result);
     _wgro_abort_attempt(call);
-    _wgro_arm(call, wg_now() + action->wait, WGC_EVENT_WAITED);
+    _wgro_set_timer(call, wg_now() + action->wait, WGC_EVENT_WAITED);
 }
 
 static void _wgro_do_queue(_wgro_call_t* call) {
     wgq_refusal refusal;
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     if (!_wgro_push(call, true, &refusal)) {
         _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_DEADLINE});
         return;
@@ -294,8 +293,8 @@
     call->claim_ticket = ++r->counter;
     call->claim_attempt = wg_jitter(r->incarnation, call->claim_ticket);
     wg_time until = wg_now() + r->settings->claim_wait_ms * WG_USEC_PER_MSEC;
-    _wgro_arm(call, MIN(until, call->deadline), WGC_EVENT_CLAIM_REFUSED);
-    _wgro_ask_claim(r, call); /* without a link, sent when the next one is up */
+    _wgro_set_timer(call, MIN(until, call->deadline), WGC_EVENT_CLAIM_REFUSED);
+    _wgro_request_claim(r, call); /* without a link, sent when the next one is up */
 }
 
 /* Runs the final action of a call: answers the caller, then releases and frees the call. */
@@ -303,13 +302,13 @@
     wgro_router* r = call->router;
     int64_t cost = _wgro_cost(call);
     wgp_result result = _wgro_result_of(action, call);
-    _wgro_end_claim_by(call, action);
+    _wgro_end_claim_for(call, action);
     if (call->request && action->type == WGC_ACTION_FINISH) {
         _wgro_finish(call);
     } else if (call->request && action->type == WGC_ACTION_ANSWER) {
         _wgro_answer_error(call, action);
     } else if (call->request && action->type == WGC_ACTION_CUT) {
-        _wgro_cut(call, action);
+        _wgro_abort_answer(call, action);
     } else if (action->type == WGC_ACTION_CANCEL) {
         r->counters.callers_left++;
         wg_log(WG_EVENT_CALLER_LEFT, "%s", "");
@@ -320,7 +319,7 @@
     _wgro_dispatch(r);
 }
 
-static void _wgro_act(_wgro_call_t* call, const wgc_action* action) {
+static void _wgro_do_action(_wgro_call_t* call, const wgc_action* action) {
     switch (action->type) {
     case WGC_ACTION_CLAIM:
         _wgro_do_claim(call);
@@ -351,7 +350,7 @@
 
 /* ---- helpers: callers ---------------------------------------------------------------------- */
 
-static void _wgro_caller_left(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_caller_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_call_t* call = user_data;
     wgh_request_lost(call->request);
@@ -364,9 +363,10 @@
    request stay in the input buffer. */
 static void _wgro_watch_caller(_wgro_call_t* call) {
     struct evhttp_connection* connection = evhttp_request_get_connection(call->request);
-    wg_time whole = _wgro_service_of(call)->row.service.deadline_ms / 1000;
-    evhttp_connection_set_closecb(connection, _wgro_caller_left, call);
-    evhttp_connection_set_timeout(connection, (int)whole + (int)call->router->settings->idle_s);
+    wg_time deadline_s = _wgro_service_of(call)->row.service.deadline_ms / 1000;
+    evhttp_connection_set_closecb(connection, _wgro_on_caller_closed, call);
+    evhttp_connection_set_timeout(connection,
+                                  (int)deadline_s + (int)call->router->settings->idle_s);
     struct bufferevent* bev = evhttp_connection_get_bufferevent(connection);
     bufferevent_data_cb read_cb;
     bufferevent_data_cb write_cb;
@@ -377,7 +377,7 @@
     bufferevent_enable(bev, EV_READ);
 }
 
-static void _wgro_take_key(_wgro_call_t* call) {
+static void _wgro_read_key(_wgro_call_t* call) {
     const char* key =
         evhttp_find_header(evhttp_request_get_input_headers(call->request), "Idempotency-Key");
     if (!key || !key[0]) {
@@ -420,7 +420,7 @@
 
 void _wgro_call_event(_wgro_call_t* call, const wgc_event* event) {
     wgc_action action = wgc_step(&call->machine, wg_now(), event);
-    _wgro_act(call, &action);
+    _wgro_do_action(call, &action);
 }
 
 void _wgro_call_begin(wgro_router* r, const _wgro_call_desc* desc) {
@@ -454,7 +454,7 @@
     call->body = evbuffer_new();
     evbuffer_add_buffer(call->body, evhttp_request_get_input_buffer(desc->request));
     if (!desc->repeatable) {
-        _wgro_take_key(call);
+        _wgro_read_key(call);
     }
     wgc_begin(&call->machine, &(wgc_desc){.deadline = call->deadline,
                                           .repeatable = desc->repeatable,
@@ -469,7 +469,7 @@
         return;
     }
     _wgro_watch_caller(call);
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     wgq_queue* queue = _wgro_service_of(call)->queue;
     uint32_t workspace = call->workspace;
     _wgro_dispatch(r);
@@ -479,7 +479,7 @@
 }
 
 /* Starts one waiting request of a service. False when no request waits or no slot is free. */
-static bool _wgro_dispatch_one(wgro_router* r, _wgro_service_t* service, wg_time now) {
+static bool _wgro_dispatch_next(wgro_router* r, _wgro_service_t* service, wg_time now) {
     bool room = wgp_has_room(r->place, now, service->row.id, false);
     bool reserve = !room && wgp_has_room(r->place, now, service->row.id, true);
     wgq_handle picked;
@@ -503,20 +503,20 @@
 
 void _wgro_dispatch(wgro_router* r) {
     wg_time now = wg_now();
-    wgf_pacer_news news = {0};
+    wgf_pacer_news activity = {0};
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
         if (!service->live) {
             continue;
         }
-        while (wgq_query_stats(service->queue).queued > 0 && _wgro_dispatch_one(r, service, now)) {
+        while (wgq_query_stats(service->queue).queued > 0 && _wgro_dispatch_next(r, service, now)) {
         }
         wgq_stats stats = wgq_query_stats(service->queue);
-        news.at_work = news.at_work || stats.queued + stats.running > 0;
-        news.waiting = news.waiting || stats.queued > 0;
-        news.idle = news.idle || wgp_query_free(r->place, now, service->row.id) > 0;
+        activity.at_work = activity.at_work || stats.queued + stats.running > 0;
+        activity.waiting = activity.waiting || stats.queued > 0;
+        activity.idle = activity.idle || wgp_query_free(r->place, now, service->row.id) > 0;
     }
-    wgf_pacer_state(&r->pacer, &news);
+    wgf_pacer_state(&r->pacer, &activity);
     if (wgp_take_given_back(r->place)) {
         wgf_pacer_want(&r->pacer);
     }
@@ -535,28 +535,28 @@
     }
 }
 
-static void _wgro_give_up_before(wgro_router* r, int service, wg_time back_at) {
+static void _wgro_fail_waits_before(wgro_router* r, int service, wg_time backoff_end) {
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         _wgro_call_t* call = &r->calls[i];
         if (r->calls_pool.taken[i] && call->service == service &&
-            call->machine.state == WGC_STATE_QUEUED && back_at > call->wait_until) {
+            call->machine.state == WGC_STATE_QUEUED && backoff_end > call->wait_until) {
             _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_NO_TARGET});
         }
     }
 }
 
-void _wgro_give_up_resting(wgro_router* r, wg_time now) {
+void _wgro_fail_backoff_waits(wgro_router* r, wg_time now) {
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
-        bool waits = service->live && wgq_query_stats(service->queue).queued > 0;
-        wg_time back_at = waits ? wgp_back_at(r->place, now, service->row.id) : 0;
-        if (back_at > 0) {
-            _wgro_give_up_before(r, i, back_at);
+        bool has_waiting = service->live && wgq_query_stats(service->queue).queued > 0;
+        wg_time backoff_end = has_waiting ? wgp_back_at(r->place, now, service->row.id) : 0;
+        if (backoff_end > 0) {
+            _wgro_fail_waits_before(r, i, backoff_end);
         }
     }
 }
 
-void _wgro_give_up_queued(wgro_router* r) {
+void _wgro_fail_queued(wgro_router* r) {
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         if (r->calls_pool.taken[i] && r->calls[i].machine.state == WGC_STATE_QUEUED) {
             _wgro_call_event(&r->calls[i], &(wgc_event){.type = WGC_EVENT_DEADLINE});
@@ -564,8 +564,8 @@
     }
 }
 
-static void _wgro_give_earlier(_wgro_call_t* call, const Wgpb__ClaimEnd* end) {
-    call->router->counters.whole++;
+static void _wgro_replay_answer(_wgro_call_t* call, const Wgpb__ClaimEnd* end) {
+    call->router->counters.complete++;
     _wgro_detach_caller(call);
     bool ran = end && end->verdict == WG_VERDICT_RAN;
     if (!ran || end->body.len == 0) {
@@ -590,7 +590,8 @@
     evbuffer_free(body);
 }
 
-void _wgro_claim_answered(wgro_router* r, uint64_t ticket, int outcome, const Wgpb__ClaimEnd* end) {
+void _wgro_on_claim_answer(wgro_router* r, uint64_t ticket, int outcome,
+                           const Wgpb__ClaimEnd* end) {
     _wgro_call_t* call = NULL;
     for (int i = 0; i < r->calls_pool.capacity && !call; i++) {
         bool match = r->calls_pool.taken[i] && r->calls[i].claim_ticket == ticket &&
@@ -612,7 +613,7 @@
     if (outcome == WGK_OUTCOME_ENDED) {
         wgc_step(&call->machine, wg_now(), &(wgc_event){.type = WGC_EVENT_CLAIM_ENDED});
         if (call->request) {
-            _wgro_give_earlier(call, end);
+            _wgro_replay_answer(call, end);
         }
         _wgro_release(call, 0, WGP_RESULT_CANCELLED);
         _wgro_free_call(call);
@@ -622,7 +623,7 @@
     _wgro_call_event(call, &(wgc_event){.type = events[outcome]});
 }
 
-void _wgro_cut_off_all(wgro_router* r) {
+void _wgro_abort_all(wgro_router* r) {
     int num = 0;
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         if (r->calls_pool.taken[i]) {
--- a/lib/router/wg_router_internal.h
+++ b/lib/router/wg_router_internal.h
@@ -13,9 +13,10 @@
 enum {
     _WGRO_SERVICES_MAX = 32,
     _WGRO_CONTROLS_MAX = 8,
-    _WGRO_HELD_WHOLE = 64 * 1024, /* answers up to this size are relayed only when complete */
-    _WGRO_CONNS_PER_TARGET = 64,  /* idle connections kept per target */
-    _WGRO_UNKNOWN_KEYS = 1024     /* slots of the cache of keys that are not in the table */
+    /* bytes; answers up to this size are relayed only when complete */
+    _WGRO_BUFFERED_ANSWER_MAX = 64 * 1024,
+    _WGRO_CONNS_PER_TARGET = 64, /* idle connections kept per target */
+    _WGRO_UNKNOWN_KEYS = 1024    /* slots of the cache of keys that are not in the table */
 };
 
 typedef struct _wgro_call_t _wgro_call_t;
@@ -37,13 +38,13 @@
     uint32_t target;
     _wgro_conn_t* conn;
     struct evhttp_request* request;
-    struct evbuffer* held;  /* bytes of the answer that are not relayed yet */
-    struct evbuffer* ready; /* complete events to relay */
+    struct evbuffer* buffered; /* bytes of the answer that are not relayed yet */
+    struct evbuffer* ready;    /* complete events to relay */
     int status;
     bool stream;       /* server-sent events */
     bool length_known; /* a truncated answer can be detected */
     bool done_seen;
-    bool said_not_run;
+    bool reported_not_run;
     bool aborted;
     bool paused;   /* reading from the target is stopped */
     int64_t usage; /* tokens reported by the target; -1: unknown */
@@ -102,10 +103,10 @@
 
 typedef struct {
     uint64_t requests;
-    uint64_t whole;
+    uint64_t complete;
     uint64_t refused;
     uint64_t failed;
-    uint64_t cut;
+    uint64_t answers_aborted;
     uint64_t retries;
     uint64_t resumes;
     uint64_t callers_left;
@@ -113,7 +114,7 @@
     uint64_t lease_refusals;
     uint64_t reports;
     uint64_t row_queries;
-    uint64_t rests; /* backoff periods requested by targets */
+    uint64_t backoffs; /* backoff periods requested by targets */
 } _wgro_counters_t;
 
 struct wgro_router {
@@ -146,7 +147,7 @@
     bool report_full;
     uint64_t full_seq; /* seq of the last full report */
     wgf_pacer pacer;
-    wg_time reply_at;
+    wg_time last_reply_at;
     wg_time slot_lease_until; /* 0: no slots are leased */
     wg_time table_lease_until;
     bool table_in_force;
@@ -171,9 +172,9 @@
     } unknown_keys[_WGRO_UNKNOWN_KEYS];
 
     struct evhttp_connection* hosts_conn;
-    wg_time hosts_at;
-    bool hosts_good;
-    bool hosts_asked;
+    wg_time hosts_poll_at;
+    bool hosts_available;
+    bool hosts_pending;
 
     bool stopping;
     wg_time stop_at;
@@ -189,14 +190,14 @@
 bool _wgro_link_setup(wgro_router* r, GError** error);
 void _wgro_link_tick(wgro_router* r, wg_time now);
 void _wgro_report_soon(wgro_router* r);
-bool _wgro_ask_row(wgro_router* r, uint64_t ticket, const uint8_t* key_hash);
-bool _wgro_ask_claim(wgro_router* r, _wgro_call_t* call);
+bool _wgro_query_row(wgro_router* r, uint64_t ticket, const uint8_t* key_hash);
+bool _wgro_request_claim(wgro_router* r, _wgro_call_t* call);
 void _wgro_end_claim(wgro_router* r, _wgro_call_t* call, wg_verdict verdict, int status,
                      const char* type, struct evbuffer* body);
 
 /* wg_router_accept.c */
 bool _wgro_accept_setup(wgro_router* r, GError** error);
-void _wgro_row_came(wgro_router* r, uint64_t ticket, int outcome);
+void _wgro_on_row_answer(wgro_router* r, uint64_t ticket, int outcome);
 void _wgro_parked_tick(wgro_router* r, wg_time now);
 
 /* wg_router_call.c */
@@ -212,14 +213,14 @@
 void _wgro_call_begin(wgro_router* r, const _wgro_call_desc* desc);
 void _wgro_call_event(_wgro_call_t* call, const wgc_event* event);
 _wgro_call_t* _wgro_call_find(wgro_router* r, wg_handle handle);
-void _wgro_claim_answered(wgro_router* r, uint64_t ticket, int outcome, const Wgpb__ClaimEnd* end);
+void _wgro_on_claim_answer(wgro_router* r, uint64_t ticket, int outcome, const Wgpb__ClaimEnd* end);
 void _wgro_dispatch(wgro_router* r);
 void _wgro_expire(wgro_router* r, wg_time now);
 /* Refuses all waiting requests, so that their callers can use another entry host. */
-void _wgro_give_up_queued(wgro_router* r);
+void _wgro_fail_queued(wgro_router* r);
 /* Fails calls whose wait ends before any target of their service leaves its backoff period. */
-void _wgro_give_up_resting(wgro_router* r, wg_time now);
-void _wgro_cut_off_all(wgro_router* r);
+void _wgro_fail_backoff_waits(wgro_router* r, wg_time now);
+void _wgro_abort_all(wgro_router* r);
 
 /* wg_router_attempt.c */
 bool _wgro_attempt_begin(_wgro_call_t* call, int number, int64_t resume_from);
@@ -230,5 +231,5 @@
 bool _wgro_is_hop_header(const char* name);
 
 /* wg_router_pages.c */
-bool _wgro_pages_setup(wgro_router* r, GError** error);
+bool _wgro_operators_setup(wgro_router* r, GError** error);
 void _wgro_hosts_tick(wgro_router* r, wg_time now);
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -118,10 +118,10 @@
 
 /* ---- helpers: reply ------------------------------------------------------------------------ */
 
-static void _wgro_take_rows(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_apply_rows(wgro_router* r, const Wgpb__Reply* reply) {
     if (reply->reset) {
-        /* The leader no longer has the deletions since our version and sends the whole table: a row
-           that is not in it was deleted. */
+        /* The leader no longer has the deletions since our version and sends the complete table: a
+           row that is not in it was deleted. */
         for (int kind = WGT_KIND_WORKSPACE; kind < WGT_KIND_NUM; kind++) {
             int at = -1;
             for (const wgt_row* row; (row = wgt_next(r->table, (wgt_kind)kind, &at));) {
@@ -144,7 +144,7 @@
     }
 }
 
-static void _wgro_take_members(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_apply_members(wgro_router* r, const Wgpb__Reply* reply) {
     if (reply->members_reset) {
         wgm_clear(r->members);
     }
@@ -169,7 +169,7 @@
     return NULL;
 }
 
-static void _wgro_take_fairs(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_apply_virtual_times(wgro_router* r, const Wgpb__Reply* reply) {
     for (size_t i = 0; i < reply->n_fleet; i++) {
         _wgro_service_t* service = _wgro_service_by_id(r, reply->fleet[i]->service);
         if (service) {
@@ -185,7 +185,7 @@
     }
 }
 
-static void _wgro_follow_hint(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_follow_redirect(wgro_router* r, const Wgpb__Reply* reply) {
     r->leader_known = false;
     if (reply->leader_address && reply->leader_address[0]) {
         g_strlcpy(r->dial_address, reply->leader_address, sizeof r->dial_address);
@@ -195,7 +195,7 @@
 
 /* Applies granted slots and quotas. The caller skips orders that the leader sent before it received
    our last full report, because that report reset its count of our slots. */
-static void _wgro_take_orders(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_apply_slot_orders(wgro_router* r, const Wgpb__Reply* reply) {
     for (size_t i = 0; i < reply->n_quotas; i++) {
         wgp_set_quota(r->place, reply->quotas[i]->service, reply->quotas[i]->most);
     }
@@ -215,19 +215,19 @@
     wg_log(WG_EVENT_LEASES_LAPSED, "%s", "");
 }
 
-static void _wgro_take_reply(wgro_router* r, const Wgpb__Reply* reply) {
+static void _wgro_apply_reply(wgro_router* r, const Wgpb__Reply* reply) {
     wg_time now = wg_now();
-    r->reply_at = now;
+    r->last_reply_at = now;
     if (!reply->leads || reply->term < r->term) {
-        _wgro_follow_hint(r, reply);
+        _wgro_follow_redirect(r, reply);
         return;
     }
     bool new_leader = reply->term != r->term || !r->leader_known;
     r->term = reply->term;
     r->leader_known = true;
     if (new_leader || reply->seq == 0) {
-        bool told_all = reply->seq > 0 && reply->report_seq > 0;
-        if (!told_all) {
+        bool leader_has_report = reply->seq > 0 && reply->report_seq > 0;
+        if (!leader_has_report) {
             /* The leader has not received a full report from us in this term. */
             r->report_full = true;
             _wgro_report_soon(r);
@@ -235,11 +235,11 @@
         }
     }
     r->applied = reply->seq;
-    _wgro_take_rows(r, reply);
-    _wgro_take_members(r, reply);
-    _wgro_take_fairs(r, reply);
+    _wgro_apply_rows(r, reply);
+    _wgro_apply_members(r, reply);
+    _wgro_apply_virtual_times(r, reply);
     if (reply->report_seq >= r->full_seq) {
-        _wgro_take_orders(r, reply);
+        _wgro_apply_slot_orders(r, reply);
     }
     if (reply->want_full) {
         _wgro_end_slot_leases(r);
@@ -275,7 +275,7 @@
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         _wgro_call_t* call = r->calls_pool.taken[i] ? &r->calls[i] : NULL;
         if (call && call->machine.state == WGC_STATE_CLAIMING) {
-            _wgro_ask_claim(r, call);
+            _wgro_request_claim(r, call);
         }
     }
 }
@@ -289,7 +289,7 @@
     wg_log(WG_EVENT_LINK_UP, "peer=%s", peer->name);
     r->link_up = true;
     r->link_since = wg_now();
-    r->reply_at = r->link_since;
+    r->last_reply_at = r->link_since;
     r->applied = 0;
     r->report_full = true;
     _wgro_send_report(r, wg_now());
@@ -318,7 +318,7 @@
     if (frame->type == WGW_TYPE_REPLY) {
         Wgpb__Reply* reply = wgpb__reply__unpack(NULL, frame->size, frame->payload);
         if (reply) {
-            _wgro_take_reply(r, reply);
+            _wgro_apply_reply(r, reply);
             wgpb__reply__free_unpacked(reply, NULL);
         }
     } else if (frame->type == WGW_TYPE_ROW_ANSWER) {
@@ -328,13 +328,13 @@
             wgt_put(r->table, &row);
         }
         if (answer) {
-            _wgro_row_came(r, answer->ticket, (int)answer->outcome);
+            _wgro_on_row_answer(r, answer->ticket, (int)answer->outcome);
             wgpb__row_answer__free_unpacked(answer, NULL);
         }
     } else if (frame->type == WGW_TYPE_CLAIM_ANSWER) {
         Wgpb__ClaimAnswer* answer = wgpb__claim_answer__unpack(NULL, frame->size, frame->payload);
         if (answer && !g_hash_table_remove(r->claim_ends, &answer->ticket)) {
-            _wgro_claim_answered(r, answer->ticket, (int)answer->outcome, answer->end);
+            _wgro_on_claim_answer(r, answer->ticket, (int)answer->outcome, answer->end);
         }
         if (answer) {
             wgpb__claim_answer__free_unpacked(answer, NULL);
@@ -407,8 +407,8 @@
         }
         return;
     }
-    bool silent = now - MAX(r->reply_at, r->link_since) > _WGRO_REPLY_DEADLINE;
-    if (silent) {
+    bool unresponsive = now - MAX(r->last_reply_at, r->link_since) > _WGRO_REPLY_DEADLINE;
+    if (unresponsive) {
         wgn_close(r->net, r->link);
         return;
     }
@@ -427,7 +427,7 @@
     }
 }
 
-bool _wgro_ask_row(wgro_router* r, uint64_t ticket, const uint8_t* key_hash) {
+bool _wgro_query_row(wgro_router* r, uint64_t ticket, const uint8_t* key_hash) {
     Wgpb__RowQuery query = WGPB__ROW_QUERY__INIT;
     query.ticket = ticket;
     query.key_hash = (ProtobufCBinaryData){WG_KEY_HASH_SIZE, (uint8_t*)key_hash};
@@ -440,7 +440,7 @@
     return row ? row->name : "";
 }
 
-bool _wgro_ask_claim(wgro_router* r, _wgro_call_t* call) {
+bool _wgro_request_claim(wgro_router* r, _wgro_call_t* call) {
     Wgpb__Claim claim = WGPB__CLAIM__INIT;
     claim.workspace = (char*)_wgro_workspace_name(r, call);
     claim.key = (ProtobufCBinaryData){WGK_KEY_SIZE, call->key};
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_pages.c
@@ -59,13 +59,13 @@
         "held_back", (json_int_t)r->pacer.held_back, "row_queries", (json_int_t)c->row_queries,
         "table", "workspaces", t.workspaces, "services", t.services, "targets", t.targets,
         "routers", "up", m.up, "leaving", m.leaving, "gone", m.gone);
-    json_object_set_new(json, "requests",
-                        json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:i}", "taken",
-                                  (json_int_t)c->requests, "whole", (json_int_t)c->whole, "refused",
-                                  (json_int_t)c->refused, "failed", (json_int_t)c->failed, "cut",
-                                  (json_int_t)c->cut, "retries", (json_int_t)c->retries, "resumes",
-                                  (json_int_t)c->resumes, "callers_left",
-                                  (json_int_t)c->callers_left, "at_work", r->calls_pool.used));
+    json_object_set_new(
+        json, "requests",
+        json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:i}", "taken", (json_int_t)c->requests,
+                  "whole", (json_int_t)c->complete, "refused", (json_int_t)c->refused, "failed",
+                  (json_int_t)c->failed, "cut", (json_int_t)c->answers_aborted, "retries",
+                  (json_int_t)c->retries, "resumes", (json_int_t)c->resumes, "callers_left",
+                  (json_int_t)c->callers_left, "at_work", r->calls_pool.used));
     json_object_set_new(json, "services", _wgro_dump_services(r));
     json_object_set_new(json, "targets", _wgro_dump_targets(r));
     return json;
@@ -80,14 +80,14 @@
         const char* name;
         uint64_t value;
     } counters[] = {{"walnutgate_requests_total", c->requests},
-                    {"walnutgate_answers_whole_total", c->whole},
+                    {"walnutgate_answers_whole_total", c->complete},
                     {"walnutgate_refused_total", c->refused},
                     {"walnutgate_failed_total", c->failed},
-                    {"walnutgate_cut_total", c->cut},
+                    {"walnutgate_cut_total", c->answers_aborted},
                     {"walnutgate_retries_total", c->retries},
                     {"walnutgate_resumes_total", c->resumes},
                     {"walnutgate_callers_left_total", c->callers_left},
-                    {"walnutgate_target_rests_total", c->rests},
+                    {"walnutgate_target_rests_total", c->backoffs},
                     {"walnutgate_lease_refusals_total", c->lease_refusals},
                     {"walnutgate_reports_total", c->reports},
                     {"walnutgate_reports_held_back_total", r->pacer.held_back},
@@ -113,14 +113,14 @@
 
 static bool _wgro_is_operator(wgro_router* r, struct evhttp_request* request) {
     const char* key = wgh_bearer(request);
-    uint8_t given[WG_KEY_HASH_SIZE];
-    uint8_t right[WG_KEY_HASH_SIZE];
-    wg_key_hash(key ? key : "", given);
-    wg_key_hash(r->settings->operator_key, right);
-    return key && wgw_proof_equal(given, right);
+    uint8_t presented[WG_KEY_HASH_SIZE];
+    uint8_t expected[WG_KEY_HASH_SIZE];
+    wg_key_hash(key ? key : "", presented);
+    wg_key_hash(r->settings->operator_key, expected);
+    return key && wgw_proof_equal(presented, expected);
 }
 
-static void _wgro_on_page(struct evhttp_request* request, void* user_data) {
+static void _wgro_on_operator_request(struct evhttp_request* request, void* user_data) {
     wgro_router* r = user_data;
     char path[128];
     wgh_path(request, path, sizeof path);
@@ -146,18 +146,18 @@
     }
 }
 
-bool _wgro_pages_setup(wgro_router* r, GError** error) {
+bool _wgro_operators_setup(wgro_router* r, GError** error) {
     if (!wgh_listen(&r->operators, r->base, r->settings->operators_listen, &(wgh_limits){0},
                     error)) {
         return false;
     }
-    evhttp_set_gencb(r->operators.http, _wgro_on_page, r);
+    evhttp_set_gencb(r->operators.http, _wgro_on_operator_request, r);
     return true;
 }
 
 /* ---- host list ------------------------------------------------------------------------------ */
 
-static void _wgro_take_hosts(wgro_router* r, const json_t* json) {
+static void _wgro_apply_hosts(wgro_router* r, const json_t* json) {
     uint64_t version = (uint64_t)json_integer_value(json_object_get(json, "version"));
     size_t i;
     json_t* host;
@@ -167,8 +167,8 @@
         if (!address || !state) {
             continue;
         }
-        bool leaving = strcmp(state, "leaving") == 0;
-        if (wgp_note_host(r->place, address, leaving, version) == WGP_EVENT_LEAVING) {
+        bool draining = strcmp(state, "leaving") == 0;
+        if (wgp_note_host(r->place, address, draining, version) == WGP_EVENT_LEAVING) {
             wg_log(WG_EVENT_TARGET_LEAVING, "address=%s source=host-list", address);
         }
     }
@@ -176,27 +176,27 @@
 
 static void _wgro_on_hosts(struct evhttp_request* request, void* user_data) {
     wgro_router* r = user_data;
-    r->hosts_asked = false;
+    r->hosts_pending = false;
     json_t* json = NULL;
     char message[128];
     if (request && evhttp_request_get_response_code(request) == 200) {
         json = wgh_body_json(request, message, sizeof message);
     }
     if (json) {
-        _wgro_take_hosts(r, json);
+        _wgro_apply_hosts(r, json);
         json_decref(json);
-        r->hosts_good = true;
-    } else if (r->hosts_good) {
-        r->hosts_good = false;
+        r->hosts_available = true;
+    } else if (r->hosts_available) {
+        r->hosts_available = false;
         wg_log(WG_EVENT_HOST_LIST_LOST, "%s", "");
     }
 }
 
 void _wgro_hosts_tick(wgro_router* r, wg_time now) {
-    if (!r->settings->hosts_url[0] || now < r->hosts_at || r->hosts_asked) {
+    if (!r->settings->hosts_url[0] || now < r->hosts_poll_at || r->hosts_pending) {
         return;
     }
-    r->hosts_at = now + r->settings->hosts_ms * WG_USEC_PER_MSEC;
+    r->hosts_poll_at = now + r->settings->hosts_ms * WG_USEC_PER_MSEC;
     struct evhttp_uri* uri = evhttp_uri_parse(r->settings->hosts_url);
     if (!uri || !evhttp_uri_get_host(uri)) {
         return;
@@ -210,9 +210,9 @@
     struct evhttp_request* request = evhttp_request_new(_wgro_on_hosts, r);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", evhttp_uri_get_host(uri));
     const char* path = evhttp_uri_get_path(uri);
-    r->hosts_asked = true;
+    r->hosts_pending = true;
     if (evhttp_make_request(r->hosts_conn, request, EVHTTP_REQ_GET, path && path[0] ? path : "/")) {
-        r->hosts_asked = false;
+        r->hosts_pending = false;
     }
     evhttp_uri_free(uri);
 }
--- a/lib/router/wg_sse.c
+++ b/lib/router/wg_sse.c
@@ -8,7 +8,7 @@
 
 /* ---- helpers ------------------------------------------------------------------------------ */
 
-static void _wgx_take_line(const char* line, size_t size, wgx_sse_event* event) {
+static void _wgx_parse_line(const char* line, size_t size, wgx_sse_event* event) {
     static const char done[] = "[DONE]";
     if (size >= 5 && memcmp(line, "data:", 5) == 0) {
         const char* value = line + 5;
@@ -33,13 +33,13 @@
     }
 }
 
-static void _wgx_take_lines(const char* text, size_t size, wgx_sse_event* event) {
+static void _wgx_parse_lines(const char* text, size_t size, wgx_sse_event* event) {
     const char* at = text;
     const char* line;
     size_t length;
     *event = (wgx_sse_event){.id = -1};
     while (wg_event_line(&at, text + size, &line, &length)) {
-        _wgx_take_line(line, length, event);
+        _wgx_parse_line(line, length, event);
     }
 }
 
@@ -52,7 +52,7 @@
     if (length == 0) {
         return have > WG_EVENT_BYTES_MAX ? WGX_SSE_TOO_LONG : WGX_SSE_MORE;
     }
-    _wgx_take_lines(text, length, event);
+    _wgx_parse_lines(text, length, event);
     evbuffer_remove_buffer(in, out, length);
     return WGX_SSE_EVENT;
 }
