--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -11,43 +11,47 @@
 #define _TEXT(kind, group, field, def, help) WGI_TEXT(wgro_settings, kind, group, field, def, help)
 
 const wgi_key wgro_keys[] = {
-    _TEXT(TEXT, "router", name, NULL, "name of this router, one in the fleet"),
-    _TEXT(TEXT, "router", data_centre, "", "data centre it stands in"),
-    _TEXT(ADDRESS, "router", callers_listen, NULL, "where callers connect"),
+    _TEXT(TEXT, "router", name, NULL, "name of this router, unique in the fleet"),
+    _TEXT(TEXT, "router", data_centre, "", "data centre of this router"),
+    _TEXT(ADDRESS, "router", callers_listen, NULL, "address that callers connect to"),
     _TEXT(ADDRESS, "router", callers_address, "",
-          "address told to callers, where it differs from callers_listen"),
-    _TEXT(ADDRESS, "router", operators_listen, "127.0.0.1:7300", "where operators connect"),
+          "address advertised to callers, if it differs from callers_listen"),
+    _TEXT(ADDRESS, "router", operators_listen, "127.0.0.1:7300",
+          "address that operators connect to"),
     _TEXT(LIST, "router", controls, NULL, "all controls as name@ip:port"),
     _TEXT(SECRET, "keys", fleet_key, NULL, "file with the key that all fleet processes share"),
     _TEXT(SECRET, "keys", operator_key, NULL, "file with the operators' key"),
     _TEXT(TEXT, "log", log_level, "info", "debug, info, warn or error"),
     _TEXT(TEXT, "log", log_target, "stderr", "stderr or a file"),
     _TEXT(TEXT, "table", rows, "all",
-          "all: hold every workspace's row; demand: fetch rows as their keys are seen"),
+          "all: hold the rows of all workspaces; demand: fetch a row when its key is first used"),
     _TEXT(TEXT, "table", lease_lost, "refuse",
-          "without a table lease: refuse new work, or serve on by a table that may be old"),
-    _TEXT(TEXT, "platform", hosts_url, "", "http:// address of the list of live and leaving hosts"),
-    _NUMBER("platform", hosts_ms, "1000", 100, 60000, "ms", "time between two looks at the list"),
+          "without a table lease: refuse new requests, or serve with a table that may be stale"),
+    _TEXT(TEXT, "platform", hosts_url, "",
+          "http:// URL of the platform's list of live and leaving hosts"),
+    _NUMBER("platform", hosts_ms, "1000", 100, 60000, "ms",
+            "time between two polls of the host list"),
     _NUMBER("limits", target_rest_max_s, "3600", 1, 86400, "s",
-            "longest rest that a target may ask for by Retry-After; a longer one counts as this"),
-    _NUMBER("limits", calls_max, "4096", 16, 60000, "requests", "requests at work at once"),
+            "longest backoff that a target may request by Retry-After; longer ones are clamped"),
+    _NUMBER("limits", calls_max, "4096", 16, 60000, "requests",
+            "requests running or waiting at once"),
     _NUMBER("limits", head_max, "16384", 1024, 1048576, "bytes", "request line and headers"),
     _NUMBER("limits", body_max, "4194304", 1024, 1073741824, "bytes", "body of a request"),
     _NUMBER("limits", files_max, "16384", 64, 1000000, "files",
-            "open files (each connection is one) beyond which no more connections are taken"),
-    _NUMBER("limits", idle_s, "60", 1, 3600, "s", "a caller's connection without progress"),
+            "open files (one per connection) above which no new connections are accepted"),
+    _NUMBER("limits", idle_s, "60", 1, 3600, "s", "idle timeout of a caller's connection"),
     _NUMBER("limits", high_water, "262144", 4096, 67108864, "bytes",
-            "unsent answer at which reading from the target stops"),
+            "unsent bytes of an answer above which reading from the target pauses"),
     _NUMBER("control", report_ms, "200", 20, 1000, "ms", "time between two reports to the leader"),
     _NUMBER("control", report_gap_ms, "20", 1, 1000, "ms", "shortest time between two reports"),
     _NUMBER("control", budget_bytes, "6000", 500, 100000000, "bytes/s",
-            "control traffic of this router, both ways"),
+            "control traffic of this router, both directions"),
     _NUMBER("control", entry_keep_ms, "5000", 100, 3600000, "ms",
-            "how long callers may keep an answer about entry hosts"),
+            "how long callers may cache an answer about entry hosts"),
     _NUMBER("control", claim_wait_ms, "3000", 100, 60000, "ms",
-            "longest wait for a run-once claim"),
+            "longest wait for the claim of an idempotency key"),
     _NUMBER("control", stop_wait_ms, "1000", 0, 600000, "ms",
-            "planned stop: kept open beyond entry_keep_ms"),
+            "planned stop: time to keep serving after entry_keep_ms"),
     _NUMBER("control", urgent_reserve, "1", 1, 1000, "requests",
             "urgent requests beyond the leased slots, per service"),
 };
@@ -189,9 +193,9 @@
 static bool _wgro_check_settings(const wgro_settings* s, GError** error) {
     const char* wrong = NULL;
     if (strcmp(s->rows, "all") != 0 && strcmp(s->rows, "demand") != 0) {
-        wrong = "[table] rows: want all or demand";
+        wrong = "[table] rows: must be all or demand";
     } else if (strcmp(s->lease_lost, "refuse") != 0 && strcmp(s->lease_lost, "serve") != 0) {
-        wrong = "[table] lease_lost: want refuse or serve";
+        wrong = "[table] lease_lost: must be refuse or serve";
     }
     if (wrong) {
         g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "%s", wrong);
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -45,13 +45,14 @@
     json_t* more = json_object();
     json_object_set_new(more, "entry_hosts",
                         _wgro_entry_list(r, "", WGM_ENTRY_HOSTS_DEFAULT, r->settings->data_centre));
-    wgh_reply_error(request, &(wgh_error){.status = 503,
-                                          .code = "table_not_in_force",
-                                          .verdict = WG_VERDICT_NOT_RUN,
-                                          .retry_after = WG_USEC_PER_SEC,
-                                          .message = "this router has lost touch with the leader; "
-                                                     "use another entry host",
-                                          .more = more});
+    wgh_reply_error(request,
+                    &(wgh_error){.status = 503,
+                                 .code = "table_not_in_force",
+                                 .verdict = WG_VERDICT_NOT_RUN,
+                                 .retry_after = WG_USEC_PER_SEC,
+                                 .message = "this router has lost contact with the leader; "
+                                            "use another entry host",
+                                 .more = more});
 }
 
 /* ---- helpers: keys ------------------------------------------------------------------------- */
@@ -186,7 +187,7 @@
     wgh_path(request, path, sizeof path);
     if (strcmp(path, "/v1/chat/completions") == 0) {
         if (strcmp(wgh_method(request), "POST") != 0) {
-            _wgro_refuse(r, request, 405, "bad_method", 0, "want POST");
+            _wgro_refuse(r, request, 405, "bad_method", 0, "method not allowed, use POST");
         } else {
             _wgro_serve_model(r, request, workspace);
         }
@@ -249,7 +250,9 @@
     }
     if (wgh_is_ambiguous(request)) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
-        _wgro_refuse(r, request, 400, "ambiguous_length", 0, "the length can be read in two ways");
+        _wgro_refuse(
+            r, request, 400, "ambiguous_length", 0,
+            "ambiguous message length: repeated or malformed Content-Length or Transfer-Encoding");
         return;
     }
     if (strcmp(path, "/v1/entry") == 0) {
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -11,11 +11,14 @@
     const char* code;
     const char* message;
 } _wgro_refusals[WGQ_REFUSAL_NUM] = {
-    [WGQ_REFUSAL_RATE] = {429, "rate_limit", "requests per second are used up"},
-    [WGQ_REFUSAL_IN_FLIGHT] = {429, "in_flight_limit", "too many requests at work and waiting"},
+    [WGQ_REFUSAL_RATE] = {429, "rate_limit", "request rate limit of the workspace exceeded"},
+    [WGQ_REFUSAL_IN_FLIGHT] = {429, "in_flight_limit",
+                               "too many requests of the workspace running and waiting"},
     [WGQ_REFUSAL_QUEUE] = {429, "queue_limit", "the workspace's queue is full"},
-    [WGQ_REFUSAL_TOKENS] = {429, "token_limit", "tokens per minute are used up"},
-    [WGQ_REFUSAL_FULL] = {503, "no_capacity", "this router has no room for more requests"},
+    [WGQ_REFUSAL_TOKENS] = {429, "token_limit",
+                            "tokens-per-minute limit of the workspace exceeded"},
+    [WGQ_REFUSAL_FULL] = {503, "no_capacity",
+                          "this router has reached its limit of requests or workspaces"},
     [WGQ_REFUSAL_LATE] = {503, "no_capacity", "cannot be served in time"},
 };
 
@@ -112,10 +115,10 @@
     static const char* messages[WGC_CODE_NUM] = {
         "",
         "the target failed",
-        "the deadline passed",
-        "no capacity came free in time",
-        "the claim for this key could not be made; nothing was run",
-        "an earlier request with this key has not ended, it may have run",
+        "the deadline of the request passed",
+        "no target capacity became free in time",
+        "the idempotency key could not be claimed; the request did not run",
+        "an earlier request with this idempotency key has not ended and may have run",
     };
     call->router->counters.failed++;
     _wgro_detach_caller(call);
@@ -428,11 +431,12 @@
     if (handle.id == 0) {
         g_free(desc->uri);
         r->counters.refused++;
-        wgh_reply_error(desc->request, &(wgh_error){.status = 503,
-                                                    .code = "no_capacity",
-                                                    .verdict = WG_VERDICT_NOT_RUN,
-                                                    .retry_after = WG_USEC_PER_SEC,
-                                                    .message = "this router is full"});
+        wgh_reply_error(desc->request,
+                        &(wgh_error){.status = 503,
+                                     .code = "no_capacity",
+                                     .verdict = WG_VERDICT_NOT_RUN,
+                                     .retry_after = WG_USEC_PER_SEC,
+                                     .message = "this router has reached its limit of requests"});
         return;
     }
     _wgro_call_t* call = _wgro_call_find(r, handle);
@@ -569,13 +573,14 @@
     _wgro_detach_caller(call);
     bool ran = end && end->verdict == WG_VERDICT_RAN;
     if (!ran || end->body.len == 0) {
-        wgh_reply_error(call->request,
-                        &(wgh_error){.status = 409,
-                                     .code = ran ? "already_ran" : "may_have_run",
-                                     .verdict = ran ? WG_VERDICT_RAN : WG_VERDICT_MAY_HAVE_RUN,
-                                     .message =
-                                         "an earlier request with this key ended; its answer "
-                                         "is not kept"});
+        wgh_reply_error(
+            call->request,
+            &(wgh_error){.status = 409,
+                         .code = ran ? "already_ran" : "may_have_run",
+                         .verdict = ran ? WG_VERDICT_RAN : WG_VERDICT_MAY_HAVE_RUN,
+                         .message =
+                             "an earlier request with this idempotency key ended; its answer "
+                             "is not kept"});
         return;
     }
     struct evkeyvalq* out = evhttp_request_get_output_headers(call->request);
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -359,14 +359,16 @@
         wg_copy_name(r->controls[r->controls_num++].address, WG_ADDRESS_MAX, address);
     }
     if (r->controls_num == 0) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "[router] controls: none is listed");
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
+                    "[router] controls: at least one control is required");
         return false;
     }
     wgn_peer self = {.role = WGW_ROLE_ROUTER, .incarnation = r->incarnation};
     if (!wg_copy_name(self.name, sizeof self.name, r->settings->name) ||
         !wg_copy_name(self.address, sizeof self.address, r->callers_address) ||
         !wg_copy_name(self.data_centre, sizeof self.data_centre, r->settings->data_centre)) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "[router] a name is too long");
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
+                    "[router] name, callers_address or data_centre is too long");
         return false;
     }
     r->control_next = (int)(wg_jitter(r->seed, r->counter++) % (uint64_t)r->controls_num);
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_pages.c
@@ -142,7 +142,7 @@
         wgh_reply_error(request, &(wgh_error){.status = 404,
                                               .code = "unknown_page",
                                               .verdict = WG_VERDICT_NOT_RUN,
-                                              .message = "no such page"});
+                                              .message = "no such endpoint"});
     }
 }
 
