--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -11,14 +11,14 @@
     bool live;
     bool seen;
     bool row_leaving;
-    bool said_leaving;           /* by its own answers, or by a host list */
-    uint64_t leaving_at_version; /* of the host list that said so */
+    bool said_leaving;           /* by an answer of the target, or by a host list */
+    uint64_t leaving_at_version; /* version of the last host list that reported it; 0: none */
     uint64_t row_version;
     int sent_since_report;
-    int in_reserve; /* of its requests, those beyond the leased slots */
+    int in_reserve; /* running requests beyond the leased slots */
     int failures_in_row;
     int aside_times;
-    bool probing; /* one request is out to see whether it is well */
+    bool probing; /* a probe request is running */
 } _wgp_target_t;
 
 typedef struct {
@@ -31,8 +31,8 @@
     _wgp_target_t* targets;
     int targets_num;
     GHashTable* by_id;
-    wg_backoff* backoff;     /* what targets asked for */
-    _wgp_prefix_t* prefixes; /* direct-mapped by hash: a newer prefix takes an older one's place */
+    wg_backoff* backoff;     /* backoff periods by target */
+    _wgp_prefix_t* prefixes; /* direct-mapped by hash */
     wg_time lease_until;
     struct {
         uint32_t service;
@@ -66,7 +66,7 @@
     return t->row_leaving || t->said_leaving;
 }
 
-/* Stands for the target at its address: what is there after an edit asked for nothing. */
+/* Includes the address: a target that an edit moved elsewhere does not inherit a backoff period. */
 static uint64_t _wgp_key(const _wgp_target_t* t) {
     return wg_hash(t->info.address, strlen(t->info.address), t->info.id);
 }
@@ -97,13 +97,13 @@
     return t->info.in_use < t->info.leased;
 }
 
-/* Requests it likely works on, per mille of its slots: its last word plus what was sent since. */
+/* Estimated load per mille of the slots: last reported load plus requests sent since then. */
 static int _wgp_load(const _wgp_target_t* t) {
     int known = MAX(t->info.reported + t->sent_since_report, t->info.in_use);
     return known * 1000 / MAX(t->info.slots, 1);
 }
 
-/* Requests started as a reserve. A limit that was lowered below what runs does not count as one. */
+/* Requests started as a reserve. Requests above a lease that shrank later do not count. */
 static int _wgp_reserve_used(const wgp_place* p, uint32_t service) {
     int num = 0;
     for (int i = 0; i < p->targets_num; i++) {
@@ -122,7 +122,7 @@
     return &p->prefixes[prefix % (uint64_t)p->desc.prefixes_max];
 }
 
-/* The target that may have the prefix cached, if it may take the request. */
+/* The target that may have the prefix cached, if it can accept the request; else NULL. */
 static _wgp_target_t* _wgp_cached(wgp_place* p, wg_time now, const wgp_request* request,
                                   bool over) {
     const _wgp_prefix_t* entry = _wgp_prefix_place(p, request->prefix);
@@ -138,14 +138,14 @@
     return fits ? t : NULL;
 }
 
-/* Smaller is better: load, then the own data centre, then chance. */
+/* Smaller is better. Targets in other data centres get a penalty; ties are broken at random. */
 static int64_t _wgp_score(const wgp_place* p, const _wgp_target_t* t, uint32_t not_target) {
     int64_t score = (int64_t)_wgp_load(t) * 16;
     if (strcmp(t->info.data_centre, p->desc.data_centre) != 0) {
         score += 16 * 20;
     }
     if (t->info.id == not_target) {
-        score += 16 * 100000; /* only when there is no other */
+        score += 16 * 100000; /* only without alternative */
     }
     return score;
 }
@@ -193,7 +193,7 @@
     WG_ASSERT(t->info.leased >= 0);
 }
 
-/* Give back idle slots: those of targets that take no work, and those beyond the quota. */
+/* Releases idle slots of targets that accept no requests, and idle slots beyond the quota. */
 static void _wgp_give_back(wgp_place* p, uint32_t service) {
     int64_t held = 0;
     for (int i = 0; i < p->targets_num; i++) {
@@ -201,7 +201,7 @@
         if (t->info.service != service) {
             continue;
         }
-        /* One slot stays for the request that will find out whether the target is well again. */
+        /* One slot is kept for the probe request. */
         bool waits = t->info.aside_until != 0 || t->info.rested;
         int kept = !t->live || _wgp_is_leaving(t) ? 0 : waits ? 1 : INT_MAX;
         if (_wgp_idle(t) > kept) {
@@ -220,7 +220,7 @@
             }
         }
         if (!most) {
-            return; /* the next that falls idle goes back */
+            return; /* released when the next slot becomes idle */
         }
         _wgp_give_one(p, most, 1);
         held--;
@@ -240,7 +240,7 @@
     t->aside_times++;
     t->info.aside_until =
         now + wait / 2 + wg_jitter_range(p->desc.seed, p->counter++, 0, MAX(wait / 2, 1));
-    p->given_back = true; /* worth a report, even if it held nothing idle */
+    p->given_back = true; /* the leader needs a report even if no slot was released */
     _wgp_give_back(p, t->info.service);
     return WGP_EVENT_ASIDE;
 }
@@ -316,7 +316,7 @@
     bool edited = version > t->row_version;
     bool taken_back = t->row_leaving && !leaving;
     if (edited && taken_back) {
-        t->said_leaving = false; /* an operator said that it stays */
+        t->said_leaving = false; /* an operator has cancelled draining */
     }
     t->live = t->seen = true;
     t->row_version = version;
@@ -438,7 +438,8 @@
     t->sent_since_report = MAX(t->sent_since_report - 1, 0);
     bool was_probing = t->probing;
     t->probing = false;
-    /* What fails in a rest was on its way, or kept back: the target is not to blame. */
+    /* A request that fails during a backoff period was sent before it, or held back: it does not
+       count against the target. */
     bool rests = _wgp_rest_until(p, t, now) > 0;
     if (result == WGP_RESULT_CANCELLED || (result == WGP_RESULT_BAD && rests)) {
         return WGP_EVENT_DEFAULT;
@@ -481,13 +482,13 @@
         return WGP_EVENT_DEFAULT;
     }
     wg_backoff_wish rest_only = *wish;
-    rest_only.leaving = false; /* rows and host lists can take that back: wgp_note_leaving() */
+    rest_only.leaving = false; /* see wgp_note_leaving(): rows and host lists can revoke draining */
     wg_backoff_news news = wg_backoff_note(p->backoff, now, _wgp_key(t), &rest_only, unix_time);
     if (!news.rests) {
         return WGP_EVENT_DEFAULT;
     }
     t->info.rested = true;
-    p->given_back = true; /* worth a report: slots there are of no use to this router */
+    p->given_back = true; /* the leader can assign the slots to other routers */
     _wgp_give_back(p, t->info.service);
     return WGP_EVENT_RESTS;
 }
