--- a/lib/call/wg_call.c
+++ b/lib/call/wg_call.c
@@ -11,7 +11,7 @@
     return c->state == WGC_STATE_RUNNING;
 }
 
-/* Verdict when no whole answer comes any more. */
+/* Verdict when no complete answer will be received. */
 static wg_verdict _wgc_failed_verdict(const wgc_call* c) {
     bool this_may_have_run = c->written && !c->said_not_run;
     return this_may_have_run || c->verdict == WG_VERDICT_MAY_HAVE_RUN ? WG_VERDICT_MAY_HAVE_RUN
@@ -22,7 +22,7 @@
     wgc_action action = {.type = type, .code = code, .attempt = c->attempt};
     action.verdict = _wgc_failed_verdict(c);
     action.abort_attempt = _wgc_attempt_out(c);
-    /* A claim that was asked for may be accepted later: it has to be taken back. */
+    /* A claim in progress may still be granted later, so it has to be ended too. */
     action.end_claim = c->claimed || c->state == WGC_STATE_CLAIMING;
     c->state = WGC_STATE_DONE;
     c->verdict = action.verdict;
@@ -79,7 +79,7 @@
     wg_time wait = wg_jitter_range(c->desc.seed, (uint64_t)c->attempt, most / 2, most);
     bool again = _wgc_may_try_again(c) && now + wait < c->desc.deadline;
     if (!again || !_wgc_draw(c->desc.budget)) {
-        c->state = WGC_STATE_WAITING; /* the attempt is over, there is nothing to cancel */
+        c->state = WGC_STATE_WAITING; /* the attempt has ended, so it needs no abort */
         return _wgc_give_up(c, WGC_CODE_TARGET_FAILED);
     }
     c->verdict = _wgc_failed_verdict(c);
@@ -89,7 +89,7 @@
 
 static wgc_action _wgc_on_attempt(wgc_call* c, wg_time now, const wgc_event* event) {
     if (c->state != WGC_STATE_RUNNING || event->attempt != c->attempt) {
-        return _wgc_nothing(); /* of an attempt that was given up */
+        return _wgc_nothing(); /* event of a previous attempt */
     }
     switch (event->type) {
     case WGC_EVENT_WRITTEN:
--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -6,7 +6,7 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGQ_REQUESTS_LIMIT = 65000 /* fits the 16 bits of a slot in a handle */
+    _WGQ_REQUESTS_LIMIT = 65000 /* a slot has to fit in 16 bits of a handle */
 };
 
 typedef enum {
@@ -15,7 +15,7 @@
     _WGQ_RUNNING
 } _wgq_state;
 
-/* Requests of one class of one workspace, linked by slot; -1 ends. */
+/* Waiting requests of one workspace and class, linked by slot; -1: end of list. */
 typedef struct {
     int head;
     int tail;
@@ -30,11 +30,11 @@
     int next;
     int prev;
     int64_t estimate;
-    int64_t charged; /* settled so far */
+    int64_t charged; /* cost settled so far */
     wg_time picked_at;
 } _wgq_request_t;
 
-/* One workspace. */
+/* State of one workspace. */
 typedef struct {
     uint32_t workspace;
     wgq_limits limits;
@@ -43,17 +43,17 @@
     int running;
     uint64_t served;
     uint64_t acked;  /* `served` that virtual_base contains */
-    int64_t pending; /* estimates of running requests, less what they settled */
+    int64_t pending; /* estimated cost of running requests that is not settled yet */
     int64_t virtual_base;
-    int64_t floor;       /* fleet time when it last came back from idle */
-    int64_t urgent_time; /* virtual time of its urgent requests alone */
-    int64_t urgent_cost; /* estimates picked as urgent and in all, halved now and then */
-    int64_t all_cost;
-    bool changed; /* since accounts were last taken; it stands in `dirty` */
+    int64_t floor;       /* fleet time when the workspace last became backlogged */
+    int64_t urgent_time; /* virtual time of the urgent requests alone */
+    int64_t urgent_cost; /* estimated cost of urgent requests picked recently, decays by halving */
+    int64_t all_cost;    /* estimated cost of all requests picked recently, decays by halving */
+    bool changed;        /* since the last wgq_accounts(); the flow is listed in `dirty` */
     int64_t average_cost;
-    int64_t average_given; /* estimates that came with finished requests */
+    int64_t average_given; /* average caller estimate of finished requests */
     wg_time average_run;
-    wg_time average_interval; /* between picks while requests waited */
+    wg_time average_interval; /* average time between picks while backlogged */
     wg_time last_pick;
     wg_time backlogged_since;
     double rate_tokens;
@@ -71,12 +71,12 @@
     GHashTable* by_workspace; /* workspace -> flow + 1 */
     _wgq_heap_t ready;        /* flows that may be picked, by virtual time */
     _wgq_heap_t ready_urgent; /* flows with urgent requests, by urgent time */
-    _wgq_heap_t expiry;       /* waiting requests, by the time they must leave */
+    _wgq_heap_t expiry;       /* waiting requests, by the time they expire */
     int* dirty;
     int dirty_num;
     int64_t fleet_time;
     bool fleet_known;
-    int64_t local_time; /* virtual time of the flow picked last; stands in while no leader speaks */
+    int64_t local_time;   /* highest virtual time picked; used while the fleet time is unknown */
     int64_t average_cost; /* over all workspaces */
     wg_time average_run;
     wgq_stats stats;
@@ -134,7 +134,7 @@
     }
 }
 
-/* Put the flow where it belongs in the heaps after any change. */
+/* Updates the position of the flow in the heaps; called after every change of the flow. */
 static void _wgq_place(wgq_queue* q, int flow) {
     _wgq_flow_t* f = &q->flows[flow];
     _wgq_mark(q, flow);
@@ -175,7 +175,8 @@
     return flow;
 }
 
-/* Fleet time if known, else the smallest virtual time of a local backlogged flow. */
+/* Virtual time at which an idle flow starts: fleet time if known, else the smallest virtual time of
+   a backlogged flow. */
 static int64_t _wgq_floor(const wgq_queue* q) {
     if (q->fleet_known) {
         return q->fleet_time;
@@ -210,14 +211,14 @@
 
 static int64_t _wgq_estimate(const wgq_queue* q, const _wgq_flow_t* f, const wgq_request* request) {
     if (request->estimate > 0 && f->average_given > 0) {
-        /* Corrected by how far this workspace's estimates have been off. */
+        /* Corrects the estimate by the past error of the workspace's estimates. */
         return MAX(request->estimate * f->average_cost / f->average_given, 1);
     }
     if (f->average_cost > 0) {
         return f->average_cost;
     }
-    /* No history: what others cost here. An estimate that was given is not trusted yet, or a wrong
-       one would let its workspace take, or lose, a whole round of slots. */
+    /* No history: the average of other workspaces. The caller's estimate is ignored until it can be
+       corrected, because a wrong one would let the workspace gain or lose a round of slots. */
     return q->average_cost > 0 ? q->average_cost : q->desc.first_cost;
 }
 
@@ -267,7 +268,7 @@
         wgq_refusal_code code = by_flight ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
         return _wgq_refuse(q, refusal, code, MAX(wait, f->average_run));
     }
-    /* Urgent requests of a workspace do not stand behind its others. */
+    /* Urgent requests are not queued behind the workspace's other requests. */
     bool late = !request->urgent && now + wait > request->wait_until;
     if (late || now + f->average_run > request->deadline) {
         return _wgq_refuse(q, refusal, WGQ_REFUSAL_LATE, MAX(wait, f->average_run));
@@ -301,7 +302,8 @@
     q->stats.urgent_queued -= r->desc.urgent ? 1 : 0;
 }
 
-/* Whether the flow's next request is an urgent one: first within its own share, by percent. */
+/* Whether the next request of the flow is an urgent one: urgent requests go first up to
+   urgent_percent of the flow's cost. */
 static bool _wgq_urgent_first(const _wgq_flow_t* f) {
     if (f->urgent.num == 0 || f->normal.num == 0) {
         return f->urgent.num > 0;
@@ -337,7 +339,7 @@
     _wgq_place(q, r->flow);
 }
 
-/* Settle the cost of a running request up to `cost`; settled cost never falls. */
+/* Settles the cost of a running request up to `cost`; settled cost never falls. */
 static void _wgq_settle(wgq_queue* q, _wgq_request_t* r, int64_t cost) {
     _wgq_flow_t* f = &q->flows[r->flow];
     int64_t more = cost - r->charged;
@@ -566,7 +568,7 @@
         return;
     }
     _wgq_flow_t* f = &q->flows[flow];
-    /* What was settled under the old weight stays as it was. */
+    /* Cost settled under the old weight is folded into the base and not rescaled. */
     int64_t settled = (int64_t)(f->served - f->acked);
     f->virtual_base += settled * WGQ_SCALE / f->limits.weight;
     f->acked = f->served;
--- a/lib/queue/wg_queue.h
+++ b/lib/queue/wg_queue.h
@@ -1,21 +1,21 @@
 #pragma once
 /*
-    wg_queue.h -- one router's weighted fair queue of one service, across workspaces
+    wg_queue.h -- weighted fair queue of one service on one router, across workspaces
 
     WHAT IT DOES
-        Holds waiting requests and decides which goes next. Each workspace has a virtual time: the
-        cost it took, over its weight, fleet-wide as far as this router knows. The backlogged
+        Holds waiting requests and decides which one starts next. Each workspace has a virtual time:
+        its cost divided by its weight, fleet-wide as far as this router knows. The backlogged
         workspace with the smallest virtual time goes next (start-time fair queueing, Goyal, Vin and
         Cheng 1997). Pure.
 
     FEATURES
-        - cost is known only at the end: an estimate counts while a request runs, tokens count as
-   they stream, the end settles it
+        - the cost of a request is known only at its end: an estimate counts while it runs, tokens
+          are charged as they are streamed, and the final cost replaces the estimate
         - accounts of settled cost only rise, so a repeated or late report changes nothing
-        - urgent requests go first within their workspace's own share, and alone may use a reserve
-   of slots; what they take is charged to their workspace
-        - limits per workspace: rate, requests in flight, queue length, tokens per minute, each
-          refusal with the time after which to come back, from the measured drain
+        - urgent requests go first within the share of their workspace, and only they may use the
+          reserve of slots; their cost is charged to their workspace
+        - limits per workspace: rate, requests in flight, queue length, tokens per minute; each
+          refusal carries a retry time derived from the drain rate
         - a request that cannot be served in time is refused at once
 
     USE
@@ -23,8 +23,8 @@
         2. r = wgq_push(q, now, &(wgq_request){.workspace = id, .limits = ...}, &refusal);
         3. while (a slot is free && wgq_pick(q, now, false, &r)) start(r);
         4. wgq_charge(q, r, tokens);  wgq_refresh(q, now);  wgq_finish(q, now, r, cost);
-        5. while (wgq_expire(q, now, &r)) answer "too late" and wgq_drop(q, r);
-        6. wgq_sync() with what the leader says of the fleet; wgq_accounts() to tell it.
+        5. while (wgq_expire(q, now, &r)) refuse it and wgq_drop(q, r);
+        6. wgq_sync() with fleet state from the leader; wgq_accounts() to report to the leader.
         7. wgq_shutdown(q);
 
     THE CALLER OWNS
@@ -43,7 +43,7 @@
     uint32_t id;
 } wgq_handle;
 
-/* Limits of a workspace, as its row gives them; 0 is none. */
+/* Limits of a workspace from its row; 0: no limit. */
 typedef struct {
     int64_t weight;
     int64_t rate;
@@ -58,10 +58,10 @@
     uint32_t workspace; /* row id */
     wgq_limits limits;
     bool urgent;
-    bool again;         /* a retry: no rate limit, goes to the head of its queue */
-    int64_t estimate;   /* cost; 0: average of the workspace's, else desc.first_cost */
-    wg_time wait_until; /* leave the queue by then */
-    wg_time deadline;   /* of the whole request */
+    bool again;         /* a retry: exempt from the rate limit, queued at the head */
+    int64_t estimate;   /* expected cost; 0: average of the workspace, else desc.first_cost */
+    wg_time wait_until; /* the request expires if it has not started by then */
+    wg_time deadline;   /* end of the request, its run time included */
     void* user_data;
 } wgq_request;
 
@@ -69,19 +69,19 @@
     WGQ_REFUSAL_DEFAULT = 0,
     WGQ_REFUSAL_RATE,
     WGQ_REFUSAL_IN_FLIGHT,
-    WGQ_REFUSAL_QUEUE,  /* its own queue is full */
-    WGQ_REFUSAL_TOKENS, /* its budget of tokens is used up */
-    WGQ_REFUSAL_FULL,   /* the router's memory for requests is used up */
+    WGQ_REFUSAL_QUEUE,  /* the queue of the workspace is full */
+    WGQ_REFUSAL_TOKENS, /* tokens-per-minute limit exceeded */
+    WGQ_REFUSAL_FULL,   /* no room for more requests or workspaces on this router */
     WGQ_REFUSAL_LATE,   /* cannot be served in time */
     WGQ_REFUSAL_NUM
 } wgq_refusal_code;
 
 typedef struct {
     wgq_refusal_code code;
-    wg_time retry_after; /* how long until it makes sense to come back */
+    wg_time retry_after; /* when a retry may succeed, relative to now */
 } wgq_refusal;
 
-/* What the leader is told of one workspace. */
+/* What is reported to the leader about one workspace. */
 typedef struct {
     uint32_t workspace;
     uint64_t served;  /* settled cost since this process started; only rises */
@@ -93,7 +93,7 @@
 typedef struct {
     int flows_max;
     int requests_max;
-    int64_t first_cost; /* estimate without any history; default 200 */
+    int64_t first_cost; /* estimate when no request has finished yet; default 200 */
 } wgq_desc;
 
 typedef struct {
@@ -115,41 +115,41 @@
 wgq_queue* wgq_setup(const wgq_desc* desc, GError** error);
 void wgq_shutdown(wgq_queue* queue);
 
-/* Queue a request; id 0 and *refusal filled in when it is refused. */
+/* Queues a request. When it is refused, the id is 0 and *refusal is filled in. */
 wgq_handle wgq_push(wgq_queue* queue, wg_time now, const wgq_request* request,
                     wgq_refusal* refusal);
-/* The next request to start, or false. `urgent_only`: only the reserve is free. */
+/* Starts the next request; false when none is eligible. `urgent_only`: only the reserve is free. */
 bool wgq_pick(wgq_queue* queue, wg_time now, bool urgent_only, wgq_handle* picked);
-/* A running request has cost this much so far. */
+/* Charges a running request up to `cost_so_far`. */
 void wgq_charge(wgq_queue* queue, wgq_handle handle, int64_t cost_so_far);
-/* Raise the estimates of running requests that have been at work for longer than their estimate
-   stands for, by the service's usual cost per second. */
+/* Raises the estimates of running requests that have outrun them, by the service's average cost per
+   unit of run time. */
 void wgq_refresh(wgq_queue* queue, wg_time now);
-/* A running request ended and cost this much in all. */
+/* Ends a running request with its final cost. */
 void wgq_finish(wgq_queue* queue, wg_time now, wgq_handle handle, int64_t cost);
-/* A waiting request that has to be given up now, or false. It stays until wgq_drop(). */
+/* A waiting request whose time is over; false when there is none. It stays until wgq_drop(). */
 bool wgq_expire(wgq_queue* queue, wg_time now, wgq_handle* expired);
-/* Take out a waiting request. */
+/* Removes a waiting request. */
 void wgq_drop(wgq_queue* queue, wgq_handle handle);
-/* When wgq_expire() has to be looked at next; WG_TIME_NEVER when nothing waits. */
+/* When wgq_expire() must be called next; WG_TIME_NEVER when no request waits. */
 wg_time wgq_next_expiry(const wgq_queue* queue);
 void* wgq_user_data(const wgq_queue* queue, wgq_handle handle);
 void wgq_set_user_data(wgq_queue* queue, wgq_handle handle, void* user_data);
-/* How long a request of this workspace would wait now, by the measured drain. */
+/* Expected wait of a new request of this workspace, from its recent drain rate. */
 wg_time wgq_expected_wait(const wgq_queue* queue, wg_time now, uint32_t workspace);
 
-/* Waiting requests of one workspace. */
+/* Number of waiting requests of one workspace. */
 int wgq_query_waiting(const wgq_queue* queue, uint32_t workspace);
 
-/* What the fleet knows of a workspace, others' running requests included: its virtual time when
-   this router's account stood at `acked` served. */
+/* Sets the fleet-wide virtual time of a workspace, running requests on other routers included.
+   `acked`: this router's served cost that it contains. */
 void wgq_sync(wgq_queue* queue, uint32_t workspace, uint64_t virtual_time, uint64_t acked);
-/* Virtual time at which a workspace that comes back from idle starts. */
+/* Sets the virtual time at which a workspace that was idle starts. */
 void wgq_set_fleet_time(wgq_queue* queue, uint64_t virtual_time);
-/* Weight of a workspace changed. */
 void wgq_set_weight(wgq_queue* queue, uint32_t workspace, int64_t weight);
-/* Accounts that changed since they were last taken (all: every known one); returns how many. */
+/* Fills in up to `max` accounts that changed since the last call (`all`: every account); returns
+   their number. */
 int wgq_accounts(wgq_queue* queue, bool all, wgq_account* accounts, int max);
-/* Virtual time of a workspace here; 0 when unknown. */
+/* Virtual time of a workspace on this router; 0 when the workspace is unknown. */
 uint64_t wgq_query_virtual_time(const wgq_queue* queue, uint32_t workspace);
 wgq_stats wgq_query_stats(const wgq_queue* queue);
--- a/lib/queue/wg_queue_heap.c
+++ b/lib/queue/wg_queue_heap.c
@@ -1,7 +1,7 @@
 /* wg_queue_heap.c -- see wg_queue_heap.h */
 #include "wg_queue_heap.h"
 
-/* Ties go by slot, so that equal runs make equal choices. */
+/* Ties are broken by slot, so that runs are reproducible. */
 static bool _wgq_heap_less(const _wgq_heap_t* heap, int a, int b) {
     if (heap->keys[a] != heap->keys[b]) {
         return heap->keys[a] < heap->keys[b];
--- a/lib/queue/wg_queue_heap.h
+++ b/lib/queue/wg_queue_heap.h
@@ -4,14 +4,14 @@
 
 typedef struct {
     int* items;    /* slots in heap order */
-    int* places;   /* place + 1 of each slot in items; 0: not in the heap */
+    int* places;   /* index in `items` + 1, by slot; 0: not in the heap */
     int64_t* keys; /* by slot */
     int num;
 } _wgq_heap_t;
 
 void _wgq_heap_setup(_wgq_heap_t* heap, int slots);
 void _wgq_heap_shutdown(_wgq_heap_t* heap);
-/* Insert a slot, or move it to its new key. */
+/* Inserts a slot, or changes its key. */
 void _wgq_heap_put(_wgq_heap_t* heap, int slot, int64_t key);
 void _wgq_heap_remove(_wgq_heap_t* heap, int slot);
 bool _wgq_heap_has(const _wgq_heap_t* heap, int slot);
