--- a/lib/call/wg_call.h
+++ b/lib/call/wg_call.h
@@ -31,7 +31,7 @@
     WGC_ATTEMPTS_MAX = 4, /* sends of one request, resumes included */
     WGC_RETRY_WAIT_MIN = 10 * WG_USEC_PER_MSEC,
     WGC_RETRY_WAIT_MAX = 500 * WG_USEC_PER_MSEC,
-    WGC_BUDGET_MOST = 20 /* retries that the budget of a service can hold */
+    WGC_BUDGET_MAX = 20 /* retries that the budget of a service can hold */
 };
 
 /* Retry budget of a service, in hundredths of a retry. */
@@ -134,7 +134,7 @@
     bool claimed;
     bool written;      /* a byte of the current attempt was sent */
     bool head_relayed; /* the head of an answer was sent to the caller */
-    bool said_not_run;
+    bool reported_not_run;
     int64_t tokens; /* complete tokens relayed */
 } wgc_call;
 
--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -10,14 +10,14 @@
     wgp_target_info info;
     bool live;
     bool seen;
-    bool row_leaving;
-    bool said_leaving;           /* by an answer of the target, or by a host list */
-    uint64_t leaving_at_version; /* version of the last host list that reported it; 0: none */
+    bool row_draining;
+    bool reported_draining;       /* by an answer of the target, or by a host list */
+    uint64_t draining_at_version; /* version of the last host list that reported it; 0: none */
     uint64_t row_version;
     int sent_since_report;
     int in_reserve; /* running requests beyond the leased slots */
-    int failures_in_row;
-    int aside_times;
+    int consecutive_failures;
+    int ejections;
     bool probing; /* a probe request is running */
 } _wgp_target_t;
 
@@ -36,10 +36,10 @@
     wg_time lease_until;
     struct {
         uint32_t service;
-        uint32_t most;
+        uint32_t max;
     } quotas[WGP_SERVICES_MAX];
     int quotas_num;
-    bool given_back;
+    bool report_due;
     uint64_t counter;
     wgp_stats stats;
 };
@@ -51,8 +51,8 @@
     d.targets_max = d.targets_max ? d.targets_max : WGP_TARGETS_DEFAULT;
     d.prefixes_max = d.prefixes_max ? d.prefixes_max : WGP_PREFIXES_DEFAULT;
     d.failures = d.failures ? d.failures : WGP_FAILURES_DEFAULT;
-    d.aside_min = d.aside_min ? d.aside_min : WGP_ASIDE_MIN_DEFAULT;
-    d.aside_max = d.aside_max ? d.aside_max : WGP_ASIDE_MAX_DEFAULT;
+    d.ejection_min = d.ejection_min ? d.ejection_min : WGP_EJECTION_MIN_DEFAULT;
+    d.ejection_max = d.ejection_max ? d.ejection_max : WGP_EJECTION_MAX_DEFAULT;
     d.reserve = d.reserve ? d.reserve : WGP_RESERVE_DEFAULT;
     return d;
 }
@@ -62,24 +62,24 @@
     return i < 0 ? NULL : &p->targets[i];
 }
 
-static bool _wgp_is_leaving(const _wgp_target_t* t) {
-    return t->row_leaving || t->said_leaving;
+static bool _wgp_is_draining(const _wgp_target_t* t) {
+    return t->row_draining || t->reported_draining;
 }
 
 /* Includes the address: a target that an edit moved elsewhere does not inherit a backoff period. */
-static uint64_t _wgp_key(const _wgp_target_t* t) {
+static uint64_t _wgp_backoff_key(const _wgp_target_t* t) {
     return wg_hash(t->info.address, strlen(t->info.address), t->info.id);
 }
 
-static wg_time _wgp_rest_until(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
-    return wg_backoff_free_at(p->backoff, now, _wgp_key(t));
+static wg_time _wgp_backoff_until(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
+    return wg_backoff_free_at(p->backoff, now, _wgp_backoff_key(t));
 }
 
 static bool _wgp_may_send(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
-    return t->live && !_wgp_is_leaving(t) && _wgp_rest_until(p, t, now) == 0;
+    return t->live && !_wgp_is_draining(t) && _wgp_backoff_until(p, t, now) == 0;
 }
 
-static bool _wgp_usable(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
+static bool _wgp_is_usable(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
     if (!_wgp_may_send(p, t, now)) {
         return false;
     }
@@ -118,19 +118,19 @@
     return _wgp_reserve_used(p, service) < p->desc.reserve;
 }
 
-static _wgp_prefix_t* _wgp_prefix_place(const wgp_place* p, uint64_t prefix) {
+static _wgp_prefix_t* _wgp_prefix_entry(const wgp_place* p, uint64_t prefix) {
     return &p->prefixes[prefix % (uint64_t)p->desc.prefixes_max];
 }
 
 /* The target that may have the prefix cached, if it can accept the request; else NULL. */
-static _wgp_target_t* _wgp_cached(wgp_place* p, wg_time now, const wgp_request* request,
-                                  bool over) {
-    const _wgp_prefix_t* entry = _wgp_prefix_place(p, request->prefix);
+static _wgp_target_t* _wgp_cached_target(wgp_place* p, wg_time now, const wgp_request* request,
+                                         bool use_reserve) {
+    const _wgp_prefix_t* entry = _wgp_prefix_entry(p, request->prefix);
     if (request->prefix == 0 || entry->prefix != request->prefix) {
         return NULL;
     }
     _wgp_target_t* t = _wgp_find(p, entry->target);
-    bool fits = t && _wgp_usable(p, t, now) && (over || _wgp_has_slot(t)) &&
+    bool fits = t && _wgp_is_usable(p, t, now) && (use_reserve || _wgp_has_slot(t)) &&
                 t->info.service == request->service && t->info.id != request->not_target;
     if (!fits) {
         p->stats.prefix_overruled++;
@@ -151,14 +151,14 @@
 }
 
 static _wgp_target_t* _wgp_least_loaded(wgp_place* p, wg_time now, const wgp_request* request,
-                                        bool over) {
+                                        bool use_reserve) {
     _wgp_target_t* best = NULL;
     int64_t best_score = 0;
     int ties = 0;
     for (int i = 0; i < p->targets_num; i++) {
         _wgp_target_t* t = &p->targets[i];
-        bool fits = t->info.service == request->service && _wgp_usable(p, t, now) &&
-                    (over || _wgp_has_slot(t));
+        bool fits = t->info.service == request->service && _wgp_is_usable(p, t, now) &&
+                    (use_reserve || _wgp_has_slot(t));
         if (!fits) {
             continue;
         }
@@ -177,7 +177,7 @@
 static int64_t _wgp_quota(const wgp_place* p, uint32_t service) {
     for (int i = 0; i < p->quotas_num; i++) {
         if (p->quotas[i].service == service) {
-            return p->quotas[i].most;
+            return p->quotas[i].max;
         }
     }
     return INT64_MAX;
@@ -187,61 +187,61 @@
     return MAX(t->info.leased - t->info.in_use, 0);
 }
 
-static void _wgp_give_one(wgp_place* p, _wgp_target_t* t, int num) {
+static void _wgp_release_slots(wgp_place* p, _wgp_target_t* t, int num) {
     t->info.leased -= num;
-    p->given_back = true;
+    p->report_due = true;
     WG_ASSERT(t->info.leased >= 0);
 }
 
 /* Releases idle slots of targets that accept no requests, and idle slots beyond the quota. */
-static void _wgp_give_back(wgp_place* p, uint32_t service) {
-    int64_t held = 0;
+static void _wgp_release_idle(wgp_place* p, uint32_t service) {
+    int64_t total = 0;
     for (int i = 0; i < p->targets_num; i++) {
         _wgp_target_t* t = &p->targets[i];
         if (t->info.service != service) {
             continue;
         }
         /* One slot is kept for the probe request. */
-        bool waits = t->info.aside_until != 0 || t->info.rested;
-        int kept = !t->live || _wgp_is_leaving(t) ? 0 : waits ? 1 : INT_MAX;
+        bool probe_only = t->info.aside_until != 0 || t->info.rested;
+        int kept = !t->live || _wgp_is_draining(t) ? 0 : probe_only ? 1 : INT_MAX;
         if (_wgp_idle(t) > kept) {
-            _wgp_give_one(p, t, _wgp_idle(t) - kept);
+            _wgp_release_slots(p, t, _wgp_idle(t) - kept);
         }
-        held += t->info.leased;
+        total += t->info.leased;
     }
     int64_t quota = _wgp_quota(p, service);
-    while (held > quota) {
-        _wgp_target_t* most = NULL;
+    while (total > quota) {
+        _wgp_target_t* idlest = NULL;
         for (int i = 0; i < p->targets_num; i++) {
             _wgp_target_t* t = &p->targets[i];
             bool fits = t->info.service == service && _wgp_idle(t) > 0;
-            if (fits && (!most || _wgp_idle(t) > _wgp_idle(most))) {
-                most = t;
+            if (fits && (!idlest || _wgp_idle(t) > _wgp_idle(idlest))) {
+                idlest = t;
             }
         }
-        if (!most) {
+        if (!idlest) {
             return; /* released when the next slot becomes idle */
         }
-        _wgp_give_one(p, most, 1);
-        held--;
+        _wgp_release_slots(p, idlest, 1);
+        total--;
     }
 }
 
-static wgp_event _wgp_say_leaving(wgp_place* p, _wgp_target_t* t) {
-    bool news = !_wgp_is_leaving(t);
-    t->said_leaving = true;
-    _wgp_give_back(p, t->info.service);
-    return news ? WGP_EVENT_LEAVING : WGP_EVENT_DEFAULT;
+static wgp_event _wgp_set_draining(wgp_place* p, _wgp_target_t* t) {
+    bool changed = !_wgp_is_draining(t);
+    t->reported_draining = true;
+    _wgp_release_idle(p, t->info.service);
+    return changed ? WGP_EVENT_LEAVING : WGP_EVENT_DEFAULT;
 }
 
-static wgp_event _wgp_put_aside(wgp_place* p, wg_time now, _wgp_target_t* t) {
-    int shift = MIN(t->aside_times, 16);
-    wg_time wait = MIN(p->desc.aside_min << shift, p->desc.aside_max);
-    t->aside_times++;
+static wgp_event _wgp_eject(wgp_place* p, wg_time now, _wgp_target_t* t) {
+    int shift = MIN(t->ejections, 16);
+    wg_time wait = MIN(p->desc.ejection_min << shift, p->desc.ejection_max);
+    t->ejections++;
     t->info.aside_until =
         now + wait / 2 + wg_jitter_range(p->desc.seed, p->counter++, 0, MAX(wait / 2, 1));
-    p->given_back = true; /* the leader needs a report even if no slot was released */
-    _wgp_give_back(p, t->info.service);
+    p->report_due = true; /* the leader needs a report even if no slot was released */
+    _wgp_release_idle(p, t->info.service);
     return WGP_EVENT_ASIDE;
 }
 
@@ -251,8 +251,8 @@
     const wg_desc_field fields[] = {
         {"wgp_desc.targets_max", desc->targets_max, 0},
         {"wgp_desc.prefixes_max", desc->prefixes_max, 0},
-        {"wgp_desc.aside_min", desc->aside_min, 0},
-        {"wgp_desc.aside_max", desc->aside_max, 0},
+        {"wgp_desc.ejection_min", desc->ejection_min, 0},
+        {"wgp_desc.ejection_max", desc->ejection_max, 0},
         {"wgp_desc.rest_max", desc->rest_max, 0},
         {"wgp_desc.failures", desc->failures, 0},
         {"wgp_desc.reserve", desc->reserve, 0},
@@ -285,26 +285,26 @@
 }
 
 static _wgp_target_t* _wgp_add(wgp_place* p, uint32_t id) {
-    int place = -1;
+    int index = -1;
     WG_ASSERT(p->targets != NULL);
-    for (int i = 0; i < p->targets_num && place < 0; i++) {
+    for (int i = 0; i < p->targets_num && index < 0; i++) {
         bool unused = !p->targets[i].live && p->targets[i].info.in_use == 0;
-        place = unused ? i : -1;
+        index = unused ? i : -1;
     }
-    if (place < 0) {
+    if (index < 0) {
         if (p->targets_num == p->desc.targets_max) {
             return NULL;
         }
-        place = p->targets_num++;
+        index = p->targets_num++;
     }
-    g_hash_table_remove(p->by_id, GUINT_TO_POINTER(p->targets[place].info.id));
-    p->targets[place] = (_wgp_target_t){.info.id = id};
-    g_hash_table_insert(p->by_id, GUINT_TO_POINTER(id), GINT_TO_POINTER(place + 1));
-    return &p->targets[place];
+    g_hash_table_remove(p->by_id, GUINT_TO_POINTER(p->targets[index].info.id));
+    p->targets[index] = (_wgp_target_t){.info.id = id};
+    g_hash_table_insert(p->by_id, GUINT_TO_POINTER(id), GINT_TO_POINTER(index + 1));
+    return &p->targets[index];
 }
 
 bool wgp_config_target(wgp_place* p, uint32_t id, uint32_t service, const char* name,
-                       const char* address, const char* data_centre, int slots, bool leaving,
+                       const char* address, const char* data_centre, int slots, bool draining,
                        uint64_t version) {
     _wgp_target_t* t = _wgp_find(p, id);
     if (!t) {
@@ -314,13 +314,13 @@
         return false;
     }
     bool edited = version > t->row_version;
-    bool taken_back = t->row_leaving && !leaving;
-    if (edited && taken_back) {
-        t->said_leaving = false; /* an operator has cancelled draining */
+    bool draining_cancelled = t->row_draining && !draining;
+    if (edited && draining_cancelled) {
+        t->reported_draining = false; /* an operator has cancelled draining */
     }
     t->live = t->seen = true;
     t->row_version = version;
-    t->row_leaving = leaving;
+    t->row_draining = draining;
     t->info.service = service;
     t->info.slots = slots;
     wg_copy_name(t->info.name, sizeof t->info.name, name);
@@ -332,7 +332,7 @@
 void wgp_config_end(wgp_place* p) {
     for (int i = 0; i < p->targets_num; i++) {
         p->targets[i].live = p->targets[i].live && p->targets[i].seen;
-        _wgp_give_back(p, p->targets[i].info.service);
+        _wgp_release_idle(p, p->targets[i].info.service);
     }
 }
 
@@ -340,11 +340,11 @@
     _wgp_target_t* t = _wgp_find(p, target);
     if (t) {
         t->info.leased += num;
-        _wgp_give_back(p, t->info.service);
+        _wgp_release_idle(p, t->info.service);
     }
 }
 
-void wgp_set_quota(wgp_place* p, uint32_t service, uint32_t most) {
+void wgp_set_quota(wgp_place* p, uint32_t service, uint32_t max) {
     int i = 0;
     while (i < p->quotas_num && p->quotas[i].service != service) {
         i++;
@@ -354,8 +354,8 @@
     }
     p->quotas_num = MAX(p->quotas_num, i + 1);
     p->quotas[i].service = service;
-    p->quotas[i].most = most;
-    _wgp_give_back(p, service);
+    p->quotas[i].max = max;
+    _wgp_release_idle(p, service);
 }
 
 void wgp_set_lease(wgp_place* p, wg_time until) {
@@ -371,19 +371,20 @@
 }
 
 bool wgp_take_given_back(wgp_place* p) {
-    bool given_back = p->given_back;
-    p->given_back = false;
-    return given_back;
+    bool report_due = p->report_due;
+    p->report_due = false;
+    return report_due;
 }
 
 bool wgp_has_room(const wgp_place* p, wg_time now, uint32_t service, bool reserve) {
     if (!_wgp_lease_holds(p, now)) {
         return false;
     }
-    bool over = reserve && _wgp_reserve_free(p, service);
+    bool use_reserve = reserve && _wgp_reserve_free(p, service);
     for (int i = 0; i < p->targets_num; i++) {
         const _wgp_target_t* t = &p->targets[i];
-        if (t->info.service == service && _wgp_usable(p, t, now) && (over || _wgp_has_slot(t))) {
+        if (t->info.service == service && _wgp_is_usable(p, t, now) &&
+            (use_reserve || _wgp_has_slot(t))) {
             return true;
         }
     }
@@ -395,14 +396,14 @@
         return false;
     }
     _wgp_target_t* best = _wgp_least_loaded(p, now, request, false);
-    bool over = !best && request->urgent && _wgp_reserve_free(p, request->service);
-    if (over) {
+    bool use_reserve = !best && request->urgent && _wgp_reserve_free(p, request->service);
+    if (use_reserve) {
         best = _wgp_least_loaded(p, now, request, true);
     }
     if (!best) {
         return false;
     }
-    _wgp_target_t* cached = _wgp_cached(p, now, request, over);
+    _wgp_target_t* cached = _wgp_cached_target(p, now, request, use_reserve);
     if (cached && _wgp_load(cached) <= _wgp_load(best) + WGP_TOLERANCE_PERCENT * 10) {
         p->stats.prefix_hits++;
         best = cached;
@@ -410,8 +411,8 @@
         p->stats.prefix_overruled++;
     }
     p->stats.picks++;
-    p->stats.reserve_picks += over ? 1 : 0;
-    *choice = (wgp_choice){.target = best->info.id, .reserve = over};
+    p->stats.reserve_picks += use_reserve ? 1 : 0;
+    *choice = (wgp_choice){.target = best->info.id, .reserve = use_reserve};
     return true;
 }
 
@@ -434,30 +435,30 @@
     t->info.in_use--;
     t->in_reserve -= choice->reserve ? 1 : 0;
     WG_ASSERT(t->info.in_use >= 0 && t->in_reserve >= 0);
-    _wgp_give_back(p, t->info.service);
+    _wgp_release_idle(p, t->info.service);
     t->sent_since_report = MAX(t->sent_since_report - 1, 0);
     bool was_probing = t->probing;
     t->probing = false;
     /* A request that fails during a backoff period was sent before it, or held back: it does not
        count against the target. */
-    bool rests = _wgp_rest_until(p, t, now) > 0;
-    if (result == WGP_RESULT_CANCELLED || (result == WGP_RESULT_BAD && rests)) {
+    bool in_backoff = _wgp_backoff_until(p, t, now) > 0;
+    if (result == WGP_RESULT_CANCELLED || (result == WGP_RESULT_BAD && in_backoff)) {
         return WGP_EVENT_DEFAULT;
     }
     if (result == WGP_RESULT_GOOD) {
-        bool was_aside = t->info.aside_until != 0;
-        p->given_back = p->given_back || was_aside || (t->info.rested && !rests);
-        t->info.rested = t->info.rested && rests;
-        t->failures_in_row = 0;
+        bool was_ejected = t->info.aside_until != 0;
+        p->report_due = p->report_due || was_ejected || (t->info.rested && !in_backoff);
+        t->info.rested = t->info.rested && in_backoff;
+        t->consecutive_failures = 0;
         t->info.aside_until = 0;
-        t->aside_times = was_aside ? t->aside_times : 0;
-        return was_aside ? WGP_EVENT_BACK : WGP_EVENT_DEFAULT;
+        t->ejections = was_ejected ? t->ejections : 0;
+        return was_ejected ? WGP_EVENT_BACK : WGP_EVENT_DEFAULT;
     }
     t->info.failures++;
-    t->failures_in_row++;
-    bool aside_now = t->info.aside_until > now;
-    if (was_probing || (t->failures_in_row >= p->desc.failures && !aside_now)) {
-        return _wgp_put_aside(p, now, t);
+    t->consecutive_failures++;
+    bool ejected = t->info.aside_until > now;
+    if (was_probing || (t->consecutive_failures >= p->desc.failures && !ejected)) {
+        return _wgp_eject(p, now, t);
     }
     return WGP_EVENT_DEFAULT;
 }
@@ -472,7 +473,7 @@
 
 wgp_event wgp_note_leaving(wgp_place* p, uint32_t target) {
     _wgp_target_t* t = _wgp_find(p, target);
-    return t ? _wgp_say_leaving(p, t) : WGP_EVENT_DEFAULT;
+    return t ? _wgp_set_draining(p, t) : WGP_EVENT_DEFAULT;
 }
 
 wgp_event wgp_note_answer(wgp_place* p, wg_time now, uint32_t target, const wg_backoff_wish* wish,
@@ -481,32 +482,34 @@
     if (!t) {
         return WGP_EVENT_DEFAULT;
     }
-    wg_backoff_wish rest_only = *wish;
-    rest_only.leaving = false; /* see wgp_note_leaving(): rows and host lists can revoke draining */
-    wg_backoff_news news = wg_backoff_note(p->backoff, now, _wgp_key(t), &rest_only, unix_time);
-    if (!news.rests) {
+    wg_backoff_wish backoff_only = *wish;
+    backoff_only.leaving =
+        false; /* see wgp_note_leaving(): rows and host lists can revoke draining */
+    wg_backoff_news outcome =
+        wg_backoff_note(p->backoff, now, _wgp_backoff_key(t), &backoff_only, unix_time);
+    if (!outcome.rests) {
         return WGP_EVENT_DEFAULT;
     }
     t->info.rested = true;
-    p->given_back = true; /* the leader can assign the slots to other routers */
-    _wgp_give_back(p, t->info.service);
+    p->report_due = true; /* the leader can assign the slots to other routers */
+    _wgp_release_idle(p, t->info.service);
     return WGP_EVENT_RESTS;
 }
 
-wgp_event wgp_note_host(wgp_place* p, const char* address, bool leaving, uint64_t list_version) {
+wgp_event wgp_note_host(wgp_place* p, const char* address, bool draining, uint64_t list_version) {
     wgp_event event = WGP_EVENT_DEFAULT;
     for (int i = 0; i < p->targets_num; i++) {
         _wgp_target_t* t = &p->targets[i];
         if (strcmp(t->info.address, address) != 0) {
             continue;
         }
-        if (leaving) {
-            event = _wgp_say_leaving(p, t);
-            t->leaving_at_version = MAX(t->leaving_at_version, list_version);
-        } else if (t->said_leaving && t->leaving_at_version > 0 &&
-                   list_version > t->leaving_at_version) {
-            t->said_leaving = false;
-            t->leaving_at_version = 0;
+        if (draining) {
+            event = _wgp_set_draining(p, t);
+            t->draining_at_version = MAX(t->draining_at_version, list_version);
+        } else if (t->reported_draining && t->draining_at_version > 0 &&
+                   list_version > t->draining_at_version) {
+            t->reported_draining = false;
+            t->draining_at_version = 0;
         }
     }
     return event;
@@ -514,12 +517,12 @@
 
 void wgp_note_prefix(wgp_place* p, uint64_t prefix, uint32_t target) {
     if (prefix != 0) {
-        *_wgp_prefix_place(p, prefix) = (_wgp_prefix_t){.prefix = prefix, .target = target};
+        *_wgp_prefix_entry(p, prefix) = (_wgp_prefix_t){.prefix = prefix, .target = target};
     }
 }
 
 void wgp_forget_prefix(wgp_place* p, uint64_t prefix, uint32_t target) {
-    _wgp_prefix_t* entry = _wgp_prefix_place(p, prefix);
+    _wgp_prefix_t* entry = _wgp_prefix_entry(p, prefix);
     if (entry->prefix == prefix && entry->target == target) {
         *entry = (_wgp_prefix_t){0};
     }
@@ -532,23 +535,23 @@
 
 bool wgp_is_usable(const wgp_place* p, wg_time now, uint32_t target) {
     const _wgp_target_t* t = _wgp_find(p, target);
-    return t && _wgp_usable(p, t, now);
+    return t && _wgp_is_usable(p, t, now);
 }
 
 wg_time wgp_back_at(const wgp_place* p, wg_time now, uint32_t service) {
-    wg_time back_at = WG_TIME_NEVER;
+    wg_time backoff_end = WG_TIME_NEVER;
     for (int i = 0; i < p->targets_num; i++) {
         const _wgp_target_t* t = &p->targets[i];
-        if (t->info.service == service && t->live && !_wgp_is_leaving(t)) {
-            back_at = MIN(back_at, _wgp_rest_until(p, t, now));
+        if (t->info.service == service && t->live && !_wgp_is_draining(t)) {
+            backoff_end = MIN(backoff_end, _wgp_backoff_until(p, t, now));
         }
     }
-    return back_at == WG_TIME_NEVER ? 0 : back_at;
+    return backoff_end == WG_TIME_NEVER ? 0 : backoff_end;
 }
 
 static void _wgp_fill_info(const _wgp_target_t* t, wgp_target_info* info) {
     *info = t->info;
-    info->leaving = _wgp_is_leaving(t);
+    info->leaving = _wgp_is_draining(t);
 }
 
 bool wgp_query_target(const wgp_place* p, int i, wgp_target_info* info) {
@@ -571,7 +574,7 @@
     int num = 0;
     for (int i = 0; i < p->targets_num && _wgp_lease_holds(p, now); i++) {
         const _wgp_target_t* t = &p->targets[i];
-        if (t->info.service == service && _wgp_usable(p, t, now)) {
+        if (t->info.service == service && _wgp_is_usable(p, t, now)) {
             num += MAX(t->info.leased - t->info.in_use, 0);
         }
     }
--- a/lib/place/wg_place.h
+++ b/lib/place/wg_place.h
@@ -35,8 +35,8 @@
     WGP_TARGETS_DEFAULT = 1024,
     WGP_PREFIXES_DEFAULT = 8192,
     WGP_FAILURES_DEFAULT = 3, /* consecutive failures that eject a target */
-    WGP_ASIDE_MIN_DEFAULT = 500 * WG_USEC_PER_MSEC,
-    WGP_ASIDE_MAX_DEFAULT = 30 * WG_USEC_PER_SEC,
+    WGP_EJECTION_MIN_DEFAULT = 500 * WG_USEC_PER_MSEC,
+    WGP_EJECTION_MAX_DEFAULT = 30 * WG_USEC_PER_SEC,
     WGP_RESERVE_DEFAULT = 1, /* urgent requests beyond the leased slots, per service */
     WGP_SERVICES_MAX = 32,
     WGP_TOLERANCE_PERCENT = 25 /* extra load accepted for a cached prefix, percent of slots */
@@ -47,8 +47,8 @@
     int targets_max;
     int prefixes_max;
     int failures;
-    wg_time aside_min;
-    wg_time aside_max;
+    wg_time ejection_min;
+    wg_time ejection_max;
     wg_time rest_max; /* longest backoff that a target may request; 0: default of wg_backoff */
     int reserve;
     char data_centre[WG_NAME_MAX];
@@ -121,7 +121,7 @@
 /* `version`: version of the table row; a newer row may end draining. False when all places for
    targets are in use. */
 bool wgp_config_target(wgp_place* place, uint32_t id, uint32_t service, const char* name,
-                       const char* address, const char* data_centre, int slots, bool leaving,
+                       const char* address, const char* data_centre, int slots, bool draining,
                        uint64_t version);
 void wgp_config_end(wgp_place* place);
 
@@ -130,7 +130,7 @@
 /* Sets the end of all slot leases of this router. */
 void wgp_set_lease(wgp_place* place, wg_time until);
 /* Limits the leased slots of a service; slots beyond the quota are released as they become idle. */
-void wgp_set_quota(wgp_place* place, uint32_t service, uint32_t most);
+void wgp_set_quota(wgp_place* place, uint32_t service, uint32_t max);
 /* Drops all slots and quotas, after the leases ended. */
 void wgp_clear_slots(wgp_place* place);
 /* Whether slots were released, or a target was ejected or restored, since the last call. */
@@ -150,7 +150,8 @@
 wgp_event wgp_note_answer(wgp_place* place, wg_time now, uint32_t target,
                           const wg_backoff_wish* wish, int64_t unix_time);
 /* Applies one entry of the platform's host list of version `list_version`. */
-wgp_event wgp_note_host(wgp_place* place, const char* address, bool leaving, uint64_t list_version);
+wgp_event wgp_note_host(wgp_place* place, const char* address, bool draining,
+                        uint64_t list_version);
 /* Records that a target processed a prefix. */
 void wgp_note_prefix(wgp_place* place, uint64_t prefix, uint32_t target);
 /* Records that a target dropped a prefix from its cache. */
--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -51,7 +51,7 @@
     int64_t all_cost;    /* estimated cost of all requests picked recently, decays by halving */
     bool changed;        /* since the last wgq_accounts(); the flow is listed in `dirty` */
     int64_t average_cost;
-    int64_t average_given; /* average caller estimate of finished requests */
+    int64_t average_caller_estimate; /* average caller estimate of finished requests */
     wg_time average_run;
     wg_time average_interval; /* average time between picks while backlogged */
     wg_time last_pick;
@@ -127,7 +127,7 @@
     return f->virtual_base + own * WGQ_SCALE / f->limits.weight;
 }
 
-static void _wgq_mark(wgq_queue* q, int flow) {
+static void _wgq_mark_dirty(wgq_queue* q, int flow) {
     if (!q->flows[flow].changed) {
         q->flows[flow].changed = true;
         q->dirty[q->dirty_num++] = flow;
@@ -135,9 +135,9 @@
 }
 
 /* Updates the position of the flow in the heaps; called after every change of the flow. */
-static void _wgq_place(wgq_queue* q, int flow) {
+static void _wgq_update_heaps(wgq_queue* q, int flow) {
     _wgq_flow_t* f = &q->flows[flow];
-    _wgq_mark(q, flow);
+    _wgq_mark_dirty(q, flow);
     bool blocked = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
     if (_wgq_queued(f) > 0 && !blocked) {
         _wgq_heap_put(&q->ready, flow, _wgq_virtual_time(f));
@@ -185,12 +185,12 @@
     return top >= 0 ? q->ready.keys[top] : q->local_time;
 }
 
-static void _wgq_wake_flow(wgq_queue* q, wg_time now, _wgq_flow_t* f) {
+static void _wgq_activate_flow(wgq_queue* q, wg_time now, _wgq_flow_t* f) {
     f->backlogged_since = now;
     f->floor = MAX(f->floor, _wgq_floor(q));
-    int64_t behind = f->floor - _wgq_virtual_time(f);
-    if (behind > 0) {
-        f->virtual_base += behind;
+    int64_t lag = f->floor - _wgq_virtual_time(f);
+    if (lag > 0) {
+        f->virtual_base += lag;
     }
     int top = _wgq_heap_top(&q->ready_urgent);
     if (top >= 0) {
@@ -200,8 +200,9 @@
 
 /* ---- helpers: limits ----------------------------------------------------------------------- */
 
-static void _wgq_refill(double* tokens, wg_time* at, wg_time now, double per_second, double most) {
-    *tokens = MIN(most, *tokens + per_second * (double)(now - *at) / WG_USEC_PER_SEC);
+static void _wgq_refill(double* tokens, wg_time* at, wg_time now, double per_second,
+                        double max_tokens) {
+    *tokens = MIN(max_tokens, *tokens + per_second * (double)(now - *at) / WG_USEC_PER_SEC);
     *at = now;
 }
 
@@ -210,9 +211,9 @@
 }
 
 static int64_t _wgq_estimate(const wgq_queue* q, const _wgq_flow_t* f, const wgq_request* request) {
-    if (request->estimate > 0 && f->average_given > 0) {
+    if (request->estimate > 0 && f->average_caller_estimate > 0) {
         /* Corrects the estimate by the past error of the workspace's estimates. */
-        return MAX(request->estimate * f->average_cost / f->average_given, 1);
+        return MAX(request->estimate * f->average_cost / f->average_caller_estimate, 1);
     }
     if (f->average_cost > 0) {
         return f->average_cost;
@@ -249,8 +250,8 @@
         }
     }
     if (l->rate > 0 && !request->again) {
-        double most = (double)MAX(l->burst, l->rate);
-        _wgq_refill(&f->rate_tokens, &f->rate_at, now, (double)l->rate, most);
+        double max_tokens = (double)MAX(l->burst, l->rate);
+        _wgq_refill(&f->rate_tokens, &f->rate_at, now, (double)l->rate, max_tokens);
         if (f->rate_tokens < 1) {
             wg_time after = _wgq_seconds((1 - f->rate_tokens) / (double)l->rate);
             return _wgq_refuse(q, refusal, WGQ_REFUSAL_RATE, after);
@@ -264,8 +265,8 @@
                        wgq_refusal* refusal) {
     wg_time wait = _wgq_flow_wait(f, now);
     if (!request->again && f->limits.queue > 0 && _wgq_queued(f) >= f->limits.queue) {
-        bool by_flight = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
-        wgq_refusal_code code = by_flight ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
+        bool in_flight_full = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
+        wgq_refusal_code code = in_flight_full ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
         return _wgq_refuse(q, refusal, code, MAX(wait, f->average_run));
     }
     /* Urgent requests are not queued behind the workspace's other requests. */
@@ -294,7 +295,7 @@
     return r->desc.urgent ? &f->urgent : &f->normal;
 }
 
-static void _wgq_take_out(wgq_queue* q, _wgq_request_t* r) {
+static void _wgq_remove_waiting(wgq_queue* q, _wgq_request_t* r) {
     _wgq_flow_t* f = &q->flows[r->flow];
     _wgq_list_remove(q, _wgq_list_of(f, r), _wgq_slot(q, r));
     _wgq_heap_remove(&q->expiry, _wgq_slot(q, r));
@@ -311,7 +312,7 @@
     return f->urgent_cost * 100 <= f->limits.urgent_percent * f->all_cost;
 }
 
-static void _wgq_note_pick(_wgq_flow_t* f, wg_time now, const _wgq_request_t* r) {
+static void _wgq_record_pick(_wgq_flow_t* f, wg_time now, const _wgq_request_t* r) {
     wg_time since = now - MAX(f->last_pick, f->backlogged_since);
     f->average_interval = f->average_interval ? (f->average_interval * 7 + since) / 8 : since;
     f->last_pick = now;
@@ -328,15 +329,15 @@
 
 static void _wgq_start(wgq_queue* q, wg_time now, _wgq_request_t* r) {
     _wgq_flow_t* f = &q->flows[r->flow];
-    _wgq_take_out(q, r);
+    _wgq_remove_waiting(q, r);
     r->state = _WGQ_RUNNING;
     r->picked_at = now;
     f->running++;
     f->pending += r->estimate;
     q->stats.running++;
     q->stats.picked++;
-    _wgq_note_pick(f, now, r);
-    _wgq_place(q, r->flow);
+    _wgq_record_pick(f, now, r);
+    _wgq_update_heaps(q, r->flow);
 }
 
 /* Settles the cost of a running request up to `cost`; settled cost never falls. */
@@ -411,7 +412,7 @@
     *r = (_wgq_request_t){.desc = *request, .state = _WGQ_WAITING, .handle = handle, .flow = flow};
     r->estimate = _wgq_estimate(q, f, request);
     if (_wgq_queued(f) == 0) {
-        _wgq_wake_flow(q, now, f);
+        _wgq_activate_flow(q, now, f);
     }
     _wgq_list_push(q, _wgq_list_of(f, r), slot, request->again);
     wg_time leave_at = MIN(request->wait_until, request->deadline - f->average_run);
@@ -419,7 +420,7 @@
     q->stats.queued++;
     q->stats.urgent_queued += request->urgent ? 1 : 0;
     q->stats.pushed++;
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
     return (wgq_handle){handle.id};
 }
 
@@ -443,7 +444,7 @@
     _wgq_request_t* r = _wgq_find(q, handle, _WGQ_RUNNING);
     if (r) {
         _wgq_settle(q, r, cost_so_far);
-        _wgq_place(q, r->flow);
+        _wgq_update_heaps(q, r->flow);
     }
 }
 
@@ -461,7 +462,7 @@
         if (expected > covered) {
             q->flows[r->flow].pending += expected - covered;
             r->estimate = expected;
-            _wgq_place(q, r->flow);
+            _wgq_update_heaps(q, r->flow);
         }
     }
 }
@@ -480,8 +481,10 @@
         q->average_run = q->average_run ? (q->average_run * 31 + took + 16) / 32 : took;
         q->average_cost = q->average_cost ? (q->average_cost * 31 + cost + 16) / 32 : cost;
         f->average_cost = f->average_cost ? (f->average_cost * 7 + cost + 4) / 8 : cost;
-        int64_t given = r->desc.estimate > 0 ? r->desc.estimate : cost;
-        f->average_given = f->average_given ? (f->average_given * 7 + given + 4) / 8 : given;
+        int64_t caller_estimate = r->desc.estimate > 0 ? r->desc.estimate : cost;
+        f->average_caller_estimate =
+            f->average_caller_estimate ? (f->average_caller_estimate * 7 + caller_estimate + 4) / 8
+                                       : caller_estimate;
         wg_time run = now - r->picked_at;
         f->average_run = f->average_run ? (f->average_run * 7 + run) / 8 : run;
     }
@@ -491,7 +494,7 @@
     r->state = _WGQ_FREE;
     int flow = r->flow;
     wg_pool_free(&q->requests_pool, r->handle);
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
 }
 
 bool wgq_expire(wgq_queue* q, wg_time now, wgq_handle* expired) {
@@ -510,10 +513,10 @@
         return;
     }
     int flow = r->flow;
-    _wgq_take_out(q, r);
+    _wgq_remove_waiting(q, r);
     r->state = _WGQ_FREE;
     wg_pool_free(&q->requests_pool, r->handle);
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
 }
 
 wg_time wgq_next_expiry(const wgq_queue* q) {
@@ -589,7 +592,7 @@
 int wgq_accounts(wgq_queue* q, bool all, wgq_account* accounts, int max) {
     if (all) {
         for (int flow = 0; flow < q->flows_num; flow++) {
-            _wgq_mark(q, flow);
+            _wgq_mark_dirty(q, flow);
         }
     }
     int num = 0;
--- a/lib/queue/wg_queue_heap.h
+++ b/lib/queue/wg_queue_heap.h
@@ -3,9 +3,9 @@
 #include "wg_base.h"
 
 typedef struct {
-    int* items;    /* slots in heap order */
-    int* places;   /* index in `items` + 1, by slot; 0: not in the heap */
-    int64_t* keys; /* by slot */
+    int* items;     /* slots in heap order */
+    int* positions; /* index in `items` + 1, by slot; 0: not in the heap */
+    int64_t* keys;  /* by slot */
     int num;
 } _wgq_heap_t;
 
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -241,7 +241,7 @@
         wgx_sse_result result = wgx_sse_next(attempt->buffered, out, &event);
         if (result != WGX_SSE_EVENT) {
             evbuffer_free(out);
-            return result == WGX_SSE_MORE;
+            return result == WGX_SSE_INCOMPLETE;
         }
         bool token = event.data && !event.done;
         int64_t id = event.id >= 0 ? event.id : call->tokens + 1;
--- a/lib/router/wg_sse.c
+++ b/lib/router/wg_sse.c
@@ -50,7 +50,7 @@
     const char* text = (const char*)evbuffer_pullup(in, -1);
     size_t length = have ? wg_event_size(text, have) : 0;
     if (length == 0) {
-        return have > WG_EVENT_BYTES_MAX ? WGX_SSE_TOO_LONG : WGX_SSE_MORE;
+        return have > WG_EVENT_BYTES_MAX ? WGX_SSE_TOO_LONG : WGX_SSE_INCOMPLETE;
     }
     _wgx_parse_lines(text, length, event);
     evbuffer_remove_buffer(in, out, length);
--- a/lib/router/wg_sse.h
+++ b/lib/router/wg_sse.h
@@ -11,9 +11,9 @@
 
 typedef enum {
     WGX_SSE_DEFAULT = 0,
-    WGX_SSE_MORE,     /* no complete event yet */
-    WGX_SSE_EVENT,    /* one event was moved to `out` */
-    WGX_SSE_TOO_LONG, /* the event exceeds WG_EVENT_BYTES_MAX */
+    WGX_SSE_INCOMPLETE, /* no complete event yet */
+    WGX_SSE_EVENT,      /* one event was moved to `out` */
+    WGX_SSE_TOO_LONG,   /* the event exceeds WG_EVENT_BYTES_MAX */
     WGX_SSE_NUM
 } wgx_sse_result;
 
