--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -476,13 +476,13 @@
     return t ? _wgp_set_draining(p, t) : WGP_EVENT_DEFAULT;
 }
 
-wgp_event wgp_note_answer(wgp_place* p, wg_time now, uint32_t target, const wg_backoff_wish* wish,
+wgp_event wgp_note_answer(wgp_place* p, wg_time now, uint32_t target, const wg_backoff_wish* hint,
                           int64_t unix_time) {
     _wgp_target_t* t = _wgp_find(p, target);
     if (!t) {
         return WGP_EVENT_DEFAULT;
     }
-    wg_backoff_wish backoff_only = *wish;
+    wg_backoff_wish backoff_only = *hint;
     backoff_only.leaving =
         false; /* see wgp_note_leaving(): rows and host lists can revoke draining */
     wg_backoff_news outcome =
--- a/lib/place/wg_place.h
+++ b/lib/place/wg_place.h
@@ -148,7 +148,7 @@
 wgp_event wgp_note_leaving(wgp_place* place, uint32_t target);
 /* Applies the backoff hint of an answer; `unix_time` in seconds. Its draining flag is ignored. */
 wgp_event wgp_note_answer(wgp_place* place, wg_time now, uint32_t target,
-                          const wg_backoff_wish* wish, int64_t unix_time);
+                          const wg_backoff_wish* hint, int64_t unix_time);
 /* Applies one entry of the platform's host list of version `list_version`. */
 wgp_event wgp_note_host(wgp_place* place, const char* address, bool draining,
                         uint64_t list_version);
--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -270,8 +270,8 @@
         return _wgq_refuse(q, refusal, code, MAX(wait, f->average_run));
     }
     /* Urgent requests are not queued behind the workspace's other requests. */
-    bool late = !request->urgent && now + wait > request->wait_until;
-    if (late || now + f->average_run > request->deadline) {
+    bool too_late = !request->urgent && now + wait > request->wait_until;
+    if (too_late || now + f->average_run > request->deadline) {
         return _wgq_refuse(q, refusal, WGQ_REFUSAL_LATE, MAX(wait, f->average_run));
     }
     return _wgq_admit_rates(q, now, f, request, refusal);
--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -151,7 +151,7 @@
 }
 
 /* Leaves the event loop once every entry-host answer that names this router has expired and no
-   call, claim or parked request is left. */
+   call, claim or parked request remains. */
 static void _wgro_stop_tick(wgro_router* r, wg_time now) {
     wg_time kept = (r->settings->entry_keep_ms + r->settings->stop_wait_ms) * WG_USEC_PER_MSEC;
     if (now < r->stop_at + kept || r->calls_pool.used > 0 || g_hash_table_size(r->claim_ends) > 0 ||
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -62,9 +62,9 @@
 
 /* Deferred to the event loop: evhttp does not allow freeing a connection in its own callbacks. */
 static void _wgro_conn_close(_wgro_conn_t* conn) {
-    struct timeval soon = {0};
+    struct timeval no_delay = {0};
     conn->attempt = NULL;
-    event_base_once(conn->router->base, -1, EV_TIMEOUT, _wgro_conn_free_later, conn, &soon);
+    event_base_once(conn->router->base, -1, EV_TIMEOUT, _wgro_conn_free_later, conn, &no_delay);
 }
 
 static GQueue* _wgro_idle_conns(wgro_router* r, uint32_t target) {
@@ -391,8 +391,9 @@
     evhttp_request_set_header_cb(attempt->request, _wgro_on_head);
     _wgro_add_headers(call, attempt, resume_from);
     evbuffer_add_buffer_reference(evhttp_request_get_output_buffer(attempt->request), call->body);
-    wg_time left = MAX(call->deadline - wg_now(), WG_USEC_PER_MSEC) + WG_USEC_PER_SEC;
-    struct timeval timeout = {.tv_sec = left / WG_USEC_PER_SEC, .tv_usec = left % WG_USEC_PER_SEC};
+    wg_time remaining = MAX(call->deadline - wg_now(), WG_USEC_PER_MSEC) + WG_USEC_PER_SEC;
+    struct timeval timeout = {.tv_sec = remaining / WG_USEC_PER_SEC,
+                              .tv_usec = remaining % WG_USEC_PER_SEC};
     evhttp_connection_set_timeout_tv(conn->http, &timeout);
     conn->attempt = attempt;
     call->attempt = attempt;
@@ -423,10 +424,10 @@
         return; /* _wgro_on_done() or _wgro_abort_later() frees the attempt */
     }
     /* Closing the connection cancels the request at the target. */
-    struct timeval soon = {0};
+    struct timeval no_delay = {0};
     attempt->aborted = true;
     attempt->conn->attempt = NULL;
-    event_base_once(attempt->router->base, -1, EV_TIMEOUT, _wgro_abort_later, attempt, &soon);
+    event_base_once(attempt->router->base, -1, EV_TIMEOUT, _wgro_abort_later, attempt, &no_delay);
 }
 
 void _wgro_conns_shutdown(wgro_router* r) {
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -51,8 +51,7 @@
     wg_pool_free(&r->calls_pool, call->handle);
 }
 
-/* Releases the target slot and the queue entry. `cost` is the final cost charged to the workspace.
- */
+/* Releases the target slot and the queue entry. `cost` is charged to the workspace. */
 static void _wgro_release(_wgro_call_t* call, int64_t cost, wgp_result result) {
     wgro_router* r = call->router;
     wg_time now = wg_now();
@@ -133,22 +132,22 @@
    connection inside its own callbacks. */
 typedef struct {
     struct evhttp_connection* connection; /* NULL once the caller has closed it */
-} _wgro_closing_t;
+} _wgro_deferred_close_t;
 
-static void _wgro_on_closing_closed(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_deferred_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
-    ((_wgro_closing_t*)user_data)->connection = NULL;
+    ((_wgro_deferred_close_t*)user_data)->connection = NULL;
 }
 
 static void _wgro_close_deferred(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    _wgro_closing_t* closing = user_data;
-    if (closing->connection) {
-        evhttp_connection_set_closecb(closing->connection, NULL, NULL);
-        evhttp_connection_free(closing->connection);
+    _wgro_deferred_close_t* deferred = user_data;
+    if (deferred->connection) {
+        evhttp_connection_set_closecb(deferred->connection, NULL, NULL);
+        evhttp_connection_free(deferred->connection);
     }
-    g_free(closing);
+    g_free(deferred);
 }
 
 /* Aborts an answer of which a part was already sent. A stream ends with an error event and without
@@ -167,11 +166,11 @@
         evbuffer_free(last);
         return;
     }
-    struct timeval soon = {0};
-    _wgro_closing_t* closing = g_new0(_wgro_closing_t, 1);
-    closing->connection = evhttp_request_get_connection(call->request);
-    evhttp_connection_set_closecb(closing->connection, _wgro_on_closing_closed, closing);
-    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_deferred, closing, &soon);
+    struct timeval no_delay = {0};
+    _wgro_deferred_close_t* deferred = g_new0(_wgro_deferred_close_t, 1);
+    deferred->connection = evhttp_request_get_connection(call->request);
+    evhttp_connection_set_closecb(deferred->connection, _wgro_on_deferred_closed, deferred);
+    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_deferred, deferred, &no_delay);
 }
 
 static void _wgro_copy_headers(_wgro_call_t* call) {
