--- a/lib/place/wg_place.h
+++ b/lib/place/wg_place.h
@@ -21,7 +21,7 @@
     USE
         1. wgp_place* p = wgp_setup(&(wgp_desc){.seed = s}, &error);
         2. wgp_config_begin(p); wgp_config_target(...); wgp_config_end(p);
-        3. wgp_add_slots(p, target, num); wgp_set_quota(p, service, most); wgp_set_lease(p, until);
+        3. wgp_add_slots(p, target, num); wgp_set_quota(p, service, max); wgp_set_lease(p, until);
         4. if (wgp_pick(p, now, &(wgp_request){.service = id}, &choice)) wgp_sent(p, &choice);
         5. wgp_done(p, now, &choice, WGP_RESULT_GOOD);
         6. wgp_shutdown(p);
