--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -6,7 +6,7 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGQ_REQUESTS_LIMIT = 65000 /* fits the 16 bits of a slot in a handle */
+    _WGQ_REQUESTS_LIMIT = 65000 /* a slot has to fit in 16 bits of a handle */
 };
 
 typedef enum {
@@ -15,7 +15,7 @@
     _WGQ_RUNNING
 } _wgq_state;
 
-/* Requests of one class of one workspace, linked by slot; -1 ends. */
+/* Waiting requests of one workspace and class, linked by slot; -1: end of list. */
 typedef struct {
     int head;
     int tail;
@@ -30,11 +30,11 @@
     int next;
     int prev;
     int64_t estimate;
-    int64_t charged; /* settled so far */
+    int64_t charged; /* cost settled so far */
     wg_time picked_at;
 } _wgq_request_t;
 
-/* One workspace. */
+/* State of one workspace. */
 typedef struct {
     uint32_t workspace;
     wgq_limits limits;
@@ -43,17 +43,17 @@
     int running;
     uint64_t served;
     uint64_t acked;  /* `served` that virtual_base contains */
-    int64_t pending; /* estimates of running requests, less what they settled */
+    int64_t pending; /* estimated cost of running requests that is not settled yet */
     int64_t virtual_base;
-    int64_t floor;       /* fleet time when it last came back from idle */
-    int64_t urgent_time; /* virtual time of its urgent requests alone */
-    int64_t urgent_cost; /* estimates picked as urgent and in all, halved now and then */
-    int64_t all_cost;
-    bool changed; /* since accounts were last taken; it stands in `dirty` */
+    int64_t floor;       /* fleet time when the workspace last became backlogged */
+    int64_t urgent_time; /* virtual time of the urgent requests alone */
+    int64_t urgent_cost; /* estimated cost of urgent requests picked recently, decays by halving */
+    int64_t all_cost;    /* estimated cost of all requests picked recently, decays by halving */
+    bool changed;        /* since the last wgq_accounts(); the flow is listed in `dirty` */
     int64_t average_cost;
-    int64_t average_given; /* estimates that came with finished requests */
+    int64_t average_caller_estimate; /* average caller estimate of finished requests */
     wg_time average_run;
-    wg_time average_interval; /* between picks while requests waited */
+    wg_time average_interval; /* average time between picks while backlogged */
     wg_time last_pick;
     wg_time backlogged_since;
     double rate_tokens;
@@ -71,12 +71,12 @@
     GHashTable* by_workspace; /* workspace -> flow + 1 */
     _wgq_heap_t ready;        /* flows that may be picked, by virtual time */
     _wgq_heap_t ready_urgent; /* flows with urgent requests, by urgent time */
-    _wgq_heap_t expiry;       /* waiting requests, by the time they must leave */
+    _wgq_heap_t expiry;       /* waiting requests, by the time they expire */
     int* dirty;
     int dirty_num;
     int64_t fleet_time;
     bool fleet_known;
-    int64_t local_time; /* virtual time of the flow picked last; stands in while no leader speaks */
+    int64_t local_time;   /* highest virtual time picked; used while the fleet time is unknown */
     int64_t average_cost; /* over all workspaces */
     wg_time average_run;
     wgq_stats stats;
@@ -127,17 +127,17 @@
     return f->virtual_base + own * WGQ_SCALE / f->limits.weight;
 }
 
-static void _wgq_mark(wgq_queue* q, int flow) {
+static void _wgq_mark_dirty(wgq_queue* q, int flow) {
     if (!q->flows[flow].changed) {
         q->flows[flow].changed = true;
         q->dirty[q->dirty_num++] = flow;
     }
 }
 
-/* Put the flow where it belongs in the heaps after any change. */
-static void _wgq_place(wgq_queue* q, int flow) {
+/* Updates the position of the flow in the heaps; called after every change of the flow. */
+static void _wgq_update_heaps(wgq_queue* q, int flow) {
     _wgq_flow_t* f = &q->flows[flow];
-    _wgq_mark(q, flow);
+    _wgq_mark_dirty(q, flow);
     bool blocked = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
     if (_wgq_queued(f) > 0 && !blocked) {
         _wgq_heap_put(&q->ready, flow, _wgq_virtual_time(f));
@@ -175,7 +175,8 @@
     return flow;
 }
 
-/* Fleet time if known, else the smallest virtual time of a local backlogged flow. */
+/* Virtual time at which an idle flow starts: fleet time if known, else the smallest virtual time of
+   a backlogged flow. */
 static int64_t _wgq_floor(const wgq_queue* q) {
     if (q->fleet_known) {
         return q->fleet_time;
@@ -184,12 +185,12 @@
     return top >= 0 ? q->ready.keys[top] : q->local_time;
 }
 
-static void _wgq_wake_flow(wgq_queue* q, wg_time now, _wgq_flow_t* f) {
+static void _wgq_activate_flow(wgq_queue* q, wg_time now, _wgq_flow_t* f) {
     f->backlogged_since = now;
     f->floor = MAX(f->floor, _wgq_floor(q));
-    int64_t behind = f->floor - _wgq_virtual_time(f);
-    if (behind > 0) {
-        f->virtual_base += behind;
+    int64_t lag = f->floor - _wgq_virtual_time(f);
+    if (lag > 0) {
+        f->virtual_base += lag;
     }
     int top = _wgq_heap_top(&q->ready_urgent);
     if (top >= 0) {
@@ -199,8 +200,9 @@
 
 /* ---- helpers: limits ----------------------------------------------------------------------- */
 
-static void _wgq_refill(double* tokens, wg_time* at, wg_time now, double per_second, double most) {
-    *tokens = MIN(most, *tokens + per_second * (double)(now - *at) / WG_USEC_PER_SEC);
+static void _wgq_refill(double* tokens, wg_time* at, wg_time now, double per_second,
+                        double max_tokens) {
+    *tokens = MIN(max_tokens, *tokens + per_second * (double)(now - *at) / WG_USEC_PER_SEC);
     *at = now;
 }
 
@@ -209,15 +211,15 @@
 }
 
 static int64_t _wgq_estimate(const wgq_queue* q, const _wgq_flow_t* f, const wgq_request* request) {
-    if (request->estimate > 0 && f->average_given > 0) {
-        /* Corrected by how far this workspace's estimates have been off. */
-        return MAX(request->estimate * f->average_cost / f->average_given, 1);
+    if (request->estimate > 0 && f->average_caller_estimate > 0) {
+        /* Corrects the estimate by the past error of the workspace's estimates. */
+        return MAX(request->estimate * f->average_cost / f->average_caller_estimate, 1);
     }
     if (f->average_cost > 0) {
         return f->average_cost;
     }
-    /* No history: what others cost here. An estimate that was given is not trusted yet, or a wrong
-       one would let its workspace take, or lose, a whole round of slots. */
+    /* No history: the average of other workspaces. The caller's estimate is ignored until it can be
+       corrected, because a wrong one would let the workspace gain or lose a round of slots. */
     return q->average_cost > 0 ? q->average_cost : q->desc.first_cost;
 }
 
@@ -248,8 +250,8 @@
         }
     }
     if (l->rate > 0 && !request->again) {
-        double most = (double)MAX(l->burst, l->rate);
-        _wgq_refill(&f->rate_tokens, &f->rate_at, now, (double)l->rate, most);
+        double max_tokens = (double)MAX(l->burst, l->rate);
+        _wgq_refill(&f->rate_tokens, &f->rate_at, now, (double)l->rate, max_tokens);
         if (f->rate_tokens < 1) {
             wg_time after = _wgq_seconds((1 - f->rate_tokens) / (double)l->rate);
             return _wgq_refuse(q, refusal, WGQ_REFUSAL_RATE, after);
@@ -263,13 +265,13 @@
                        wgq_refusal* refusal) {
     wg_time wait = _wgq_flow_wait(f, now);
     if (!request->again && f->limits.queue > 0 && _wgq_queued(f) >= f->limits.queue) {
-        bool by_flight = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
-        wgq_refusal_code code = by_flight ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
+        bool in_flight_full = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
+        wgq_refusal_code code = in_flight_full ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
         return _wgq_refuse(q, refusal, code, MAX(wait, f->average_run));
     }
-    /* Urgent requests of a workspace do not stand behind its others. */
-    bool late = !request->urgent && now + wait > request->wait_until;
-    if (late || now + f->average_run > request->deadline) {
+    /* Urgent requests are not queued behind the workspace's other requests. */
+    bool too_late = !request->urgent && now + wait > request->wait_until;
+    if (too_late || now + f->average_run > request->deadline) {
         return _wgq_refuse(q, refusal, WGQ_REFUSAL_LATE, MAX(wait, f->average_run));
     }
     return _wgq_admit_rates(q, now, f, request, refusal);
@@ -293,7 +295,7 @@
     return r->desc.urgent ? &f->urgent : &f->normal;
 }
 
-static void _wgq_take_out(wgq_queue* q, _wgq_request_t* r) {
+static void _wgq_remove_waiting(wgq_queue* q, _wgq_request_t* r) {
     _wgq_flow_t* f = &q->flows[r->flow];
     _wgq_list_remove(q, _wgq_list_of(f, r), _wgq_slot(q, r));
     _wgq_heap_remove(&q->expiry, _wgq_slot(q, r));
@@ -301,7 +303,8 @@
     q->stats.urgent_queued -= r->desc.urgent ? 1 : 0;
 }
 
-/* Whether the flow's next request is an urgent one: first within its own share, by percent. */
+/* Whether the next request of the flow is an urgent one: urgent requests go first up to
+   urgent_percent of the flow's cost. */
 static bool _wgq_urgent_first(const _wgq_flow_t* f) {
     if (f->urgent.num == 0 || f->normal.num == 0) {
         return f->urgent.num > 0;
@@ -309,7 +312,7 @@
     return f->urgent_cost * 100 <= f->limits.urgent_percent * f->all_cost;
 }
 
-static void _wgq_note_pick(_wgq_flow_t* f, wg_time now, const _wgq_request_t* r) {
+static void _wgq_record_pick(_wgq_flow_t* f, wg_time now, const _wgq_request_t* r) {
     wg_time since = now - MAX(f->last_pick, f->backlogged_since);
     f->average_interval = f->average_interval ? (f->average_interval * 7 + since) / 8 : since;
     f->last_pick = now;
@@ -326,18 +329,18 @@
 
 static void _wgq_start(wgq_queue* q, wg_time now, _wgq_request_t* r) {
     _wgq_flow_t* f = &q->flows[r->flow];
-    _wgq_take_out(q, r);
+    _wgq_remove_waiting(q, r);
     r->state = _WGQ_RUNNING;
     r->picked_at = now;
     f->running++;
     f->pending += r->estimate;
     q->stats.running++;
     q->stats.picked++;
-    _wgq_note_pick(f, now, r);
-    _wgq_place(q, r->flow);
+    _wgq_record_pick(f, now, r);
+    _wgq_update_heaps(q, r->flow);
 }
 
-/* Settle the cost of a running request up to `cost`; settled cost never falls. */
+/* Settles the cost of a running request up to `cost`; settled cost never falls. */
 static void _wgq_settle(wgq_queue* q, _wgq_request_t* r, int64_t cost) {
     _wgq_flow_t* f = &q->flows[r->flow];
     int64_t more = cost - r->charged;
@@ -409,7 +412,7 @@
     *r = (_wgq_request_t){.desc = *request, .state = _WGQ_WAITING, .handle = handle, .flow = flow};
     r->estimate = _wgq_estimate(q, f, request);
     if (_wgq_queued(f) == 0) {
-        _wgq_wake_flow(q, now, f);
+        _wgq_activate_flow(q, now, f);
     }
     _wgq_list_push(q, _wgq_list_of(f, r), slot, request->again);
     wg_time leave_at = MIN(request->wait_until, request->deadline - f->average_run);
@@ -417,7 +420,7 @@
     q->stats.queued++;
     q->stats.urgent_queued += request->urgent ? 1 : 0;
     q->stats.pushed++;
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
     return (wgq_handle){handle.id};
 }
 
@@ -441,7 +444,7 @@
     _wgq_request_t* r = _wgq_find(q, handle, _WGQ_RUNNING);
     if (r) {
         _wgq_settle(q, r, cost_so_far);
-        _wgq_place(q, r->flow);
+        _wgq_update_heaps(q, r->flow);
     }
 }
 
@@ -459,7 +462,7 @@
         if (expected > covered) {
             q->flows[r->flow].pending += expected - covered;
             r->estimate = expected;
-            _wgq_place(q, r->flow);
+            _wgq_update_heaps(q, r->flow);
         }
     }
 }
@@ -478,8 +481,10 @@
         q->average_run = q->average_run ? (q->average_run * 31 + took + 16) / 32 : took;
         q->average_cost = q->average_cost ? (q->average_cost * 31 + cost + 16) / 32 : cost;
         f->average_cost = f->average_cost ? (f->average_cost * 7 + cost + 4) / 8 : cost;
-        int64_t given = r->desc.estimate > 0 ? r->desc.estimate : cost;
-        f->average_given = f->average_given ? (f->average_given * 7 + given + 4) / 8 : given;
+        int64_t caller_estimate = r->desc.estimate > 0 ? r->desc.estimate : cost;
+        f->average_caller_estimate =
+            f->average_caller_estimate ? (f->average_caller_estimate * 7 + caller_estimate + 4) / 8
+                                       : caller_estimate;
         wg_time run = now - r->picked_at;
         f->average_run = f->average_run ? (f->average_run * 7 + run) / 8 : run;
     }
@@ -489,7 +494,7 @@
     r->state = _WGQ_FREE;
     int flow = r->flow;
     wg_pool_free(&q->requests_pool, r->handle);
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
 }
 
 bool wgq_expire(wgq_queue* q, wg_time now, wgq_handle* expired) {
@@ -508,10 +513,10 @@
         return;
     }
     int flow = r->flow;
-    _wgq_take_out(q, r);
+    _wgq_remove_waiting(q, r);
     r->state = _WGQ_FREE;
     wg_pool_free(&q->requests_pool, r->handle);
-    _wgq_place(q, flow);
+    _wgq_update_heaps(q, flow);
 }
 
 wg_time wgq_next_expiry(const wgq_queue* q) {
@@ -566,7 +571,7 @@
         return;
     }
     _wgq_flow_t* f = &q->flows[flow];
-    /* What was settled under the old weight stays as it was. */
+    /* Cost settled under the old weight is folded into the base and not rescaled. */
     int64_t settled = (int64_t)(f->served - f->acked);
     f->virtual_base += settled * WGQ_SCALE / f->limits.weight;
     f->acked = f->served;
@@ -587,7 +592,7 @@
 int wgq_accounts(wgq_queue* q, bool all, wgq_account* accounts, int max) {
     if (all) {
         for (int flow = 0; flow < q->flows_num; flow++) {
-            _wgq_mark(q, flow);
+            _wgq_mark_dirty(q, flow);
         }
     }
     int num = 0;
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -1,4 +1,4 @@
-/* wg_router_accept.c -- what callers may ask: entry hosts, model and application services */
+/* wg_router_accept.c -- caller endpoints: entry hosts, model and application services */
 #include "wg_router_internal.h"
 
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 enum {
     _WGRO_PARK_TIME = 1500 * WG_USEC_PER_MSEC,
     _WGRO_PARKED_MAX = 1024,
-    _WGRO_PREFIX_BYTES = 1024 /* of a prompt that make up its prefix */
+    _WGRO_PREFIX_BYTES = 1024 /* leading bytes of a prompt that are hashed as its prefix */
 };
 
 static void _wgro_serve(wgro_router* r, struct evhttp_request* request, const wgt_row* workspace);
@@ -45,13 +45,14 @@
     json_t* more = json_object();
     json_object_set_new(more, "entry_hosts",
                         _wgro_entry_list(r, "", WGM_ENTRY_HOSTS_DEFAULT, r->settings->data_centre));
-    wgh_reply_error(request, &(wgh_error){.status = 503,
-                                          .code = "table_not_in_force",
-                                          .verdict = WG_VERDICT_NOT_RUN,
-                                          .retry_after = WG_USEC_PER_SEC,
-                                          .message = "this router has lost touch with the leader; "
-                                                     "use another entry host",
-                                          .more = more});
+    wgh_reply_error(request,
+                    &(wgh_error){.status = 503,
+                                 .code = "table_not_in_force",
+                                 .verdict = WG_VERDICT_NOT_RUN,
+                                 .retry_after = WG_USEC_PER_SEC,
+                                 .message = "this router has lost contact with the leader; "
+                                            "use another entry host",
+                                 .more = more});
 }
 
 /* ---- helpers: keys ------------------------------------------------------------------------- */
@@ -62,7 +63,7 @@
            memcmp(r->unknown_keys[slot].hash, hash, WG_KEY_HASH_SIZE) == 0;
 }
 
-static void _wgro_note_unknown_key(wgro_router* r, const uint8_t* hash) {
+static void _wgro_record_unknown_key(wgro_router* r, const uint8_t* hash) {
     uint64_t slot = wg_hash(hash, WG_KEY_HASH_SIZE, r->seed) % _WGRO_UNKNOWN_KEYS;
     memcpy(r->unknown_keys[slot].hash, hash, WG_KEY_HASH_SIZE);
     r->unknown_keys[slot].version = wgt_version(r->table);
@@ -73,18 +74,18 @@
     _wgro_refuse(r, request, 401, "workspace_key", 0, "the workspace key is missing or wrong");
 }
 
-static void _wgro_parked_left(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_parked_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_parked_t* parked = user_data;
     wgh_request_lost(parked->request);
     parked->request = NULL;
 }
 
-/* Keep the request until the leader said whose key it is. */
+/* Holds the request until the leader has answered the row query for its key. */
 static void _wgro_park(wgro_router* r, struct evhttp_request* request, const uint8_t* hash,
                        wg_time now) {
     uint64_t ticket = ++r->counter;
-    if (r->parked.length >= _WGRO_PARKED_MAX || !_wgro_ask_row(r, ticket, hash)) {
+    if (r->parked.length >= _WGRO_PARKED_MAX || !_wgro_query_row(r, ticket, hash)) {
         _wgro_refuse_no_lease(r, request);
         return;
     }
@@ -93,7 +94,7 @@
     parked->request = request;
     parked->until = now + _WGRO_PARK_TIME;
     memcpy(parked->key_hash, hash, WG_KEY_HASH_SIZE);
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgro_parked_left,
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), _wgro_on_parked_closed,
                                   parked);
     g_queue_push_tail(&r->parked, parked);
 }
@@ -108,7 +109,7 @@
         if (row) {
             _wgro_serve(r, request, row);
         } else if (outcome == 2) {
-            _wgro_note_unknown_key(r, parked->key_hash);
+            _wgro_record_unknown_key(r, parked->key_hash);
             _wgro_refuse_key(r, request);
         } else {
             _wgro_refuse_no_lease(r, request);
@@ -119,7 +120,7 @@
 
 /* ---- helpers: requests --------------------------------------------------------------------- */
 
-/* Priority (RFC 9218): urgency 0 or 1 is urgent. */
+/* Priority header (RFC 9218): urgency 0 or 1 counts as urgent. */
 static bool _wgro_is_urgent(struct evhttp_request* request) {
     const char* value = evhttp_find_header(evhttp_request_get_input_headers(request), "Priority");
     const char* urgency = value ? strstr(value, "u=") : NULL;
@@ -186,7 +187,7 @@
     wgh_path(request, path, sizeof path);
     if (strcmp(path, "/v1/chat/completions") == 0) {
         if (strcmp(wgh_method(request), "POST") != 0) {
-            _wgro_refuse(r, request, 405, "bad_method", 0, "want POST");
+            _wgro_refuse(r, request, 405, "bad_method", 0, "method not allowed, use POST");
         } else {
             _wgro_serve_model(r, request, workspace);
         }
@@ -195,17 +196,18 @@
     }
 }
 
-/* ---- pages --------------------------------------------------------------------------------- */
+/* ---- endpoints ----------------------------------------------------------------------------- */
 
 static void _wgro_entry(wgro_router* r, struct evhttp_request* request) {
     char* workspace = wgh_query(request, "workspace");
     char* data_centre = wgh_query(request, "data_centre");
-    const char* near = data_centre ? data_centre : r->settings->data_centre;
+    const char* caller_data_centre = data_centre ? data_centre : r->settings->data_centre;
     const wgt_row* row = workspace ? wgt_find(r->table, WGT_KIND_WORKSPACE, workspace) : NULL;
     int spread = row && row->workspace.entry_hosts > 0 ? (int)row->workspace.entry_hosts : 0;
     json_t* json = json_object();
-    json_object_set_new(json, "entry_hosts",
-                        _wgro_entry_list(r, workspace ? workspace : "", spread, near));
+    json_object_set_new(
+        json, "entry_hosts",
+        _wgro_entry_list(r, workspace ? workspace : "", spread, caller_data_centre));
     json_object_set_new(json, "keep_ms", json_integer(r->settings->entry_keep_ms));
     wgh_reply_json(request, 200, json);
     g_free(workspace);
@@ -248,7 +250,9 @@
     }
     if (wgh_is_ambiguous(request)) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
-        _wgro_refuse(r, request, 400, "ambiguous_length", 0, "the length can be read in two ways");
+        _wgro_refuse(
+            r, request, 400, "ambiguous_length", 0,
+            "ambiguous message length: repeated or malformed Content-Length or Transfer-Encoding");
         return;
     }
     if (strcmp(path, "/v1/entry") == 0) {
@@ -263,7 +267,7 @@
     }
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 bool _wgro_accept_setup(wgro_router* r, GError** error) {
     const wgro_settings* s = r->settings;
@@ -276,7 +280,7 @@
     return true;
 }
 
-void _wgro_row_came(wgro_router* r, uint64_t ticket, int outcome) {
+void _wgro_on_row_answer(wgro_router* r, uint64_t ticket, int outcome) {
     for (GList* link = r->parked.head; link; link = link->next) {
         if (((_wgro_parked_t*)link->data)->ticket == ticket) {
             _wgro_unpark(r, link, outcome);
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -1,21 +1,24 @@
-/* wg_router_call.c -- calls: admission to the queue, dispatch to slots, actions of the machine */
+/* wg_router_call.c -- calls: queue admission, dispatch to slots, state machine actions */
 #include "wg_router_internal.h"
 
 #include <string.h>
 
 /* ---- types -------------------------------------------------------------------------------- */
 
-/* Admissions refused by the queue, as callers see them. */
+/* How a refusal by the queue is reported to the caller. */
 static const struct {
     int status;
     const char* code;
     const char* message;
 } _wgro_refusals[WGQ_REFUSAL_NUM] = {
-    [WGQ_REFUSAL_RATE] = {429, "rate_limit", "requests per second are used up"},
-    [WGQ_REFUSAL_IN_FLIGHT] = {429, "in_flight_limit", "too many requests at work and waiting"},
+    [WGQ_REFUSAL_RATE] = {429, "rate_limit", "request rate limit of the workspace exceeded"},
+    [WGQ_REFUSAL_IN_FLIGHT] = {429, "in_flight_limit",
+                               "too many requests of the workspace running and waiting"},
     [WGQ_REFUSAL_QUEUE] = {429, "queue_limit", "the workspace's queue is full"},
-    [WGQ_REFUSAL_TOKENS] = {429, "token_limit", "tokens per minute are used up"},
-    [WGQ_REFUSAL_FULL] = {503, "no_capacity", "this router has no room for more requests"},
+    [WGQ_REFUSAL_TOKENS] = {429, "token_limit",
+                            "tokens-per-minute limit of the workspace exceeded"},
+    [WGQ_REFUSAL_FULL] = {503, "no_capacity",
+                          "this router has reached its limit of requests or workspaces"},
     [WGQ_REFUSAL_LATE] = {503, "no_capacity", "cannot be served in time"},
 };
 
@@ -48,7 +51,7 @@
     wg_pool_free(&r->calls_pool, call->handle);
 }
 
-/* Give back slot and place in the queue. `cost` settles what the request took. */
+/* Releases the target slot and the queue entry. `cost` is charged to the workspace. */
 static void _wgro_release(_wgro_call_t* call, int64_t cost, wgp_result result) {
     wgro_router* r = call->router;
     wg_time now = wg_now();
@@ -70,7 +73,7 @@
     }
 }
 
-/* What the call cost so far: tokens, or milliseconds at the target. */
+/* Cost of the call so far: tokens for a model service, else milliseconds at the target. */
 static int64_t _wgro_cost(const _wgro_call_t* call) {
     const _wgro_service_t* service = &call->router->services[call->service];
     if (strcmp(service->row.service.kind, "model") != 0) {
@@ -87,34 +90,34 @@
     if (action->type == WGC_ACTION_FINISH && call->attempt->status < 500) {
         return WGP_RESULT_GOOD;
     }
-    return call->attempt->said_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+    return call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
 }
 
 static wg_time _wgro_retry_after(_wgro_call_t* call) {
     enum {
-        SOONEST = 200 * WG_USEC_PER_MSEC
+        RETRY_AFTER_MIN = 200 * WG_USEC_PER_MSEC
     };
     wg_time now = wg_now();
     const _wgro_service_t* service = _wgro_service_of(call);
     wg_time wait = wgq_expected_wait(service->queue, now, call->workspace);
-    wg_time back_at = wgp_back_at(call->router->place, now, service->row.id);
-    return MAX(MAX(wait, back_at - now), SOONEST);
+    wg_time backoff_end = wgp_back_at(call->router->place, now, service->row.id);
+    return MAX(MAX(wait, backoff_end - now), RETRY_AFTER_MIN);
 }
 
-/* How long the call may wait for a slot from now on. */
+/* Latest time at which the call may still be waiting for a slot. */
 static wg_time _wgro_wait_until(_wgro_call_t* call, wg_time now) {
-    wg_time most = _wgro_service_of(call)->row.service.queue_ms * WG_USEC_PER_MSEC;
-    return MIN(now + most, call->deadline);
+    wg_time max_wait = _wgro_service_of(call)->row.service.queue_ms * WG_USEC_PER_MSEC;
+    return MIN(now + max_wait, call->deadline);
 }
 
 static void _wgro_answer_error(_wgro_call_t* call, const wgc_action* action) {
     static const char* messages[WGC_CODE_NUM] = {
         "",
         "the target failed",
-        "the deadline passed",
-        "no capacity came free in time",
-        "the claim for this key could not be made; nothing was run",
-        "an earlier request with this key has not ended, it may have run",
+        "the deadline of the request passed",
+        "no target capacity became free in time",
+        "the idempotency key could not be claimed; the request did not run",
+        "an earlier request with this idempotency key has not ended and may have run",
     };
     call->router->counters.failed++;
     _wgro_detach_caller(call);
@@ -125,31 +128,33 @@
                                                 .message = messages[action->code]});
 }
 
-/* A caller's connection that is to be closed outside of its own callbacks. */
+/* A caller's connection that must be closed from the event loop: evhttp does not allow freeing a
+   connection inside its own callbacks. */
 typedef struct {
-    struct evhttp_connection* connection; /* NULL once it is gone */
-} _wgro_doomed_t;
+    struct evhttp_connection* connection; /* NULL once the caller has closed it */
+} _wgro_deferred_close_t;
 
-static void _wgro_doomed_gone(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_deferred_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
-    ((_wgro_doomed_t*)user_data)->connection = NULL;
+    ((_wgro_deferred_close_t*)user_data)->connection = NULL;
 }
 
-static void _wgro_close_doomed(evutil_socket_t fd, short what, void* user_data) {
+static void _wgro_close_deferred(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    _wgro_doomed_t* doomed = user_data;
-    if (doomed->connection) {
-        evhttp_connection_set_closecb(doomed->connection, NULL, NULL);
-        evhttp_connection_free(doomed->connection);
+    _wgro_deferred_close_t* deferred = user_data;
+    if (deferred->connection) {
+        evhttp_connection_set_closecb(deferred->connection, NULL, NULL);
+        evhttp_connection_free(deferred->connection);
     }
-    g_free(doomed);
+    g_free(deferred);
 }
 
-/* Part of an answer has left. A stream gets an error event and no end marker; any other answer is
-   broken off by closing the connection, so that it cannot pass for whole. */
-static void _wgro_cut(_wgro_call_t* call, const wgc_action* action) {
-    call->router->counters.cut++;
+/* Aborts an answer of which a part was already sent. A stream ends with an error event and without
+   its end marker; for any other answer the connection is closed, so that the caller cannot take
+   the truncated answer for a complete one. */
+static void _wgro_abort_answer(_wgro_call_t* call, const wgc_action* action) {
+    call->router->counters.answers_aborted++;
     _wgro_detach_caller(call);
     if (call->attempt && call->attempt->stream) {
         struct evbuffer* last = evbuffer_new();
@@ -161,11 +166,11 @@
         evbuffer_free(last);
         return;
     }
-    struct timeval soon = {0};
-    _wgro_doomed_t* doomed = g_new0(_wgro_doomed_t, 1);
-    doomed->connection = evhttp_request_get_connection(call->request);
-    evhttp_connection_set_closecb(doomed->connection, _wgro_doomed_gone, doomed);
-    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_doomed, doomed, &soon);
+    struct timeval no_delay = {0};
+    _wgro_deferred_close_t* deferred = g_new0(_wgro_deferred_close_t, 1);
+    deferred->connection = evhttp_request_get_connection(call->request);
+    evhttp_connection_set_closecb(deferred->connection, _wgro_on_deferred_closed, deferred);
+    event_base_once(call->router->base, -1, EV_TIMEOUT, _wgro_close_deferred, deferred, &no_delay);
 }
 
 static void _wgro_copy_headers(_wgro_call_t* call) {
@@ -183,7 +188,7 @@
 
 static void _wgro_finish(_wgro_call_t* call) {
     wgro_router* r = call->router;
-    r->counters.whole++;
+    r->counters.complete++;
     _wgro_detach_caller(call);
     if (call->head_sent) {
         _wgro_relay(call);
@@ -193,12 +198,12 @@
         struct evkeyvalq* out = evhttp_request_get_output_headers(call->request);
         evhttp_add_header(out, WGH_HEADER_VERDICT, wg_verdict_name(WG_VERDICT_RAN));
         evhttp_send_reply(call->request, call->attempt->status, wgh_reason(call->attempt->status),
-                          call->attempt->held);
+                          call->attempt->buffered);
     }
     wg_hist_add(&_wgro_service_of(call)->total_time, wg_now() - call->started);
 }
 
-static void _wgro_end_claim_by(_wgro_call_t* call, const wgc_action* action) {
+static void _wgro_end_claim_for(_wgro_call_t* call, const wgc_action* action) {
     if (!action->end_claim) {
         return;
     }
@@ -209,14 +214,14 @@
         status = call->attempt->status;
         type = evhttp_find_header(evhttp_request_get_input_headers(call->attempt->request),
                                   "Content-Type");
-        body = call->head_sent ? NULL : call->attempt->held;
+        body = call->head_sent ? NULL : call->attempt->buffered;
     }
     _wgro_end_claim(call->router, call, action->verdict, status, type, body);
 }
 
 /* ---- helpers: actions ---------------------------------------------------------------------- */
 
-static void _wgro_arm(_wgro_call_t* call, wg_time at, wgc_event_type event) {
+static void _wgro_set_timer(_wgro_call_t* call, wg_time at, wgc_event_type event) {
     wg_time wait = MAX(at - wg_now(), 0);
     struct timeval tv = {.tv_sec = wait / WG_USEC_PER_SEC, .tv_usec = wait % WG_USEC_PER_SEC};
     call->timer_event = event;
@@ -258,7 +263,7 @@
         call->router->counters.resumes++;
         wg_log(WG_EVENT_STREAM_RESUMED, "token=%" G_GINT64_FORMAT, action->resume_from);
     }
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     if (!_wgro_attempt_begin(call, action->attempt, action->resume_from)) {
         _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_FAILED, .attempt = action->attempt});
     }
@@ -269,15 +274,15 @@
     wg_log(WG_EVENT_ATTEMPT_FAILED, "attempt=%d wait_us=%" G_GINT64_FORMAT, action->attempt,
            action->wait);
     wgp_result result =
-        call->attempt && call->attempt->said_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+        call->attempt && call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
     _wgro_release(call, _wgro_cost(call), result);
     _wgro_abort_attempt(call);
-    _wgro_arm(call, wg_now() + action->wait, WGC_EVENT_WAITED);
+    _wgro_set_timer(call, wg_now() + action->wait, WGC_EVENT_WAITED);
 }
 
 static void _wgro_do_queue(_wgro_call_t* call) {
     wgq_refusal refusal;
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     if (!_wgro_push(call, true, &refusal)) {
         _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_DEADLINE});
         return;
@@ -290,22 +295,22 @@
     call->claim_ticket = ++r->counter;
     call->claim_attempt = wg_jitter(r->incarnation, call->claim_ticket);
     wg_time until = wg_now() + r->settings->claim_wait_ms * WG_USEC_PER_MSEC;
-    _wgro_arm(call, MIN(until, call->deadline), WGC_EVENT_CLAIM_REFUSED);
-    _wgro_ask_claim(r, call); /* without a link it is asked again when one is up */
+    _wgro_set_timer(call, MIN(until, call->deadline), WGC_EVENT_CLAIM_REFUSED);
+    _wgro_request_claim(r, call); /* without a link, sent when the next one is up */
 }
 
-/* The last action of a call: answer as it says, then let go of everything. */
+/* Runs the final action of a call: answers the caller, then releases and frees the call. */
 static void _wgro_do_end(_wgro_call_t* call, const wgc_action* action) {
     wgro_router* r = call->router;
     int64_t cost = _wgro_cost(call);
     wgp_result result = _wgro_result_of(action, call);
-    _wgro_end_claim_by(call, action);
+    _wgro_end_claim_for(call, action);
     if (call->request && action->type == WGC_ACTION_FINISH) {
         _wgro_finish(call);
     } else if (call->request && action->type == WGC_ACTION_ANSWER) {
         _wgro_answer_error(call, action);
     } else if (call->request && action->type == WGC_ACTION_CUT) {
-        _wgro_cut(call, action);
+        _wgro_abort_answer(call, action);
     } else if (action->type == WGC_ACTION_CANCEL) {
         r->counters.callers_left++;
         wg_log(WG_EVENT_CALLER_LEFT, "%s", "");
@@ -316,7 +321,7 @@
     _wgro_dispatch(r);
 }
 
-static void _wgro_act(_wgro_call_t* call, const wgc_action* action) {
+static void _wgro_do_action(_wgro_call_t* call, const wgc_action* action) {
     switch (action->type) {
     case WGC_ACTION_CLAIM:
         _wgro_do_claim(call);
@@ -347,7 +352,7 @@
 
 /* ---- helpers: callers ---------------------------------------------------------------------- */
 
-static void _wgro_caller_left(struct evhttp_connection* connection, void* user_data) {
+static void _wgro_on_caller_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_call_t* call = user_data;
     wgh_request_lost(call->request);
@@ -355,13 +360,15 @@
     _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_CALLER_GONE});
 }
 
-/* Learn when the caller leaves. While a request is worked on, evhttp does not expect data: bytes of
-   a next request stay unread in the buffer, up to a limit. */
+/* Keeps reading from the caller's connection so that a close is noticed while the request runs.
+   evhttp expects no data at that time, so its read callback is removed; bytes of a pipelined
+   request stay in the input buffer. */
 static void _wgro_watch_caller(_wgro_call_t* call) {
     struct evhttp_connection* connection = evhttp_request_get_connection(call->request);
-    wg_time whole = _wgro_service_of(call)->row.service.deadline_ms / 1000;
-    evhttp_connection_set_closecb(connection, _wgro_caller_left, call);
-    evhttp_connection_set_timeout(connection, (int)whole + (int)call->router->settings->idle_s);
+    wg_time deadline_s = _wgro_service_of(call)->row.service.deadline_ms / 1000;
+    evhttp_connection_set_closecb(connection, _wgro_on_caller_closed, call);
+    evhttp_connection_set_timeout(connection,
+                                  (int)deadline_s + (int)call->router->settings->idle_s);
     struct bufferevent* bev = evhttp_connection_get_bufferevent(connection);
     bufferevent_data_cb read_cb;
     bufferevent_data_cb write_cb;
@@ -372,7 +379,7 @@
     bufferevent_enable(bev, EV_READ);
 }
 
-static void _wgro_take_key(_wgro_call_t* call) {
+static void _wgro_read_key(_wgro_call_t* call) {
     const char* key =
         evhttp_find_header(evhttp_request_get_input_headers(call->request), "Idempotency-Key");
     if (!key || !key[0]) {
@@ -406,7 +413,7 @@
     _wgro_free_call(call);
 }
 
-/* ---- functions of the library -------------------------------------------------------------- */
+/* ---- internal functions -------------------------------------------------------------------- */
 
 _wgro_call_t* _wgro_call_find(wgro_router* r, wg_handle handle) {
     int slot = wg_pool_slot(&r->calls_pool, handle);
@@ -415,7 +422,7 @@
 
 void _wgro_call_event(_wgro_call_t* call, const wgc_event* event) {
     wgc_action action = wgc_step(&call->machine, wg_now(), event);
-    _wgro_act(call, &action);
+    _wgro_do_action(call, &action);
 }
 
 void _wgro_call_begin(wgro_router* r, const _wgro_call_desc* desc) {
@@ -423,11 +430,12 @@
     if (handle.id == 0) {
         g_free(desc->uri);
         r->counters.refused++;
-        wgh_reply_error(desc->request, &(wgh_error){.status = 503,
-                                                    .code = "no_capacity",
-                                                    .verdict = WG_VERDICT_NOT_RUN,
-                                                    .retry_after = WG_USEC_PER_SEC,
-                                                    .message = "this router is full"});
+        wgh_reply_error(desc->request,
+                        &(wgh_error){.status = 503,
+                                     .code = "no_capacity",
+                                     .verdict = WG_VERDICT_NOT_RUN,
+                                     .retry_after = WG_USEC_PER_SEC,
+                                     .message = "this router has reached its limit of requests"});
         return;
     }
     _wgro_call_t* call = _wgro_call_find(r, handle);
@@ -449,7 +457,7 @@
     call->body = evbuffer_new();
     evbuffer_add_buffer(call->body, evhttp_request_get_input_buffer(desc->request));
     if (!desc->repeatable) {
-        _wgro_take_key(call);
+        _wgro_read_key(call);
     }
     wgc_begin(&call->machine, &(wgc_desc){.deadline = call->deadline,
                                           .repeatable = desc->repeatable,
@@ -464,17 +472,17 @@
         return;
     }
     _wgro_watch_caller(call);
-    _wgro_arm(call, call->deadline, WGC_EVENT_DEADLINE);
+    _wgro_set_timer(call, call->deadline, WGC_EVENT_DEADLINE);
     wgq_queue* queue = _wgro_service_of(call)->queue;
     uint32_t workspace = call->workspace;
     _wgro_dispatch(r);
     if (wgq_query_waiting(queue, workspace) == 1) {
-        _wgro_report_soon(r); /* it begins to wait here */
+        _wgro_report_soon(r); /* the workspace has become backlogged on this router */
     }
 }
 
-/* Start one waiting request of a service if a slot is free; false when there is none. */
-static bool _wgro_dispatch_one(wgro_router* r, _wgro_service_t* service, wg_time now) {
+/* Starts one waiting request of a service. False when no request waits or no slot is free. */
+static bool _wgro_dispatch_next(wgro_router* r, _wgro_service_t* service, wg_time now) {
     bool room = wgp_has_room(r->place, now, service->row.id, false);
     bool reserve = !room && wgp_has_room(r->place, now, service->row.id, true);
     wgq_handle picked;
@@ -498,20 +506,20 @@
 
 void _wgro_dispatch(wgro_router* r) {
     wg_time now = wg_now();
-    wgf_pacer_news news = {0};
+    wgf_pacer_news activity = {0};
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
         if (!service->live) {
             continue;
         }
-        while (wgq_query_stats(service->queue).queued > 0 && _wgro_dispatch_one(r, service, now)) {
+        while (wgq_query_stats(service->queue).queued > 0 && _wgro_dispatch_next(r, service, now)) {
         }
         wgq_stats stats = wgq_query_stats(service->queue);
-        news.at_work = news.at_work || stats.queued + stats.running > 0;
-        news.waiting = news.waiting || stats.queued > 0;
-        news.idle = news.idle || wgp_query_free(r->place, now, service->row.id) > 0;
+        activity.at_work = activity.at_work || stats.queued + stats.running > 0;
+        activity.waiting = activity.waiting || stats.queued > 0;
+        activity.idle = activity.idle || wgp_query_free(r->place, now, service->row.id) > 0;
     }
-    wgf_pacer_state(&r->pacer, &news);
+    wgf_pacer_state(&r->pacer, &activity);
     if (wgp_take_given_back(r->place)) {
         wgf_pacer_want(&r->pacer);
     }
@@ -530,28 +538,28 @@
     }
 }
 
-static void _wgro_give_up_before(wgro_router* r, int service, wg_time back_at) {
+static void _wgro_fail_waits_before(wgro_router* r, int service, wg_time backoff_end) {
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         _wgro_call_t* call = &r->calls[i];
         if (r->calls_pool.taken[i] && call->service == service &&
-            call->machine.state == WGC_STATE_QUEUED && back_at > call->wait_until) {
+            call->machine.state == WGC_STATE_QUEUED && backoff_end > call->wait_until) {
             _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_NO_TARGET});
         }
     }
 }
 
-void _wgro_give_up_resting(wgro_router* r, wg_time now) {
+void _wgro_fail_backoff_waits(wgro_router* r, wg_time now) {
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
-        bool waits = service->live && wgq_query_stats(service->queue).queued > 0;
-        wg_time back_at = waits ? wgp_back_at(r->place, now, service->row.id) : 0;
-        if (back_at > 0) {
-            _wgro_give_up_before(r, i, back_at);
+        bool has_waiting = service->live && wgq_query_stats(service->queue).queued > 0;
+        wg_time backoff_end = has_waiting ? wgp_back_at(r->place, now, service->row.id) : 0;
+        if (backoff_end > 0) {
+            _wgro_fail_waits_before(r, i, backoff_end);
         }
     }
 }
 
-void _wgro_give_up_queued(wgro_router* r) {
+void _wgro_fail_queued(wgro_router* r) {
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         if (r->calls_pool.taken[i] && r->calls[i].machine.state == WGC_STATE_QUEUED) {
             _wgro_call_event(&r->calls[i], &(wgc_event){.type = WGC_EVENT_DEADLINE});
@@ -559,18 +567,19 @@
     }
 }
 
-static void _wgro_give_earlier(_wgro_call_t* call, const Wgpb__ClaimEnd* end) {
-    call->router->counters.whole++;
+static void _wgro_replay_answer(_wgro_call_t* call, const Wgpb__ClaimEnd* end) {
+    call->router->counters.complete++;
     _wgro_detach_caller(call);
     bool ran = end && end->verdict == WG_VERDICT_RAN;
     if (!ran || end->body.len == 0) {
-        wgh_reply_error(call->request,
-                        &(wgh_error){.status = 409,
-                                     .code = ran ? "already_ran" : "may_have_run",
-                                     .verdict = ran ? WG_VERDICT_RAN : WG_VERDICT_MAY_HAVE_RUN,
-                                     .message =
-                                         "an earlier request with this key ended; its answer "
-                                         "is not kept"});
+        wgh_reply_error(
+            call->request,
+            &(wgh_error){.status = 409,
+                         .code = ran ? "already_ran" : "may_have_run",
+                         .verdict = ran ? WG_VERDICT_RAN : WG_VERDICT_MAY_HAVE_RUN,
+                         .message =
+                             "an earlier request with this idempotency key ended; its answer "
+                             "is not kept"});
         return;
     }
     struct evkeyvalq* out = evhttp_request_get_output_headers(call->request);
@@ -585,7 +594,8 @@
     evbuffer_free(body);
 }
 
-void _wgro_claim_answered(wgro_router* r, uint64_t ticket, int outcome, const Wgpb__ClaimEnd* end) {
+void _wgro_on_claim_answer(wgro_router* r, uint64_t ticket, int outcome,
+                           const Wgpb__ClaimEnd* end) {
     _wgro_call_t* call = NULL;
     for (int i = 0; i < r->calls_pool.capacity && !call; i++) {
         bool match = r->calls_pool.taken[i] && r->calls[i].claim_ticket == ticket &&
@@ -602,12 +612,12 @@
         [WGK_OUTCOME_FULL] = WGC_EVENT_CLAIM_REFUSED,
     };
     if (outcome == WGK_OUTCOME_NO_LEADER || outcome <= 0 || outcome >= WGK_OUTCOME_NUM) {
-        return; /* the next link's leader is asked again, until the wait is over */
+        return; /* requested again over the next link, until the claim wait is over */
     }
     if (outcome == WGK_OUTCOME_ENDED) {
         wgc_step(&call->machine, wg_now(), &(wgc_event){.type = WGC_EVENT_CLAIM_ENDED});
         if (call->request) {
-            _wgro_give_earlier(call, end);
+            _wgro_replay_answer(call, end);
         }
         _wgro_release(call, 0, WGP_RESULT_CANCELLED);
         _wgro_free_call(call);
@@ -617,7 +627,7 @@
     _wgro_call_event(call, &(wgc_event){.type = events[outcome]});
 }
 
-void _wgro_cut_off_all(wgro_router* r) {
+void _wgro_abort_all(wgro_router* r) {
     int num = 0;
     for (int i = 0; i < r->calls_pool.capacity; i++) {
         if (r->calls_pool.taken[i]) {
