--- a/bench/bench_balance.c
+++ b/bench/bench_balance.c
@@ -41,7 +41,7 @@
             .service = "an-engine-service", .prompt = &prompt, .slots = 16, .copies = true};
         wg_choice choice = wg_balance_choose(b, i, &need);
         wg_balance_begin(b, i, &choice);
-        wg_balance_end(b, i, &choice, WG_RESULT_GOOD);
+        wg_balance_end(b, i, &choice, WG_RESULT_SUCCESS);
     }
     char line[80];
     g_snprintf(line, sizeof line, "balance: choice of a target, %d targets, %d hosts", targets,
--- a/bench/bench_prefix.c
+++ b/bench/bench_prefix.c
@@ -41,7 +41,7 @@
             if (targets[t].ends[s] > 0 && targets[t].ends[s] <= now) {
                 targets[t].ends[s] = 0;
                 targets[t].running--;
-                wgp_done(place, now, &(wgp_choice){.target = (uint32_t)t + 1}, WGP_RESULT_GOOD);
+                wgp_done(place, now, &(wgp_choice){.target = (uint32_t)t + 1}, WGP_RESULT_SUCCESS);
             }
         }
     }
@@ -118,7 +118,7 @@
         wgp_choice choice = {.target = id};
         wgp_sent(place, &choice);
         hits += work(&targets[id - 1], prefix, now, i);
-        wgp_note_prefix(place, prefix, id);
+        wgp_record_prefix(place, prefix, id);
         int most = 0;
         int sum = 0;
         for (int t = 0; t < TARGETS; t++) {
--- a/bench/bench_queue.c
+++ b/bench/bench_queue.c
@@ -58,7 +58,7 @@
         wgp_choice choice;
         wgp_pick(p, 0, &(wgp_request){.service = 1}, &choice);
         wgp_sent(p, &choice);
-        wgp_done(p, 0, &choice, WGP_RESULT_GOOD);
+        wgp_done(p, 0, &choice, WGP_RESULT_SUCCESS);
     }
     char line[64];
     g_snprintf(line, sizeof line, "place: pick + sent + done, %d targets", targets);
--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -275,11 +275,11 @@
     if (limits->ahead <= 0) {
         return false;
     }
-    bool large = wait - wait_ahead > limits->whole;
+    bool large = wait - wait_ahead > limits->total;
     if (large) {
         return wait_ahead <= limits->ahead_large;
     }
-    return wait <= limits->whole && wait_ahead <= limits->ahead;
+    return wait <= limits->total && wait_ahead <= limits->ahead;
 }
 
 wg_admit* wg_admit_setup(const wg_admit_desc* desc) {
@@ -297,13 +297,13 @@
     g_free(a);
 }
 
-wg_admit_answer wg_admit_ask(wg_admit* a, wg_time now, const wg_admit_request* request) {
+wg_admit_answer wg_admit_decide(wg_admit* a, wg_time now, const wg_admit_request* request) {
     wg_admit_account* account = wg_admit_account_of(a, now, request->target);
     wg_admit_answer answer = wg_admit_estimate(account, now, request);
     bool full = request->running_most > 0 && answer.running >= request->running_most;
     bool known = wg_admit_admission(a, request->holder, request->ticket) != NULL;
     bool ejected = wg_admit_is_ejected(a, account, now);
-    bool cold = wg_admit_is_over_rate(account, now, request->rate_most);
+    bool cold = wg_admit_is_over_rate(account, now, request->rate_max);
     answer.granted = !full && !known && !ejected && !cold &&
                      wg_admit_fits(&request->limits, answer.wait, answer.wait_ahead);
     if (answer.granted) {
@@ -313,7 +313,7 @@
     return answer;
 }
 
-void wg_admit_read(wg_admit* a, wg_time now, uint64_t holder, uint64_t ticket) {
+void wg_admit_first_event(wg_admit* a, wg_time now, uint64_t holder, uint64_t ticket) {
     wg_admission* admission = wg_admit_admission(a, holder, ticket);
     if (!admission) {
         return;
@@ -342,14 +342,15 @@
     }
 }
 
-void wg_admit_learn(wg_admit* a, wg_time now, uint32_t target, const uint64_t* parts, int num) {
+void wg_admit_record_held_parts(wg_admit* a, wg_time now, uint32_t target, const uint64_t* parts,
+                                int num) {
     wg_admit_account* account = wg_admit_account_of(a, now, target);
     for (int i = 0; i < num; i++) {
         wg_admit_record_part(account, parts[i]);
     }
 }
 
-void wg_admit_drop_holder(wg_admit* a, uint64_t holder) {
+void wg_admit_release_holder(wg_admit* a, uint64_t holder) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, a->admissions);
--- a/lib/admit/wg_admit.h
+++ b/lib/admit/wg_admit.h
@@ -22,9 +22,10 @@
 
     USE
         1. wg_admit* a = wg_admit_setup(&(wg_admit_desc){0});
-        2. wg_admit_answer answer = wg_admit_ask(a, now, &request);
-        3. wg_admit_read(a, now, holder, ticket); wg_admit_end(a, now, holder, ticket, failed);
-        4. wg_admit_drop_holder(a, holder);      // its link closed
+        2. wg_admit_answer answer = wg_admit_decide(a, now, &request);
+        3. wg_admit_first_event(a, now, holder, ticket); wg_admit_end(a, now, holder, ticket,
+   failed);
+        4. wg_admit_release_holder(a, holder);      // its link closed
 
     THE CALLER OWNS
         links, tickets and the choice of coordinators. Requests and answers are plain values.
@@ -38,7 +39,7 @@
 
 /* Longest waits in microseconds at which a request is admitted. */
 typedef struct {
-    wg_time whole; /* limit for the complete wait until the first event */
+    wg_time total; /* limit for the complete wait until the first event */
     /* limit for the part of the wait caused by prompts of other requests; 0: never admitted */
     wg_time ahead;
     /* replaces `ahead` when the request's own prompt alone takes longer than `whole` */
@@ -59,8 +60,8 @@
     uint32_t copied;
     /* requests that the target may have in progress before this one; 0: any */
     uint32_t running_most;
-    int64_t memory;   /* capacity of the target's cache in tokens; 0: not known */
-    double rate_most; /* admissions per second, for a cold target; 0: any */
+    int64_t memory;  /* capacity of the target's cache in tokens; 0: not known */
+    double rate_max; /* admissions per second, for a cold target; 0: any */
     wg_admit_limits limits;
     uint32_t floor_unread;  /* lower bound on unprocessed tokens while the account is fresh */
     uint32_t floor_running; /* lower bound on requests in progress while the account is fresh */
@@ -88,16 +89,17 @@
 wg_admit* wg_admit_setup(const wg_admit_desc* desc);
 void wg_admit_shutdown(wg_admit* admit);
 /* Decides on a request. A granted request counts until wg_admit_end(), its tokens until
-   wg_admit_read(). */
-wg_admit_answer wg_admit_ask(wg_admit* admit, wg_time now, const wg_admit_request* request);
+   wg_admit_first_event(). */
+wg_admit_answer wg_admit_decide(wg_admit* admit, wg_time now, const wg_admit_request* request);
 /* The first event was received: the target has processed the prompt. Ignores an unknown
    admission. */
-void wg_admit_read(wg_admit* admit, wg_time now, uint64_t holder, uint64_t ticket);
+void wg_admit_first_event(wg_admit* admit, wg_time now, uint64_t holder, uint64_t ticket);
 /* The request ended or was never sent. `failed`: the target aborted it or was unreachable. */
 void wg_admit_end(wg_admit* admit, wg_time now, uint64_t holder, uint64_t ticket, bool failed);
 /* The target reports that it holds these parts; other known parts are kept. */
-void wg_admit_learn(wg_admit* admit, wg_time now, uint32_t target, const uint64_t* parts, int num);
+void wg_admit_record_held_parts(wg_admit* admit, wg_time now, uint32_t target,
+                                const uint64_t* parts, int num);
 /* Releases all admissions of the holder. */
-void wg_admit_drop_holder(wg_admit* admit, uint64_t holder);
+void wg_admit_release_holder(wg_admit* admit, uint64_t holder);
 /* Returns the number of admissions that have not ended. */
 int wg_admit_num(const wg_admit* admit);
--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -11,7 +11,7 @@
     uint64_t target;
     wg_time until; /* end of the backoff period */
     wg_time updated_at;
-    bool leaving;
+    bool draining;
     bool unreadable; /* its unreadable Retry-After was reported */
 } _wg_backoff_target;
 
@@ -76,11 +76,11 @@
     return (wg_time)fmin(seconds * (double)WG_USEC_PER_SEC, max);
 }
 
-static void _wg_read_retry_after(wg_backoff_wish* hint, const char* text) {
+static void _wg_read_retry_after(wg_backoff_hint* hint, const char* text) {
     double seconds;
     int64_t date;
     if (_wg_read_seconds(text, &seconds)) {
-        hint->rest = MAX(hint->rest, _wg_time_from_seconds(seconds));
+        hint->period = MAX(hint->period, _wg_time_from_seconds(seconds));
     } else if (_wg_read_date(text, &date)) {
         hint->until = MAX(hint->until, date);
     } else {
@@ -97,7 +97,7 @@
 static gboolean _wg_backoff_is_expired(gpointer key, gpointer value, gpointer now) {
     (void)key;
     const _wg_backoff_target* t = value;
-    return !t->leaving && t->until <= *(const wg_time*)now;
+    return !t->draining && t->until <= *(const wg_time*)now;
 }
 
 static void _wg_backoff_drop_oldest(wg_backoff* b) {
@@ -116,9 +116,9 @@
 }
 
 /* Returns when backoff ends, with jitter so that hosts do not return at the same time. */
-static wg_time _wg_backoff_end(wg_backoff* b, wg_time now, wg_time rest) {
-    wg_time spread = MIN(rest / _WG_SPREAD_DIVISOR, (wg_time)_WG_SPREAD_MAX);
-    return now + rest + wg_jitter_range(b->desc.seed, ++b->counter, 0, spread);
+static wg_time _wg_backoff_end(wg_backoff* b, wg_time now, wg_time period) {
+    wg_time spread = MIN(period / _WG_SPREAD_DIVISOR, (wg_time)_WG_SPREAD_MAX);
+    return now + period + wg_jitter_range(b->desc.seed, ++b->counter, 0, spread);
 }
 
 static _wg_backoff_target* _wg_backoff_get(wg_backoff* b, wg_time now, uint64_t target) {
@@ -143,7 +143,7 @@
 
 /* ---- public functions ------------------------------------------------------------------------ */
 
-void wg_backoff_read_field(wg_backoff_wish* hint, const char* leaving, wg_text name,
+void wg_backoff_read_field(wg_backoff_hint* hint, const char* draining_field, wg_text name,
                            wg_text value) {
     char text[_WG_FIELD_MAX];
     if (wg_text_is(name, "Retry-After")) {
@@ -151,32 +151,33 @@
     } else if (wg_text_is(name, "Date")) {
         _wg_field_text(value, text);
         _wg_read_date(text, &hint->date);
-    } else if (wg_text_is(name, leaving)) {
+    } else if (wg_text_is(name, draining_field)) {
         _wg_field_text(value, text);
-        hint->leaving = hint->leaving || strcmp(text, "1") == 0;
+        hint->draining = hint->draining || strcmp(text, "1") == 0;
     }
 }
 
 /* Retry-After applies to later requests only in a refusal; in other answers it is meant for the
    caller. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* hint, int64_t unix_time, wg_time max) {
+wg_time wg_backoff_hint_period(const wg_backoff_hint* hint, int64_t unix_time, wg_time max) {
     if (hint->status != _WG_UNAVAILABLE) {
         return 0;
     }
-    wg_time rest = hint->rest;
+    wg_time period = hint->period;
     if (hint->until > 0) {
         int64_t since = hint->date > 0 ? hint->date : unix_time;
-        rest = MAX(rest, _wg_time_from_seconds((double)(hint->until - since)));
+        period = MAX(period, _wg_time_from_seconds((double)(hint->until - since)));
     }
-    return CLAMP(rest, 0, max);
+    return CLAMP(period, 0, max);
 }
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc) {
     wg_backoff* b = g_new0(wg_backoff, 1);
     b->desc = *desc;
     b->desc.targets_max = desc->targets_max ? desc->targets_max : WG_BACKOFF_TARGETS_MAX_DEFAULT;
-    b->desc.rest_max = desc->rest_max ? desc->rest_max
-                                      : WG_BACKOFF_PERIOD_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    b->desc.backoff_max = desc->backoff_max
+                              ? desc->backoff_max
+                              : WG_BACKOFF_PERIOD_MAX_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     b->targets = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     return b;
 }
@@ -186,43 +187,44 @@
     g_free(b);
 }
 
-wg_backoff_news wg_backoff_note(wg_backoff* b, wg_time now, uint64_t target,
-                                const wg_backoff_wish* hint, int64_t unix_time) {
-    wg_backoff_news update = {.rest = wg_backoff_wish_rest(hint, unix_time, b->desc.rest_max)};
+wg_backoff_update wg_backoff_record(wg_backoff* b, wg_time now, uint64_t target,
+                                    const wg_backoff_hint* hint, int64_t unix_time) {
+    wg_backoff_update update = {.period =
+                                    wg_backoff_hint_period(hint, unix_time, b->desc.backoff_max)};
     bool unreadable = hint->unreadable && hint->status == _WG_UNAVAILABLE;
-    if (update.rest == 0 && !hint->leaving && !unreadable) {
+    if (update.period == 0 && !hint->draining && !unreadable) {
         return update;
     }
     _wg_backoff_target* t = _wg_backoff_get(b, now, target);
-    update.rests = update.rest > 0 && t->until <= now;
-    update.leaves = hint->leaving && !t->leaving;
+    update.backoff_started = update.period > 0 && t->until <= now;
+    update.draining_started = hint->draining && !t->draining;
     update.unreadable = unreadable && !t->unreadable;
-    if (update.rest > 0) {
-        t->until = MAX(t->until, _wg_backoff_end(b, now, update.rest));
+    if (update.period > 0) {
+        t->until = MAX(t->until, _wg_backoff_end(b, now, update.period));
     }
-    t->leaving = t->leaving || hint->leaving;
+    t->draining = t->draining || hint->draining;
     t->unreadable = t->unreadable || unreadable;
     WG_ASSERT(g_hash_table_size(b->targets) <= (guint)b->desc.targets_max);
     return update;
 }
 
-wg_time wg_backoff_free_at(const wg_backoff* b, wg_time now, uint64_t target) {
+wg_time wg_backoff_ends_at(const wg_backoff* b, wg_time now, uint64_t target) {
     const _wg_backoff_target* t = _wg_backoff_find(b, target);
     if (!t) {
         return 0;
     }
-    if (t->leaving) {
+    if (t->draining) {
         return WG_TIME_NEVER;
     }
     return t->until > now ? t->until : 0;
 }
 
-bool wg_backoff_is_leaving(const wg_backoff* b, uint64_t target) {
+bool wg_backoff_is_draining(const wg_backoff* b, uint64_t target) {
     const _wg_backoff_target* t = _wg_backoff_find(b, target);
-    return t && t->leaving;
+    return t && t->draining;
 }
 
-int wg_backoff_resting_num(const wg_backoff* b, wg_time now) {
+int wg_backoff_active_num(const wg_backoff* b, wg_time now) {
     int num = 0;
     GHashTableIter iter;
     gpointer value;
--- a/lib/backoff/wg_backoff.h
+++ b/lib/backoff/wg_backoff.h
@@ -20,10 +20,10 @@
 
     USE
         1. wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
-        2. wg_backoff_wish hint = {.status = status};
+        2. wg_backoff_hint hint = {.status = status};
            wg_backoff_read_field(&hint, "Target-Leaving", name, value);  // each field of the answer
-        3. wg_backoff_note(b, now, target, &hint, unix_time);
-        4. if (now >= wg_backoff_free_at(b, now, target)) { it may be sent requests }
+        3. wg_backoff_record(b, now, target, &hint, unix_time);
+        4. if (now >= wg_backoff_ends_at(b, now, target)) { it may be sent requests }
 
     THE CALLER OWNS
         the texts of an answer, and the keys of targets: each incarnation of a target needs a key of
@@ -39,44 +39,45 @@
 /* Backoff hint of one answer; initialise all but `status` to 0. */
 typedef struct {
     int status;      /* HTTP status of the answer */
-    wg_time rest;    /* longest period given in seconds, in microseconds; 0: none */
+    wg_time period;  /* longest period given in seconds, in microseconds; 0: none */
     int64_t until;   /* latest date, Unix seconds; 0: none */
     int64_t date;    /* Date of the answer, Unix seconds; 0: none */
     bool unreadable; /* a Retry-After is neither a number nor a date */
-    bool leaving;
-} wg_backoff_wish;
+    bool draining;
+} wg_backoff_hint;
 
 typedef struct {
-    int targets_max;  /* targets remembered; default WG_BACKOFF_TARGETS_MAX_DEFAULT */
-    wg_time rest_max; /* maximum backoff period, microseconds; default 3600 s */
-    uint64_t seed;    /* for the jitter of backoff periods; has to differ between hosts */
+    int targets_max;     /* targets remembered; default WG_BACKOFF_TARGETS_MAX_DEFAULT */
+    wg_time backoff_max; /* maximum backoff period, microseconds; default 3600 s */
+    uint64_t seed;       /* for the jitter of backoff periods; has to differ between hosts */
 } wg_backoff_desc;
 
 /* Changes caused by a hint. */
 typedef struct {
-    bool rests;      /* the target was not in backoff before */
-    bool leaves;     /* the target was not known to drain before */
-    bool unreadable; /* first unreadable Retry-After of this target */
-    wg_time rest;    /* requested backoff period, microseconds; 0: none */
-} wg_backoff_news;
+    bool backoff_started;  /* the target was not in backoff before */
+    bool draining_started; /* the target was not known to drain before */
+    bool unreadable;       /* first unreadable Retry-After of this target */
+    wg_time period;        /* requested backoff period, microseconds; 0: none */
+} wg_backoff_update;
 
 typedef struct wg_backoff wg_backoff;
 
-/* Parses one header field of an answer. `leaving` is the name of the field that announces
+/* Parses one header field of an answer. `draining_field` is the name of the field that announces
    draining. */
-void wg_backoff_read_field(wg_backoff_wish* hint, const char* leaving, wg_text name, wg_text value);
+void wg_backoff_read_field(wg_backoff_hint* hint, const char* draining_field, wg_text name,
+                           wg_text value);
 /* Returns the requested backoff period in microseconds, at most `max`; 0: none. `unix_time` is
    the current time in seconds, used for answers without a Date. */
-wg_time wg_backoff_wish_rest(const wg_backoff_wish* hint, int64_t unix_time, wg_time max);
+wg_time wg_backoff_hint_period(const wg_backoff_hint* hint, int64_t unix_time, wg_time max);
 
 wg_backoff* wg_backoff_setup(const wg_backoff_desc* desc);
 void wg_backoff_shutdown(wg_backoff* backoff);
 /* Records the hint of an answer. */
-wg_backoff_news wg_backoff_note(wg_backoff* backoff, wg_time now, uint64_t target,
-                                const wg_backoff_wish* hint, int64_t unix_time);
+wg_backoff_update wg_backoff_record(wg_backoff* backoff, wg_time now, uint64_t target,
+                                    const wg_backoff_hint* hint, int64_t unix_time);
 /* Returns when the target's backoff period ends, including jitter of up to an eighth of the
    period; 0: not in backoff, WG_TIME_NEVER: draining. */
-wg_time wg_backoff_free_at(const wg_backoff* backoff, wg_time now, uint64_t target);
-bool wg_backoff_is_leaving(const wg_backoff* backoff, uint64_t target);
+wg_time wg_backoff_ends_at(const wg_backoff* backoff, wg_time now, uint64_t target);
+bool wg_backoff_is_draining(const wg_backoff* backoff, uint64_t target);
 /* Returns the number of targets in backoff. */
-int wg_backoff_resting_num(const wg_backoff* backoff, wg_time now);
+int wg_backoff_active_num(const wg_backoff* backoff, wg_time now);
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -213,7 +213,7 @@
 static gboolean wg_balance_is_removed(gpointer key, gpointer value, gpointer registry) {
     (void)value;
     const wg_target* target = wg_registry_find(registry, GPOINTER_TO_UINT(key));
-    return !target || target->state == WG_TARGET_GONE;
+    return !target || target->state == WG_TARGET_REMOVED;
 }
 
 void wg_balance_sync(wg_balance* b, wg_time now, const wg_registry* registry) {
@@ -222,7 +222,7 @@
     g_hash_table_foreach_remove(b->targets, wg_balance_is_removed, (gpointer)registry);
     const wg_target* record = NULL;
     while ((record = wg_registry_next(registry, record ? record->number : 0))) {
-        if (record->state == WG_TARGET_GONE) {
+        if (record->state == WG_TARGET_REMOVED) {
             continue;
         }
         wg_balance_target* t = wg_balance_find(b, record->number);
@@ -239,7 +239,7 @@
         }
         wg_copy_name(t->service, sizeof t->service, record->service);
         t->local = strcmp(record->data_centre, b->desc.data_centre) == 0;
-        t->ready = wg_registry_takes(registry, record);
+        t->ready = wg_registry_accepts(registry, record);
         t->draining = record->state == WG_TARGET_DRAINING;
         t->replaced = t->replaced && t->change == record->change;
         t->change = record->change;
@@ -248,7 +248,7 @@
     }
 }
 
-void wg_balance_clear_others(wg_balance* b) {
+void wg_balance_clear_others_load(wg_balance* b) {
     double keep = exp(-WG_DECAY_HOSTS / b->hosts);
     GHashTableIter iter;
     gpointer value;
@@ -265,7 +265,7 @@
     b->hosts = MAX(hosts, 1);
 }
 
-void wg_balance_set_others(wg_balance* b, uint32_t target, uint32_t unread, uint32_t running) {
+void wg_balance_set_others_load(wg_balance* b, uint32_t target, uint32_t unread, uint32_t running) {
     wg_balance_target* t = wg_balance_find(b, target);
     if (t) {
         t->other_unread = unread;
@@ -387,14 +387,14 @@
     }
     wg_balance_sample(b, service, now, need, &homes, &best);
     best.choice.prefix = part;
-    best.choice.at_third = has_third && best.choice.target == homes.local->number;
-    if (has_third && !best.choice.at_third) {
+    best.choice.is_third_home = has_third && best.choice.target == homes.local->number;
+    if (has_third && !best.choice.is_third_home) {
         b->third_hit_rate += WG_THIRD_HIT_RATE_RECOVERY * (1 - b->third_hit_rate);
     }
     return best.choice;
 }
 
-void wg_balance_note_third(wg_balance* b, bool held) {
+void wg_balance_record_third_home(wg_balance* b, bool held) {
     b->third_hit_rate += WG_THIRD_HIT_RATE_WEIGHT * ((held ? 1 : 0) - b->third_hit_rate);
 }
 
@@ -413,7 +413,8 @@
     choice->unread = 0;
 }
 
-void wg_balance_note_prompt(wg_balance* b, wg_time now, uint32_t target, const wg_prompt* prompt) {
+void wg_balance_record_prompt(wg_balance* b, wg_time now, uint32_t target,
+                              const wg_prompt* prompt) {
     if (b->warm_at == 0) {
         b->warm_at = now + WG_WARM_UP_TIME;
     }
@@ -423,7 +424,7 @@
     }
 }
 
-void wg_balance_read(wg_balance* b, wg_time now, wg_choice* choice) {
+void wg_balance_first_event(wg_balance* b, wg_time now, wg_choice* choice) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
     wg_time took = now - choice->started_at;
     if (!t) {
@@ -460,8 +461,8 @@
     wg_balance_settle_unread(t, choice);
     WG_ASSERT(t->own_running > 0);
     t->own_running--;
-    t->replaced = t->replaced || result == WG_RESULT_MOVED;
-    if (result == WG_RESULT_GOOD) {
+    t->replaced = t->replaced || result == WG_RESULT_REPLACED;
+    if (result == WG_RESULT_SUCCESS) {
         wg_balance_update_service_time(t, now, choice);
         t->failures = 0;
         t->ejected_until = 0;
@@ -479,8 +480,8 @@
     *running = t ? t->own_running + t->other_running : 0;
 }
 
-void wg_balance_note_load(wg_balance* b, wg_time now, uint32_t target, uint32_t unread,
-                          uint32_t running) {
+void wg_balance_update_load(wg_balance* b, wg_time now, uint32_t target, uint32_t unread,
+                            uint32_t running) {
     wg_balance_target* t = wg_balance_find(b, target);
     if (t) {
         t->other_unread = unread > t->own_unread ? unread - t->own_unread : 0;
@@ -504,7 +505,7 @@
     return num;
 }
 
-wg_time wg_balance_back_at(const wg_balance* b, wg_time now, const wg_need* need) {
+wg_time wg_balance_backoff_ends_at(const wg_balance* b, wg_time now, const wg_need* need) {
     const wg_balance_service* service = g_hash_table_lookup(b->services, need->service);
     wg_time back_at = WG_TIME_NEVER;
     for (guint i = 0; service && b->desc.backoff && i < service->targets->len; i++) {
@@ -512,7 +513,7 @@
         if (!wg_balance_is_eligible(t, need)) {
             continue;
         }
-        wg_time free_at = wg_backoff_free_at(b->desc.backoff, now, t->key);
+        wg_time free_at = wg_backoff_ends_at(b->desc.backoff, now, t->key);
         back_at = MIN(back_at, free_at);
         if (free_at == 0) {
             return 0;
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -32,9 +32,10 @@
     USE
         1. wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = dc, .seed = s});
         2. wg_balance_sync(b, now, registry);            // after each change
-        3. wg_balance_set_others(b, number, unread, running);
+        3. wg_balance_set_others_load(b, number, unread, running);
         4. wg_choice c = wg_balance_choose(b, now, &need);
-        5. wg_balance_begin(b, now, &c); wg_balance_read(b, now, &c); wg_balance_end(b, now, &c, r);
+        5. wg_balance_begin(b, now, &c); wg_balance_first_event(b, now, &c); wg_balance_end(b, now,
+   &c, r);
 
     THE CALLER OWNS
         the registry and the prompt. Choices are plain values.
@@ -81,7 +82,7 @@
     uint32_t ahead;     /* prompt tokens of other requests that are queued before this one */
     uint32_t source;    /* number of the target to copy missing prompt parts from; 0: none */
     bool plain;         /* the request has no prompt */
-    bool at_third;      /* the target is the third home of the prefix, in this data centre */
+    bool is_third_home; /* the target is the third home of the prefix, in this data centre */
     uint32_t running;   /* requests in progress at the target before this one */
     bool is_fresh;      /* the target's load was reported recently by its coordinator */
     uint32_t copied;    /* tokens at the start of the prompt that can be copied for certain */
@@ -93,11 +94,12 @@
 
 typedef enum {
     WG_RESULT_DEFAULT = 0,
-    WG_RESULT_GOOD,
+    WG_RESULT_SUCCESS,
     WG_RESULT_FAILED, /* the target aborted the request, hung, or answered with an error */
     WG_RESULT_REFUSED,
-    WG_RESULT_MOVED, /* another incarnation answers at the target's address */
-    WG_RESULT_LEFT   /* the caller aborted the request; does not count for or against the target */
+    WG_RESULT_REPLACED,           /* another incarnation answers at the target's address */
+    WG_RESULT_CALLER_DISCONNECTED /* the caller aborted the request; does not count for or against
+                                     the target */
 } wg_result;
 
 typedef struct {
@@ -122,32 +124,33 @@
 void wg_balance_shutdown(wg_balance* balance);
 void wg_balance_sync(wg_balance* balance, wg_time now, const wg_registry* registry);
 /* Resets the loads of other hosts. Targets not set again count as 0. */
-void wg_balance_clear_others(wg_balance* balance);
+void wg_balance_clear_others_load(wg_balance* balance);
 /* Sets the number of hosts, including this one, that decide on the same loads; 1 by default. */
 void wg_balance_set_hosts(wg_balance* balance, int hosts);
-void wg_balance_set_others(wg_balance* balance, uint32_t target, uint32_t unread, uint32_t running);
+void wg_balance_set_others_load(wg_balance* balance, uint32_t target, uint32_t unread,
+                                uint32_t running);
 /* Returns the known load of a target from all hosts: prompt tokens not yet processed, and
    requests. */
 void wg_balance_load_of(const wg_balance* balance, uint32_t target, uint32_t* unread,
                         uint32_t* running);
 /* Updates the load of a target with a newer report of the total over all hosts, including this
    one. */
-void wg_balance_note_load(wg_balance* balance, wg_time now, uint32_t target, uint32_t unread,
-                          uint32_t running);
+void wg_balance_update_load(wg_balance* balance, wg_time now, uint32_t target, uint32_t unread,
+                            uint32_t running);
 wg_choice wg_balance_choose(wg_balance* balance, wg_time now, const wg_need* need);
 /* Records that the prompt was sent to the target: its shared parts count as cached there
    briefly. */
-void wg_balance_note_prompt(wg_balance* balance, wg_time now, uint32_t target,
-                            const wg_prompt* prompt);
+void wg_balance_record_prompt(wg_balance* balance, wg_time now, uint32_t target,
+                              const wg_prompt* prompt);
 /* Records whether the third home of a prefix held the shared parts of a prompt. With a low hit
    rate, prompts go to the two fleet-wide homes instead. */
-void wg_balance_note_third(wg_balance* balance, bool held);
+void wg_balance_record_third_home(wg_balance* balance, bool held);
 void wg_balance_begin(wg_balance* balance, wg_time now, wg_choice* choice);
 /* The first event was received: the target has processed the prompt. */
-void wg_balance_read(wg_balance* balance, wg_time now, wg_choice* choice);
+void wg_balance_first_event(wg_balance* balance, wg_time now, wg_choice* choice);
 void wg_balance_end(wg_balance* balance, wg_time now, wg_choice* choice, wg_result result);
 /* Writes the nonzero loads of this host to `loads`, at most `max`; returns their number. */
 int wg_balance_loads(const wg_balance* balance, wg_balance_load* loads, int max);
 /* Returns the earliest end of a backoff period if all eligible targets are in backoff. Returns 0
    if one of them is not, or if there are no eligible targets. */
-wg_time wg_balance_back_at(const wg_balance* balance, wg_time now, const wg_need* need);
+wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now, const wg_need* need);
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -31,11 +31,11 @@
    would look idle and attract every request. */
 bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* need) {
     return wg_balance_is_eligible(t, need) &&
-           (!t->backoff || wg_backoff_free_at(t->backoff, now, t->key) == 0);
+           (!t->backoff || wg_backoff_ends_at(t->backoff, now, t->key) == 0);
 }
 
 static bool wg_balance_is_draining(const wg_balance_target* t) {
-    return t->draining || (t->backoff && wg_backoff_is_leaving(t->backoff, t->key));
+    return t->draining || (t->backoff && wg_backoff_is_draining(t->backoff, t->key));
 }
 
 static void wg_balance_rank_in(uint64_t part, wg_balance_target** best, wg_balance_target* t) {
--- a/lib/call/wg_call.c
+++ b/lib/call/wg_call.c
@@ -31,7 +31,7 @@
 }
 
 static wgc_action _wgc_fail(wgc_call* c, wgc_code code) {
-    return _wgc_end(c, c->head_relayed ? WGC_ACTION_CUT : WGC_ACTION_ANSWER, code);
+    return _wgc_end(c, c->head_relayed ? WGC_ACTION_ABORT : WGC_ACTION_ANSWER, code);
 }
 
 static bool _wgc_needs_claim(const wgc_call* c) {
@@ -102,14 +102,14 @@
         WG_ASSERT(event->tokens >= c->tokens);
         c->tokens = event->tokens;
         return _wgc_no_action();
-    case WGC_EVENT_WHOLE:
+    case WGC_EVENT_COMPLETE:
         c->state = WGC_STATE_DONE;
         c->verdict = WG_VERDICT_RAN;
         return (wgc_action){.type = WGC_ACTION_FINISH,
                             .verdict = WG_VERDICT_RAN,
                             .attempt = c->attempt,
                             .end_claim = c->claimed};
-    case WGC_EVENT_NOT_RUN_SAID:
+    case WGC_EVENT_NOT_RUN_REPORTED:
         c->reported_not_run = true;
         return _wgc_after_failure(c, now);
     default:
@@ -127,7 +127,7 @@
         return _wgc_send(c);
     case WGC_EVENT_CLAIM_ENDED:
         c->state = WGC_STATE_DONE;
-        return (wgc_action){.type = WGC_ACTION_GIVE_EARLIER};
+        return (wgc_action){.type = WGC_ACTION_REPLAY};
     case WGC_EVENT_CLAIM_RUNNING:
         c->state = WGC_STATE_DONE;
         c->verdict = WG_VERDICT_MAY_HAVE_RUN;
@@ -177,7 +177,7 @@
         bool not_run = c->attempt == 0 || c->verdict == WG_VERDICT_NOT_RUN;
         return _wgc_fail(c, not_run ? WGC_CODE_NO_CAPACITY : WGC_CODE_TARGET_FAILED);
     }
-    case WGC_EVENT_CALLER_GONE:
+    case WGC_EVENT_CALLER_DISCONNECTED:
         return _wgc_end(c, WGC_ACTION_CANCEL, WGC_CODE_DEFAULT);
     default:
         return _wgc_on_attempt(c, now, event);
--- a/lib/call/wg_call.h
+++ b/lib/call/wg_call.h
@@ -62,13 +62,13 @@
     WGC_EVENT_WRITTEN,       /* a byte of the request was sent to the target */
     WGC_EVENT_HEAD,          /* the answer's head was received: `status` */
     WGC_EVENT_PROGRESS,      /* `tokens` complete tokens have been relayed in total */
-    WGC_EVENT_WHOLE,         /* the complete answer was received */
+    WGC_EVENT_COMPLETE,      /* the complete answer was received */
     WGC_EVENT_FAILED,        /* the attempt ended without a complete answer */
-    WGC_EVENT_NOT_RUN_SAID,  /* the target reported that it did not run the request */
-    WGC_EVENT_WAITED,        /* the wait before the next attempt has ended */
-    WGC_EVENT_DEADLINE,      /* the request's deadline passed, or it expired in the queue */
-    WGC_EVENT_NO_TARGET,     /* no target will accept the request before its wait for a slot ends */
-    WGC_EVENT_CALLER_GONE,   /* the caller closed the connection */
+    WGC_EVENT_NOT_RUN_REPORTED, /* the target reported that it did not run the request */
+    WGC_EVENT_WAITED,           /* the wait before the next attempt has ended */
+    WGC_EVENT_DEADLINE,         /* the request's deadline passed, or it expired in the queue */
+    WGC_EVENT_NO_TARGET, /* no target will accept the request before its wait for a slot ends */
+    WGC_EVENT_CALLER_DISCONNECTED, /* the caller closed the connection */
     WGC_EVENT_NUM
 } wgc_event_type;
 
@@ -80,16 +80,16 @@
 } wgc_event;
 
 typedef enum {
-    WGC_ACTION_DEFAULT = 0,  /* no action */
-    WGC_ACTION_CLAIM,        /* request the claim */
-    WGC_ACTION_SEND,         /* send attempt `attempt`, from token `resume_from` */
-    WGC_ACTION_RELAY,        /* relay what was received */
-    WGC_ACTION_FINISH,       /* the answer is complete: end it */
-    WGC_ACTION_WAIT,         /* release the slot, send WGC_EVENT_WAITED after `wait` */
-    WGC_ACTION_QUEUE,        /* queue again for a slot, at the head */
-    WGC_ACTION_ANSWER,       /* answer the caller with the final error `code` */
-    WGC_ACTION_CUT,          /* part of an answer was relayed: abort it with `code` */
-    WGC_ACTION_GIVE_EARLIER, /* answer the caller with the stored answer of the earlier request */
+    WGC_ACTION_DEFAULT = 0, /* no action */
+    WGC_ACTION_CLAIM,       /* request the claim */
+    WGC_ACTION_SEND,        /* send attempt `attempt`, from token `resume_from` */
+    WGC_ACTION_RELAY,       /* relay what was received */
+    WGC_ACTION_FINISH,      /* the answer is complete: end it */
+    WGC_ACTION_WAIT,        /* release the slot, send WGC_EVENT_WAITED after `wait` */
+    WGC_ACTION_QUEUE,       /* queue again for a slot, at the head */
+    WGC_ACTION_ANSWER,      /* answer the caller with the final error `code` */
+    WGC_ACTION_ABORT,       /* part of an answer was relayed: abort it with `code` */
+    WGC_ACTION_REPLAY,      /* answer the caller with the stored answer of the earlier request */
     WGC_ACTION_CANCEL, /* the caller closed the connection: abort the attempt, send no answer */
     WGC_ACTION_NUM
 } wgc_action_type;
--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -180,7 +180,7 @@
     for (int i = 0; i < set->num; i++) {
         const wgr_replica* replica = &set->replicas[i];
         if (strcmp(replica->name, peer->name) == 0 && replica->id != peer->identity) {
-            wgr_note_gone(c->node, replica->id);
+            wgr_record_replaced(c->node, replica->id);
         }
     }
 }
@@ -359,7 +359,7 @@
     if (leads) {
         return !c->transferring_leadership;
     }
-    return !c->discovers || wgr_has_left(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MAX;
+    return !c->discovers || wgr_leave_is_settled(c->node) || wg_now() - c->stop_at > _WGCO_STOP_MAX;
 }
 
 static void _wgco_on_stop(evutil_socket_t fd, short what, void* user_data) {
@@ -424,7 +424,7 @@
         event_base_loopbreak(c->base);
         return;
     }
-    c->transferring_leadership = wgr_hand_over(c->node, wg_now());
+    c->transferring_leadership = wgr_transfer_leadership(c->node, wg_now());
     if (c->discovers) {
         wgr_leave(c->node);
     }
--- a/lib/control/wg_control_document.c
+++ b/lib/control/wg_control_document.c
@@ -55,7 +55,7 @@
 
 static wgn_frame* _wgco_documents_pack(uint64_t version, GBytes* packed, uint64_t base_version) {
     Wgpb__Configuration message;
-    wg_document_fill(&message, version, packed);
+    wg_document_fill_message(&message, version, packed);
     message.base_version = base_version;
     return wgn_frame_pack(WGW_TYPE_CONFIGURATION, &message.base);
 }
@@ -94,7 +94,7 @@
     if (in->version <= d->version) {
         return false;
     }
-    GBytes* document = wg_document_read(in, NULL, error);
+    GBytes* document = wg_document_unpack_message(in, NULL, error);
     if (!document) {
         return false;
     }
@@ -122,7 +122,7 @@
 
 bool _wgco_documents_fill(const _wgco_documents_t* d, Wgpb__Configuration* out) {
     if (d->packed) {
-        wg_document_fill(out, d->version, d->packed);
+        wg_document_fill_message(out, d->version, d->packed);
     }
     return d->packed != NULL;
 }
--- a/lib/control/wg_control_entry.c
+++ b/lib/control/wg_control_entry.c
@@ -141,7 +141,7 @@
     wg_copy_name(host.name, sizeof host.name, e->name);
     wg_copy_name(host.address, sizeof host.address, e->address);
     wg_copy_name(host.data_centre, sizeof host.data_centre, e->data_centre);
-    if (wg_roster_hear(c->roster, now, &host)) {
+    if (wg_roster_record_report(c->roster, now, &host)) {
         wg_log(WG_EVENT_MEMBER_UP, "entry=%s", e->name);
         _wgco_entry_schedule_push(c);
     }
@@ -149,7 +149,7 @@
 
 static void _wgco_remove_unresponsive_members(wgco_control* c, wg_time now) {
     char name[WG_NAME_MAX];
-    while (wg_roster_drop_silent(c->roster, now, WG_MEMBER_TIMEOUT, name)) {
+    while (wg_roster_remove_unresponsive(c->roster, now, WG_MEMBER_TIMEOUT, name)) {
         wg_log(WG_EVENT_MEMBER_GONE, "entry=%s", name);
         _wgco_entry_schedule_push(c);
     }
@@ -203,18 +203,18 @@
         return;
     }
     s->roster = wg_roster_since(c->roster, e->roster_change);
-    s->members = g_new(Wgpb__EntryMember, s->roster.came->len + 1);
-    s->message.members = g_new(Wgpb__EntryMember*, s->roster.came->len + 1);
-    for (guint i = 0; i < s->roster.came->len; i++) {
-        const wg_roster_host* host = s->roster.came->pdata[i];
+    s->members = g_new(Wgpb__EntryMember, s->roster.added->len + 1);
+    s->message.members = g_new(Wgpb__EntryMember*, s->roster.added->len + 1);
+    for (guint i = 0; i < s->roster.added->len; i++) {
+        const wg_roster_host* host = s->roster.added->pdata[i];
         wgpb__entry_member__init(&s->members[i]);
         s->members[i].name = (char*)host->name;
         s->members[i].address = (char*)host->address;
         s->members[i].data_centre = (char*)host->data_centre;
         s->message.members[s->message.n_members++] = &s->members[i];
     }
-    s->message.members_left = (char**)s->roster.left->pdata;
-    s->message.n_members_left = s->roster.left->len;
+    s->message.members_left = (char**)s->roster.removed->pdata;
+    s->message.n_members_left = s->roster.removed->len;
     s->message.members_reset = s->roster.reset;
     s->message.members_change = s->roster.change;
 }
@@ -509,7 +509,7 @@
     c->usage_at = now;
     wg_roster_begin(c->roster, wgr_query_stats(c->node, now).term);
     g_hash_table_remove_all(c->usage);
-    wg_registry_hear_all(c->registry, now);
+    wg_registry_reset_contacts(c->registry, now);
     _wgco_push(c, true);
 }
 
@@ -521,17 +521,17 @@
     _wgco_remove_unresponsive_members(c, now);
     _wgco_quarantine_tick(c, now);
     _wgco_push_if_due(c, now);
-    const wg_target* unresponsive =
-        wg_registry_silent(c->registry, now, c->settings->target_silent_ms * WG_USEC_PER_MSEC);
+    const wg_target* unresponsive = wg_registry_find_unresponsive(
+        c->registry, now, c->settings->target_silent_ms * WG_USEC_PER_MSEC);
     if (!unresponsive) {
         return;
     }
     Wgpb__Command command = WGPB__COMMAND__INIT;
     Wgpb__TargetRecord record;
     wg_target copy = *unresponsive;
-    copy.state = WG_TARGET_SILENT;
+    copy.state = WG_TARGET_UNRESPONSIVE;
     wg_target_pack(&copy, now, &record);
     command.target = &record;
-    wg_registry_note_asked(c->registry, copy.number, now);
+    wg_registry_record_proposal(c->registry, copy.number, now);
     _wgco_propose(c, &command.base, NULL);
 }
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -44,7 +44,7 @@
         voters++;
         if (named && (self || _wgco_is_up(c, replica))) {
             good = _wgco_refuse_recovery(error, "named as lost, but up: ", replica->name);
-        } else if (!named && !wgr_is_known_gone(c->node, replica->id)) {
+        } else if (!named && !wgr_is_replaced(c->node, replica->id)) {
             returning++;
             g_string_append_printf(returning_names, "%s%s", returning_names->len ? "," : "",
                                    replica->name);
--- a/lib/control/wg_control_log.c
+++ b/lib/control/wg_control_log.c
@@ -41,7 +41,7 @@
     out.reject = m->reject;
     out.hint = m->hint;
     out.echo = m->echo;
-    out.life = m->life;
+    out.life = m->incarnation;
     out.snapshot_index = m->snapshot_index;
     out.snapshot_term = m->snapshot_term;
     out.offset = m->offset;
@@ -89,7 +89,7 @@
                        .reject = in->reject,
                        .hint = in->hint,
                        .echo = in->echo,
-                       .life = in->life,
+                       .incarnation = in->life,
                        .snapshot_index = in->snapshot_index,
                        .snapshot_term = in->snapshot_term,
                        .offset = in->offset,
@@ -106,7 +106,7 @@
     }
     for (size_t i = 0; i < in->n_silences && i < WGR_REPLICAS_MAX; i++) {
         m->silences[i] =
-            (wgr_silence){.id = in->silences[i]->id, .length = in->silences[i]->length};
+            (wgr_unresponsive){.id = in->silences[i]->id, .length = in->silences[i]->length};
         m->silences_num++;
     }
     if (!in->replicas) {
--- a/lib/control/wg_control_orders.c
+++ b/lib/control/wg_control_orders.c
@@ -47,7 +47,7 @@
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_DONE);
         return;
     }
-    GBytes* document = wg_document_read(in->configuration, NULL, NULL);
+    GBytes* document = wg_document_unpack_message(in->configuration, NULL, NULL);
     if (!document) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
         return;
@@ -64,7 +64,7 @@
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
         return;
     }
-    if (wg_registry_hear(c->registry, wg_now(), &update) != WG_HEARD_CHANGE) {
+    if (wg_registry_receive(c->registry, wg_now(), &update) != WG_HEARTBEAT_CHANGED) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_DONE);
         return;
     }
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -82,8 +82,8 @@
     wg_suspect* due = NULL;
     for (guint i = 0; i < list->len && !due; i++) {
         wg_suspect* suspect = list->pdata[i];
-        if (wg_suspect_is_due(suspect) && !_wgco_was_proposed(suspect->asked_at, now) &&
-            !wg_quarantine_holds(c->quarantine, suspect->fingerprint)) {
+        if (wg_suspect_is_due(suspect) && !_wgco_was_proposed(suspect->proposed_at, now) &&
+            !wg_quarantine_contains(c->quarantine, suspect->fingerprint)) {
             due = suspect;
         }
     }
@@ -103,7 +103,7 @@
     wg_quarantined* entry;
     for (int i = 0; (entry = wg_quarantine_at(c->quarantine, i)); i++) {
         bool due = entry->ended_well || now >= entry->until;
-        if (due && !_wgco_was_proposed(entry->asked_at, now)) {
+        if (due && !_wgco_was_proposed(entry->proposed_at, now)) {
             return entry;
         }
     }
@@ -116,11 +116,11 @@
     wg_suspect* beginning;
     wg_quarantined* ending;
     while ((beginning = _wgco_next_to_begin(c, now))) {
-        beginning->asked_at = now;
+        beginning->proposed_at = now;
         _wgco_begin_quarantine(c, beginning, now);
     }
     while ((ending = _wgco_next_to_end(c, now))) {
-        ending->asked_at = now;
+        ending->proposed_at = now;
         _wgco_end_quarantine(c, ending->fingerprint,
                              ending->ended_well ? WG_QUARANTINE_END_WELL : WG_QUARANTINE_END_TIME);
     }
@@ -174,7 +174,7 @@
                in->fingerprint, in->workspace, in->path, in->ends, in->life_us / WG_USEC_PER_SEC,
                c->applied, wg_quarantine_num(c->quarantine));
     } else {
-        wg_suspects_forget(c->suspects, in->fingerprint);
+        wg_suspects_remove(c->suspects, in->fingerprint);
         wg_log(WG_EVENT_QUARANTINE_ENDED,
                "fingerprint=%016" G_GINT64_MODIFIER "x reason=%s index=%" G_GUINT64_FORMAT
                " quarantined=%d",
--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -64,7 +64,7 @@
     const wgt_row* changed[_WGCO_ROWS_PER_REPLY];
     Wgpb__Member members[_WGCO_ROUTERS_MAX];
     Wgpb__Member* member_list[_WGCO_ROUTERS_MAX];
-    wgf_fair fairs[_WGCO_FAIRS_MAX];
+    wgf_virtual_time fairs[_WGCO_FAIRS_MAX];
     Wgpb__Fair fair_items[_WGCO_FAIRS_MAX];
     Wgpb__Fair* fair_list[_WGCO_FAIRS_MAX];
     Wgpb__Fair fleet_items[WGF_SERVICES_MAX];
@@ -123,7 +123,7 @@
     const wgm_member* member;
     for (int i = 0; (member = wgm_at(c->members, i)); i++) {
         bool skip = member->version <= s->member_version ||
-                    (reply->members_reset && member->state == WGM_STATE_GONE);
+                    (reply->members_reset && member->state == WGM_STATE_UNREACHABLE);
         if (skip) {
             continue;
         }
@@ -143,7 +143,7 @@
 
 static void _wgco_fill_fairs(wgco_control* c, _wgco_session_t* s, Wgpb__Reply* reply) {
     _wgco_reply_t* scratch = _wgco_scratch();
-    int num = wgf_take_fairs(c->share, s->share, scratch->fairs, _WGCO_FAIRS_MAX);
+    int num = wgf_take_virtual_times(c->share, s->share, scratch->fairs, _WGCO_FAIRS_MAX);
     reply->fairs = scratch->fair_list;
     for (int i = 0; i < num; i++) {
         Wgpb__Fair* out = &scratch->fair_items[i];
@@ -185,7 +185,7 @@
         Wgpb__Quota* out = &scratch->quota_items[i];
         wgpb__quota__init(out);
         out->service = orders->quotas[i].service;
-        out->most = orders->quotas[i].most;
+        out->most = orders->quotas[i].max;
         scratch->quota_list[reply->n_quotas++] = out;
     }
 }
@@ -206,7 +206,7 @@
         _wgco_fill_rows(c, s, &reply);
         _wgco_fill_members(c, s, &reply);
         _wgco_fill_orders(c, s, &reply);
-        reply.want_full = wgf_wants_full(c->share, s->share);
+        reply.want_full = wgf_needs_full_report(c->share, s->share);
         if (with_fairs) {
             _wgco_fill_fairs(c, s, &reply);
         }
@@ -225,7 +225,7 @@
     wg_copy_name(update.name, sizeof update.name, s->name);
     wg_copy_name(update.address, sizeof update.address, peer->address);
     wg_copy_name(update.data_centre, sizeof update.data_centre, peer->data_centre);
-    wgm_event event = wgm_heard(c->members, now, &update);
+    wgm_event event = wgm_record_heartbeat(c->members, now, &update);
     if (event == WGM_EVENT_UP || event == WGM_EVENT_RESTARTED) {
         wg_log(WG_EVENT_MEMBER_UP, "router=%s", s->name);
     } else if (event == WGM_EVENT_LEAVING) {
@@ -236,7 +236,7 @@
 static void _wgco_merge_report(wgco_control* c, _wgco_session_t* s, const Wgpb__Report* in,
                                wg_time now) {
     wgf_account* accounts = g_new(wgf_account, in->n_accounts + 1);
-    wgf_held* held = g_new(wgf_held, in->n_held + 1);
+    wgf_held_slots* held = g_new(wgf_held_slots, in->n_held + 1);
     for (size_t i = 0; i < in->n_accounts; i++) {
         const Wgpb__Account* a = in->accounts[i];
         accounts[i] = (wgf_account){.service = a->service,
@@ -248,7 +248,7 @@
                                     .virtual_time = a->virtual_time};
     }
     for (size_t i = 0; i < in->n_held; i++) {
-        held[i] = (wgf_held){in->held[i]->target, in->held[i]->slots, in->held[i]->aside};
+        held[i] = (wgf_held_slots){in->held[i]->target, in->held[i]->slots, in->held[i]->aside};
     }
     wgf_report(c->share, now, s->share,
                &(wgf_report_desc){.full = in->full,
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -40,7 +40,7 @@
 static void _wgco_append_voter(const wgco_control* c, const wgr_replica* voter, wg_time now,
                                GString* list) {
     _wgco_append_name(list, voter->name);
-    if (wgr_is_known_gone(c->node, voter->id)) {
+    if (wgr_is_replaced(c->node, voter->id)) {
         g_string_append(list, ":disk-lost");
         return;
     }
@@ -147,9 +147,9 @@
     };
     wg_time stalled = c->loop_lag.last;
     if (stalled > STALL_MIN) {
-        wg_registry_spare(c->registry, now, stalled);
-        wg_roster_spare(c->roster, now, stalled);
-        wgm_spare(c->members, now, stalled);
+        wg_registry_extend_deadlines(c->registry, now, stalled);
+        wg_roster_extend_deadlines(c->roster, now, stalled);
+        wgm_extend_deadlines(c->members, now, stalled);
     }
 }
 
--- a/lib/document/wg_document.c
+++ b/lib/document/wg_document.c
@@ -72,14 +72,15 @@
     return g_bytes_new_take(document, content_size);
 }
 
-GBytes* wg_document_read(const Wgpb__Configuration* message, GBytes* base, GError** error) {
+GBytes* wg_document_unpack_message(const Wgpb__Configuration* message, GBytes* base,
+                                   GError** error) {
     if (message->packed.len > 0) {
         return wg_document_unpack(message->packed.data, message->packed.len, base, error);
     }
     return g_bytes_new(message->document.data, message->document.len);
 }
 
-void wg_document_fill(Wgpb__Configuration* message, uint64_t version, GBytes* packed) {
+void wg_document_fill_message(Wgpb__Configuration* message, uint64_t version, GBytes* packed) {
     gsize size;
     const void* data = g_bytes_get_data(packed, &size);
     wgpb__configuration__init(message);
--- a/lib/document/wg_document.h
+++ b/lib/document/wg_document.h
@@ -16,7 +16,7 @@
     USE
         1. GBytes* packed = wg_document_pack(document, base);
         2. GBytes* document = wg_document_unpack(bytes, size, base, &error);
-        3. GBytes* document = wg_document_read(message, base, &error);   // from a message
+        3. GBytes* document = wg_document_unpack_message(message, base, &error);   // from a message
 
     THE CALLER OWNS
         all documents; results are released with g_bytes_unref().
@@ -33,6 +33,7 @@
    bytes are damaged, the base differs, or the document would exceed WG_DOCUMENT_MAX. */
 GBytes* wg_document_unpack(const void* packed, size_t size, GBytes* base, GError** error);
 /* Returns a message's document, packed or plain; fails like wg_document_unpack(). */
-GBytes* wg_document_read(const Wgpb__Configuration* message, GBytes* base, GError** error);
+GBytes* wg_document_unpack_message(const Wgpb__Configuration* message, GBytes* base,
+                                   GError** error);
 /* Initialises a message with a packed document, whose bytes it borrows. */
-void wg_document_fill(Wgpb__Configuration* message, uint64_t version, GBytes* packed);
+void wg_document_fill_message(Wgpb__Configuration* message, uint64_t version, GBytes* packed);
--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -62,12 +62,12 @@
                                             .prompt_tokens = "Walnutgate-Prompt-Tokens",
                                             .last_event = "Last-Event-ID",
                                             .workspace = "Walnutgate-Workspace",
-                                            .expect = "Walnutgate-Expect-Target",
+                                            .expected_target = "Walnutgate-Expect-Target",
                                             .copy_from = "Walnutgate-Copy-From",
                                             .not_run = "Target-Not-Run",
-                                            .leaving = "Target-Leaving",
+                                            .draining = "Target-Leaving",
                                             .cache_list = "/v1/cache",
-                                            .query_place = "data_centre"};
+                                            .query_data_centre = "data_centre"};
 
 enum {
     WG_TICK = 50 * WG_USEC_PER_MSEC,
@@ -115,7 +115,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, e->retries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        wg_retry_pass(value, WG_TICK, &rules);
+        wg_retry_refill(value, WG_TICK, &rules);
     }
 }
 
@@ -219,7 +219,7 @@
     e->registry = wg_registry_setup(&(wg_registry_desc){0});
     e->roster = wg_roster_setup();
     e->backoff = wg_backoff_setup(&(wg_backoff_desc){
-        .rest_max = e->settings->target_rest_max_s * WG_USEC_PER_SEC, .seed = e->seed});
+        .backoff_max = e->settings->target_rest_max_s * WG_USEC_PER_SEC, .seed = e->seed});
     e->balance = wg_balance_setup(&(wg_balance_desc){
         .data_centre = e->settings->data_centre, .seed = e->seed, .backoff = e->backoff});
     e->admit = wg_admit_setup(&(wg_admit_desc){0});
--- a/lib/entry/wg_entry.h
+++ b/lib/entry/wg_entry.h
@@ -62,22 +62,22 @@
 
 /* Names of header fields, paths and query parameters on the wire. */
 typedef struct {
-    const char* request_id;    /* id of a caller's request; echoed by targets */
-    const char* key;           /* key of the workspace */
-    const char* deadline;      /* milliseconds until the caller's deadline */
-    const char* prompt_parts;  /* ID:TOKENS, comma-separated */
-    const char* prompt_tokens; /* PROMPT TOKENS,MAXIMUM ANSWER TOKENS */
-    const char* last_event;    /* id of the last event received by the caller */
-    const char* workspace;     /* name of the workspace, set for targets */
-    const char* expect;        /* id of the intended target */
-    const char* copy_from;     /* ip:port of a target that has a part of the prompt cached */
-    const char* not_run;       /* set by a target that did not run the request */
-    const char* leaving;       /* `1`: set by a draining target in all answers */
-    const char* cache_list;    /* path of a target's list of cached prompt parts; NULL: none */
-    const char* query_place;   /* data centre of a caller that requests entry hosts */
+    const char* request_id;        /* id of a caller's request; echoed by targets */
+    const char* key;               /* key of the workspace */
+    const char* deadline;          /* milliseconds until the caller's deadline */
+    const char* prompt_parts;      /* ID:TOKENS, comma-separated */
+    const char* prompt_tokens;     /* PROMPT TOKENS,MAXIMUM ANSWER TOKENS */
+    const char* last_event;        /* id of the last event received by the caller */
+    const char* workspace;         /* name of the workspace, set for targets */
+    const char* expected_target;   /* id of the intended target */
+    const char* copy_from;         /* ip:port of a target that has a part of the prompt cached */
+    const char* not_run;           /* set by a target that did not run the request */
+    const char* draining;          /* `1`: set by a draining target in all answers */
+    const char* cache_list;        /* path of a target's list of cached prompt parts; NULL: none */
+    const char* query_data_centre; /* data centre of a caller that requests entry hosts */
     /* NULL-terminated list of further fields that only entry hosts may set; removed from callers'
        requests. NULL: none. */
-    const char* const* withheld;
+    const char* const* reserved;
 } wg_entry_names;
 
 typedef struct {
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -154,7 +154,7 @@
     double share = need->slots_share > 0 ? need->slots_share : 1;
     r.running_most = slots ? MAX((uint32_t)(slots * share), 1) : 0;
     r.parts_num = CLAMP(prompt->num - 1, 0, WG_ADMIT_PARTS_MAX);
-    r.rate_most = wg_entry_cold_rate(call->entry, r.target);
+    r.rate_max = wg_entry_cold_rate(call->entry, r.target);
     for (int i = 0; i < r.parts_num; i++) {
         r.parts[i] = prompt->parts[i];
         r.sizes[i] = prompt->sizes[i];
@@ -166,10 +166,10 @@
 static wg_admit_answer wg_entry_admit_decide(wg_entry* e, wg_admit_request* request) {
     wg_balance_load_of(e->balance, request->target, &request->floor_unread,
                        &request->floor_running);
-    if (request->rate_most > 0 && !wg_entry_may_grant_cold(e, request->target, wg_now())) {
+    if (request->rate_max > 0 && !wg_entry_may_grant_cold(e, request->target, wg_now())) {
         return (wg_admit_answer){.ahead = request->floor_unread, .running = request->floor_running};
     }
-    return wg_admit_ask(e->admit, wg_now(), request);
+    return wg_admit_decide(e->admit, wg_now(), request);
 }
 
 static bool wg_coordinator_send_request(wg_entry* e, const wg_coordinator* c,
@@ -185,11 +185,11 @@
     ask.answer = request->answer;
     ask.copied = request->copied;
     ask.running_most = request->running_most;
-    ask.whole_us = (uint64_t)request->limits.whole;
+    ask.whole_us = (uint64_t)request->limits.total;
     ask.ahead_us = (uint64_t)request->limits.ahead;
     ask.ahead_large_us = (uint64_t)request->limits.ahead_large;
     ask.spares_shared = request->limits.spares_shared;
-    ask.cold_rate = request->rate_most;
+    ask.cold_rate = request->rate_max;
     return wgn_send(e->net, c->link, WGW_TYPE_ADMIT_ASK, &ask.base);
 }
 
@@ -207,7 +207,7 @@
     wg_coordinator* c = wg_coordinator_of(e, call->proposed.target);
     uint64_t ticket = ++e->counter;
     wg_admit_request request = wg_call_admit_request(call, limits, ticket);
-    if (request.rate_most > 0 && !wg_entry_may_use_cold(e, now)) {
+    if (request.rate_max > 0 && !wg_entry_may_use_cold(e, now)) {
         wg_call_admit_unanswered(call, now);
         return;
     }
@@ -264,7 +264,7 @@
     if (c->self && ended) {
         wg_admit_end(e->admit, wg_now(), 0, ticket, failed);
     } else if (c->self) {
-        wg_admit_read(e->admit, wg_now(), 0, ticket);
+        wg_admit_first_event(e->admit, wg_now(), 0, ticket);
     } else {
         Wgpb__AdmitNote note = WGPB__ADMIT_NOTE__INIT;
         note.ticket = ticket;
@@ -320,7 +320,7 @@
 
 void wg_entry_admit_on_down(wg_entry* e, wgn_link link) {
     wg_coordinator* c = wg_coordinator_by_link(e, link);
-    wg_admit_drop_holder(e->admit, link.id);
+    wg_admit_release_holder(e->admit, link.id);
     if (!c) {
         return;
     }
@@ -358,7 +358,7 @@
                           .copied = in->copied,
                           .running_most = in->running_most,
                           .memory = service ? service->memory_tokens : 0,
-                          .rate_most = wg_coordinator_cold_rate(e, in),
+                          .rate_max = wg_coordinator_cold_rate(e, in),
                           .limits = {(wg_time)in->whole_us, (wg_time)in->ahead_us,
                                      (wg_time)in->ahead_large_us, in->spares_shared}};
     memcpy(r.parts, in->parts, sizeof *in->parts * in->n_parts);
@@ -386,7 +386,7 @@
     if (in->ended) {
         wg_admit_end(e->admit, wg_now(), link.id, in->ticket, in->failed);
     } else {
-        wg_admit_read(e->admit, wg_now(), link.id, in->ticket);
+        wg_admit_first_event(e->admit, wg_now(), link.id, in->ticket);
     }
     wgpb__admit_note__free_unpacked(in, NULL);
     return true;
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -89,17 +89,18 @@
     wg_time now = wg_now();
     wg_need again = call->need;
     again.tried_num = 0;
-    wg_time back_at = wg_balance_back_at(e->balance, now, &again);
+    wg_time back_at = wg_balance_backoff_ends_at(e->balance, now, &again);
     wg_time left = (call->deadline == WG_TIME_NEVER ? call->expires_at : call->deadline) - now;
-    wg_time after = back_at ? wg_policy_retry_after_rest(e->seed, ++e->counter, back_at - now, left)
-                            : wg_policy_retry_after(e->seed, ++e->counter);
+    wg_time after = back_at
+                        ? wg_policy_retry_after_backoff(e->seed, ++e->counter, back_at - now, left)
+                        : wg_policy_retry_after(e->seed, ++e->counter);
     return (double)after / WG_USEC_PER_SEC;
 }
 
 /* Queues the request, or refuses it at once if every target stays in backoff past its deadline. */
 static void wg_call_enqueue(wg_call* call, wg_time now) {
-    wg_time wait_until = call->started + wg_policy_wait(call->route->objective);
-    wg_time back_at = wg_balance_back_at(call->entry->balance, now, &call->need);
+    wg_time wait_until = call->started + wg_policy_queue_time_max(call->route->objective);
+    wg_time back_at = wg_balance_backoff_ends_at(call->entry->balance, now, &call->need);
     if (back_at > wait_until) {
         call->entry->counters.backoff_refusals++;
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_rest",
@@ -128,9 +129,9 @@
     wg_entry* e = call->entry;
     wg_retry_rules rules = wg_call_retry_rules(e);
     if (call->attempts == 0) {
-        wg_retry_first(wg_call_retry_budget(call), &rules);
+        wg_retry_record_first_send(wg_call_retry_budget(call), &rules);
         if (wg_call_is_charged(call)) {
-            wg_usage_serve(e->usage, call->workspace->hash, wg_call_tokens(call));
+            wg_usage_record_served(e->usage, call->workspace->hash, wg_call_tokens(call));
         }
     }
     call->attempts++;
@@ -140,7 +141,7 @@
     }
     wg_balance_begin(e->balance, now, &call->choice);
     if (call->has_prompt) {
-        wg_balance_note_prompt(e->balance, now, target->number, &call->prompt);
+        wg_balance_record_prompt(e->balance, now, target->number, &call->prompt);
     }
     bool careful = !wg_route_is_repeatable(call->route);
     wg_upstream* up = wg_upstream_open(e, target, careful && call->attempts > 1);
@@ -182,16 +183,16 @@
 /* The coordinator's figures replace this host's estimate. */
 static void wg_call_apply_admit_answer(wg_call* call, const wg_admit_answer* answer) {
     wg_choice* choice = &call->proposed;
-    wg_balance_note_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
-                         answer->running);
+    wg_balance_update_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
+                           answer->running);
     choice->unread = answer->unread;
     choice->ahead = answer->ahead;
     choice->wait = answer->wait;
     choice->wait_ahead = answer->wait_ahead;
     call->expected = answer->wait;
-    if (choice->at_third) {
-        wg_balance_note_third(call->entry->balance,
-                              answer->held >= wg_prompt_shared(&call->prompt));
+    if (choice->is_third_home) {
+        wg_balance_record_third_home(call->entry->balance,
+                                     answer->held >= wg_prompt_shared(&call->prompt));
     }
 }
 
@@ -207,7 +208,8 @@
     }
     wg_call_exclude_proposed(call);
     wg_policy_terms terms = wg_call_terms(call);
-    if (!wg_policy_may_spill(&terms) && need->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
+    if (!wg_policy_may_spill_over(&terms) &&
+        need->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
         wg_call_enqueue(call, now);
         return;
     }
@@ -274,10 +276,10 @@
 static void wg_call_choose(wg_call* call, wg_time now) {
     wg_choice choice = {0};
     wg_policy_terms terms = wg_call_terms(call);
-    if (call->admit_requests < wg_policy_asks_max(&terms)) {
+    if (call->admit_requests < wg_policy_admission_requests_max(&terms)) {
         choice = wg_call_next_choice(call, now);
     }
-    if (!choice.target && !call->relaxed && wg_policy_is_modest(&terms)) {
+    if (!choice.target && !call->relaxed && wg_policy_may_be_late(&terms)) {
         wg_call_relax(call, now);
         return;
     }
@@ -311,7 +313,7 @@
     if (!call->has_prompt) {
         call->need.limit = wg_policy_plain_limit(&terms, now);
     } else {
-        call->need.limit = wg_policy_may_spill(&terms) ? call->limit : WG_TIME_NEVER;
+        call->need.limit = wg_policy_may_spill_over(&terms) ? call->limit : WG_TIME_NEVER;
     }
     call->need.slots_share = wg_policy_slots_share(&terms);
     call->admit_requests = 0;
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -58,8 +58,8 @@
         return;
     }
     query->known = true;
-    wg_admit_learn(query->entry->admit, wg_now(), query->target,
-                   (const uint64_t*)(void*)parts->data, (int)parts->len);
+    wg_admit_record_held_parts(query->entry->admit, wg_now(), query->target,
+                               (const uint64_t*)(void*)parts->data, (int)parts->len);
     wg_log(WG_EVENT_CACHE_KNOWN, "target=%u parts=%u bytes=%zu", query->target, parts->len, size);
     g_array_unref(parts);
 }
@@ -67,10 +67,10 @@
 /* Answers to cache queries carry backoff hints as answers to requests do. */
 static void wg_cache_record_hint(const wg_cache_query* query, struct evhttp_request* request) {
     wg_entry* e = query->entry;
-    wg_backoff_wish hint = {.status = evhttp_request_get_response_code(request)};
+    wg_backoff_hint hint = {.status = evhttp_request_get_response_code(request)};
     const struct evkeyvalq* fields = evhttp_request_get_input_headers(request);
     for (const struct evkeyval* f = fields->tqh_first; f; f = f->next.tqe_next) {
-        wg_backoff_read_field(&hint, e->names->leaving, (wg_text){f->key, strlen(f->key)},
+        wg_backoff_read_field(&hint, e->names->draining, (wg_text){f->key, strlen(f->key)},
                               (wg_text){f->value, strlen(f->value)});
     }
     wg_entry_record_answer(e, query->target, &hint, "-");
@@ -110,7 +110,7 @@
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Host", target->address);
     evhttp_add_header(out, "Connection", "close");
-    evhttp_add_header(out, e->names->expect, target->id);
+    evhttp_add_header(out, e->names->expected_target, target->id);
     if (evhttp_make_request(query->connection, request, EVHTTP_REQ_GET, e->names->cache_list) !=
         0) {
         evhttp_connection_free(query->connection);
@@ -126,7 +126,8 @@
 static void wg_cache_check_target(wg_entry* e, const wg_target* target, wg_time now) {
     gpointer key = GUINT_TO_POINTER(target->number);
     wg_cache_query* query = g_hash_table_lookup(e->cache_queries, key);
-    if (!wg_registry_takes(e->registry, target) || !wg_entry_admit_coordinates(e, target->number)) {
+    if (!wg_registry_accepts(e->registry, target) ||
+        !wg_entry_admit_coordinates(e, target->number)) {
         g_hash_table_remove(e->cache_queries, key);
         return;
     }
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -42,7 +42,7 @@
            call->has_prompt ? wg_call_tokens(call) : 0, call->expected / WG_USEC_PER_MSEC,
            call->limit / WG_USEC_PER_MSEC, call->admit_requests_total, (int)call->was_admitted,
            call->workspace ? wg_call_usage(call) : 0, wg_usage_levels(call->entry->usage)->served,
-           wg_usage_levels(call->entry->usage)->owed,
+           wg_usage_levels(call->entry->usage)->fair_share,
            (now - call->entry->state_at) / WG_USEC_PER_MSEC);
 }
 
@@ -50,7 +50,7 @@
     wg_entry* e = call->entry;
     wg_call_unqueue(call);
     wg_entry_admit_cancel(call);
-    wg_call_release_target(call, WG_RESULT_LEFT);
+    wg_call_release_target(call, WG_RESULT_CALLER_DISCONNECTED);
     if (call->upstream) {
         wg_upstream_close(call->upstream);
     }
@@ -222,7 +222,7 @@
     call->upstream = NULL;
     up->call = NULL;
     wg_upstream_close(up);
-    wg_call_release_target(call, status == 421 ? WG_RESULT_MOVED : WG_RESULT_REFUSED);
+    wg_call_release_target(call, status == 421 ? WG_RESULT_REPLACED : WG_RESULT_REFUSED);
     if (!wg_call_schedule_retry(call, false)) {
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_refused",
                        wg_call_retry_after(call));
@@ -275,11 +275,11 @@
         call->first_event_at = wg_now();
         wg_hist_add(&call->entry->first_byte_time, call->first_event_at - call->started);
         if (call->has_prompt && call->expected <= call->limit) {
-            wg_fair_learn(&call->entry->margin,
-                          call->first_event_at - call->started <= call->route->objective);
+            wg_fair_update_margin(&call->entry->margin,
+                                  call->first_event_at - call->started <= call->route->objective);
         }
     }
-    wg_balance_read(call->entry->balance, wg_now(), &call->choice);
+    wg_balance_first_event(call->entry->balance, wg_now(), &call->choice);
     wg_entry_admit_read(call);
     if (first) {
         wg_call_queue_run(
@@ -397,7 +397,7 @@
     }
     call->entry->counters.failed += !good;
     call->upstream = NULL;
-    wg_call_release_target(call, good ? WG_RESULT_GOOD : WG_RESULT_FAILED);
+    wg_call_release_target(call, good ? WG_RESULT_SUCCESS : WG_RESULT_FAILED);
     wg_upstream_release(up);
     call->client = NULL;
     wg_client_call_ended(client, keep);
@@ -453,7 +453,7 @@
 }
 
 void wg_call_attempt_withdrawn(wg_call* call, wg_upstream* up, const char* reason) {
-    wg_call_end_attempt(call, up, reason, WG_RESULT_LEFT);
+    wg_call_end_attempt(call, up, reason, WG_RESULT_CALLER_DISCONNECTED);
 }
 
 /* ---- functions of the library ---------------------------------------------------------------- */
@@ -553,7 +553,7 @@
                            .slots = service->slots};
     wg_call_read_times(call);
     if (wg_call_is_charged(call)) {
-        wg_usage_ask(e->usage, call->workspace->hash, wg_call_tokens(call));
+        wg_usage_record_demand(e->usage, call->workspace->hash, wg_call_tokens(call));
     }
     call->timer = evtimer_new(e->base, wg_call_on_timer, call);
     e->calls_num++;
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -235,9 +235,9 @@
     for (guint i = 0; i < e->unresolved->len;) {
         wg_aborted_request aborted = g_array_index(e->unresolved, wg_aborted_request, i);
         const wg_target* target = wg_registry_find(e->registry, aborted.crash.target);
-        bool ended = target && (target->state == WG_TARGET_SILENT || target->replaced);
+        bool ended = target && (target->state == WG_TARGET_UNRESPONSIVE || target->replaced);
         bool over = !target || target->state == WG_TARGET_DRAINING ||
-                    target->state == WG_TARGET_GONE ||
+                    target->state == WG_TARGET_REMOVED ||
                     now - aborted.aborted_at >= WG_UNRESOLVED_TIMEOUT;
         if (!ended && !over) {
             i++;
@@ -257,7 +257,7 @@
 void wg_entry_check_target(wg_entry* e, const wg_call* call, const wg_upstream* up) {
     const wg_target* target = wg_registry_find(e->registry, up->target);
     bool expected =
-        target && target->state != WG_TARGET_DRAINING && target->state != WG_TARGET_GONE;
+        target && target->state != WG_TARGET_DRAINING && target->state != WG_TARGET_REMOVED;
     if (!expected) {
         return; /* draining or removed: its end is no evidence against the request */
     }
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -214,7 +214,7 @@
     uint64_t targets_alive; /* targets that aborted a request, but accept connections */
     uint64_t checks_skipped;
     uint64_t quarantine_refusals;
-    uint64_t rests;            /* backoff periods requested by targets */
+    uint64_t backoffs;         /* backoff periods requested by targets */
     uint64_t drains_reported;  /* targets that reported in an answer that they are draining */
     uint64_t backoff_refusals; /* requests refused because all targets are in backoff */
 } wg_entry_counters;
@@ -256,7 +256,7 @@
     wg_backoff* backoff;
     GHashTable* retries; /* name of a service -> wg_retry* */
     wg_roster* roster;
-    wg_usage_book* usage; /* usage of workspaces on this host and in the fleet */
+    wg_usage_ledger* usage; /* usage of workspaces on this host and in the fleet */
     wg_fair_margin margin;
 
     /* link to the leader */
@@ -404,7 +404,7 @@
 /* wg_entry_backoff.c */
 /* Applies the backoff hint of a target's answer. `id` is the request's id, for the log. Returns the
    backoff period in microseconds; 0: none. */
-wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_wish* hint,
+wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_hint* hint,
                                const char* id);
 /* Whether the target accepts requests now. Checked before every request to a target: first
    attempts, retries, resumed streams, and cache queries. */
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -122,7 +122,7 @@
     }
     GError* error = NULL;
     GBytes* base = in->base_version && in->base_version == current ? e->document : NULL;
-    GBytes* document = wg_document_read(in, base, &error);
+    GBytes* document = wg_document_unpack_message(in, base, &error);
     if (!document) {
         wg_entry_refuse_configuration(e, in, error);
         return false;
@@ -210,19 +210,19 @@
                              .tokens = in->usage[i]->tokens,
                              .asked = in->usage[i]->asked};
     }
-    wg_usage_hear(e->usage, wg_now(), list, in->n_usage, wg_entry_total_share(e));
+    wg_usage_apply_report(e->usage, wg_now(), list, in->n_usage, wg_entry_total_share(e));
     g_free(list);
 }
 
 void wg_entry_decay_usage(wg_entry* e, wg_time now) {
-    wg_usage_fade(e->usage, now, wg_roster_num(e->roster), wg_entry_total_share(e));
+    wg_usage_decay(e->usage, now, wg_roster_num(e->roster), wg_entry_total_share(e));
 }
 
 static void wg_entry_apply_loads(wg_entry* e, const Wgpb__EntryState* in) {
-    wg_balance_clear_others(e->balance);
+    wg_balance_clear_others_load(e->balance);
     for (size_t i = 0; i < in->n_loads; i++) {
-        wg_balance_set_others(e->balance, in->loads[i]->target, in->loads[i]->unread,
-                              in->loads[i]->running);
+        wg_balance_set_others_load(e->balance, in->loads[i]->target, in->loads[i]->unread,
+                                   in->loads[i]->running);
     }
 }
 
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -99,7 +99,8 @@
 
 static void wg_entry_order_apply_outcome(wg_entry* e, GList* at, const Wgpb__OrderAnswer* in) {
     GError* error = NULL;
-    GBytes* document = in->configuration ? wg_document_read(in->configuration, NULL, &error) : NULL;
+    GBytes* document =
+        in->configuration ? wg_document_unpack_message(in->configuration, NULL, &error) : NULL;
     wg_order_outcome outcome = error ? WG_ORDER_UNKNOWN : (wg_order_outcome)in->outcome;
     if (error) {
         wg_log(WG_EVENT_FRAME_BAD, "reason=%s", error->message);
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -99,7 +99,7 @@
                     {"targets_stayed", c->targets_alive},
                     {"target_checks_left_out", c->checks_skipped},
                     {"quarantine_refusals", c->quarantine_refusals},
-                    {"target_rests", c->rests},
+                    {"target_rests", c->backoffs},
                     {"targets_leaving_told", c->drains_reported},
                     {"rest_refusals", c->backoff_refusals}};
     GString* out = g_string_new(NULL);
@@ -114,7 +114,7 @@
                            "walnutgate_entry_targets_resting %d\n",
                            e->calls_num, e->clients->len, wg_registry_evacuated(e->registry)->len,
                            wg_quarantine_num(e->quarantine), wg_suspects_num(e->suspects),
-                           wg_backoff_resting_num(e->backoff, wg_now()));
+                           wg_backoff_active_num(e->backoff, wg_now()));
     wgn_print_metrics(e->net, out);
     wg_endpoint_leader_metrics(e, out);
     wg_hist_print(&e->first_byte_time, "walnutgate_entry_first_seconds", "", 1e6, out);
@@ -135,10 +135,10 @@
 }
 
 static json_t* wg_endpoint_entry_addresses(wg_entry* e, struct evhttp_request* request) {
-    char* caller_data_centre = wgh_query(request, e->names->query_place);
+    char* caller_data_centre = wgh_query(request, e->names->query_data_centre);
     wg_roster_query query = {.data_centre = caller_data_centre ? caller_data_centre : "",
                              .caller = wg_endpoint_caller_hash(request),
-                             .without = e->stopping ? e->settings->name : NULL};
+                             .excluded = e->stopping ? e->settings->name : NULL};
     GPtrArray* hosts = wg_roster_pick(e->roster, &query);
     json_t* list = json_array();
     for (guint i = 0; i < hosts->len; i++) {
@@ -184,7 +184,7 @@
     GBytes* document = g_bytes_new_static(bytes, size);
     GBytes* packed = wg_document_pack(document, NULL);
     Wgpb__Configuration configuration;
-    wg_document_fill(&configuration, config->version, packed);
+    wg_document_fill_message(&configuration, config->version, packed);
     wg_config_unref(config);
     Wgpb__Order order = WGPB__ORDER__INIT;
     order.configuration = &configuration;
@@ -258,7 +258,7 @@
     json_t* json = empty ? NULL : wgh_body_json(request, message, sizeof message);
     if (!empty && !json) {
         wg_endpoint_refuse_target(e, request, id, message);
-    } else if (!wg_target_read_leave(json, id, &target, &error)) {
+    } else if (!wg_target_read_deregistration(json, id, &target, &error)) {
         wg_endpoint_refuse_target(e, request, id, error->message);
         g_error_free(error);
     } else {
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -50,7 +50,7 @@
                                         int* at) {
     const wg_quarantined* entry;
     while ((entry = wg_quarantine_at(q, (*at)++))) {
-        if (!wg_quarantine_holds(other, entry->fingerprint)) {
+        if (!wg_quarantine_contains(other, entry->fingerprint)) {
             return entry->fingerprint;
         }
     }
@@ -88,7 +88,7 @@
 
 bool wg_entry_is_quarantined(const wg_entry* e, uint64_t fingerprint) {
     const wg_suspect* suspect = wg_suspects_find(e->suspects, fingerprint);
-    return wg_quarantine_holds(e->quarantine, fingerprint) ||
+    return wg_quarantine_contains(e->quarantine, fingerprint) ||
            (suspect && wg_suspect_is_due(suspect));
 }
 
@@ -125,7 +125,7 @@
 
 void wg_entry_record_completion(wg_entry* e, uint64_t fingerprint) {
     wg_suspects_clear(e->suspects, wg_now(), fingerprint);
-    if (wg_quarantine_holds(e->quarantine, fingerprint)) {
+    if (wg_quarantine_contains(e->quarantine, fingerprint)) {
         _wg_entry_queue_completion(e, fingerprint);
     }
 }
@@ -146,7 +146,7 @@
         begun++;
     }
     for (int at = 0; (fingerprint = _wg_quarantine_next_new(previous, e->quarantine, &at));) {
-        wg_suspects_forget(e->suspects, fingerprint);
+        wg_suspects_remove(e->suspects, fingerprint);
         ended++;
     }
     wg_quarantine_shutdown(previous);
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -134,7 +134,7 @@
         if (!wg_entry_may_keep(e, target)) {
             wg_upstream_close_queue(value);
         }
-        if (!target || target->state == WG_TARGET_GONE) {
+        if (!target || target->state == WG_TARGET_REMOVED) {
             g_queue_free(value);
             g_hash_table_iter_remove(&iter);
         }
@@ -209,10 +209,10 @@
 /* Backoff hints apply whichever request the answer belongs to. */
 static void wg_upstream_record_hint(wg_upstream* up) {
     wg_entry* e = up->entry;
-    wg_backoff_wish hint = {.status = up->head.status};
+    wg_backoff_hint hint = {.status = up->head.status};
     for (int i = 0; i < up->head.fields_num; i++) {
         const wg_message_pair* f = &up->head.fields[i];
-        wg_backoff_read_field(&hint, e->names->leaving, f->name, f->value);
+        wg_backoff_read_field(&hint, e->names->draining, f->name, f->value);
     }
     up->backoff_time = wg_entry_record_answer(e, up->target, &hint, up->call->id);
 }
--- a/lib/entry/wg_forward.c
+++ b/lib/entry/wg_forward.c
@@ -1,8 +1,8 @@
 /* wg_forward.c -- see wg_forward.h */
 #include "wg_forward.h"
 
-static bool _wg_forward_is_withheld(const wg_entry_names* names, wg_text name) {
-    for (const char* const* at = names->withheld; at && *at; at++) {
+static bool _wg_forward_is_reserved(const wg_entry_names* names, wg_text name) {
+    for (const char* const* at = names->reserved; at && *at; at++) {
         if (wg_text_is(name, *at)) {
             return true;
         }
@@ -14,8 +14,8 @@
                               wg_text name, bool resumes) {
     return wg_message_is_hop_field(head, name) || wg_text_is(name, names->key) ||
            wg_text_is(name, names->deadline) || wg_text_is(name, names->workspace) ||
-           wg_text_is(name, names->expect) || wg_text_is(name, names->copy_from) ||
-           (resumes && wg_text_is(name, names->last_event)) || _wg_forward_is_withheld(names, name);
+           wg_text_is(name, names->expected_target) || wg_text_is(name, names->copy_from) ||
+           (resumes && wg_text_is(name, names->last_event)) || _wg_forward_is_reserved(names, name);
 }
 
 static void _wg_forward_fields(const wg_entry_names* names, const wg_forward* f,
@@ -37,7 +37,7 @@
                         (int)head->target.size, head->target.text);
     _wg_forward_fields(names, f, out);
     evbuffer_add_printf(out, "%s: %" G_GINT64_FORMAT "\r\n", names->deadline, f->deadline_ms);
-    evbuffer_add_printf(out, "%s: %s\r\n", names->expect, f->target_id);
+    evbuffer_add_printf(out, "%s: %s\r\n", names->expected_target, f->target_id);
     if (f->workspace) {
         evbuffer_add_printf(out, "%s: %s\r\n", names->workspace, f->workspace);
     }
--- a/lib/entry/wg_forward.h
+++ b/lib/entry/wg_forward.h
@@ -4,7 +4,7 @@
 
     WHAT IT DOES
         Copies the caller's header fields except hop-by-hop fields, fields that entry hosts set,
-        and reserved fields (wg_entry_names.withheld). Targets trust the latter two (for example to
+        and reserved fields (wg_entry_names.reserved). Targets trust the latter two (for example to
         reserve memory or to copy it from another target), so all occurrences in a caller's request
         are removed, regardless of case.
 
--- a/lib/entry/wg_target_read.c
+++ b/lib/entry/wg_target_read.c
@@ -104,8 +104,9 @@
     return good;
 }
 
-bool wg_target_read_leave(const json_t* json, const char* id, wg_target* target, GError** error) {
-    *target = (wg_target){.state = WG_TARGET_GONE};
+bool wg_target_read_deregistration(const json_t* json, const char* id, wg_target* target,
+                                   GError** error) {
+    *target = (wg_target){.state = WG_TARGET_REMOVED};
     if (json && !json_is_object(json)) {
         return _wg_target_error(error, "body", "not an object");
     }
--- a/lib/entry/wg_target_read.h
+++ b/lib/entry/wg_target_read.h
@@ -11,4 +11,5 @@
 bool wg_target_read(const json_t* json, const char* id, wg_time now, wg_target* target,
                     GError** error);
 /* Reads a deregistration; `json` may be NULL (no body). */
-bool wg_target_read_leave(const json_t* json, const char* id, wg_target* target, GError** error);
+bool wg_target_read_deregistration(const json_t* json, const char* id, wg_target* target,
+                                   GError** error);
--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -71,12 +71,12 @@
     return used < enough ? 1 - used / enough : 0;
 }
 
-double wg_fair_patience(double used, const wg_fair_levels* levels) {
-    double owed = wg_fair_tolerance_at(&WG_FAIR_SHARE_SLOPE, used, levels->owed);
-    owed = MAX(owed, wg_fair_catch_up_tolerance(used, levels));
+double wg_fair_wait_tolerance(double used, const wg_fair_levels* levels) {
+    double fair_share = wg_fair_tolerance_at(&WG_FAIR_SHARE_SLOPE, used, levels->fair_share);
+    fair_share = MAX(fair_share, wg_fair_catch_up_tolerance(used, levels));
     double served = wg_fair_tolerance_at(&WG_FAIR_SERVED_SLOPE, used, levels->served);
     /* Of two workspaces above their fair share, the one with higher usage yields. */
-    return owed * served;
+    return fair_share * served;
 }
 
 wg_time wg_fair_try_gap(double tolerance) {
@@ -89,8 +89,9 @@
 /* Fraction of the level below which requests are sent late rather than refused. */
 static const double WG_FAIR_LOW_USAGE = 0.5;
 
-bool wg_fair_is_modest(double used, const wg_fair_levels* levels) {
-    double level = levels->owed > 0 ? MIN(levels->owed, levels->served) : levels->served;
+bool wg_fair_is_far_below_share(double used, const wg_fair_levels* levels) {
+    double level =
+        levels->fair_share > 0 ? MIN(levels->fair_share, levels->served) : levels->served;
     return used < WG_FAIR_LOW_USAGE * level;
 }
 
@@ -101,12 +102,12 @@
 static const double WG_MARGIN_GAIN = 0.006;
 static const double WG_MARGIN_MIN = 0.12;
 
-double wg_fair_trust(const wg_fair_margin* margin) {
+double wg_fair_confidence(const wg_fair_margin* margin) {
     return margin->value > 0 ? margin->value : 1;
 }
 
-void wg_fair_learn(wg_fair_margin* margin, bool in_time) {
-    double value = wg_fair_trust(margin);
+void wg_fair_update_margin(wg_fair_margin* margin, bool in_time) {
+    double value = wg_fair_confidence(margin);
     value = in_time ? value + WG_MARGIN_GAIN : value * (1 - WG_MARGIN_LOSS);
     margin->value = CLAMP(value, WG_MARGIN_MIN, 1);
 }
--- a/lib/fair/wg_fair.h
+++ b/lib/fair/wg_fair.h
@@ -17,7 +17,7 @@
 
     USE
         1. wg_fair_level(asked, num, served) once per report, for both levels
-        2. wg_fair_patience(used_by_one, &levels) for each request
+        2. wg_fair_wait_tolerance(used_by_one, &levels) for each request
 */
 #include "wg_base.h"
 
@@ -25,8 +25,8 @@
    demand is served. */
 double wg_fair_level(const double* asked, int num, double served);
 typedef struct {
-    double owed;   /* fair share of the configured capacity; 0: not known */
-    double served; /* fair share of the capacity that was served; 0: not known */
+    double fair_share; /* fair share of the configured capacity; 0: not known */
+    double served;     /* fair share of the capacity that was served; 0: not known */
 } wg_fair_levels;
 
 /* True if the workspace was served about half of what others were, or less. It may still be
@@ -35,7 +35,7 @@
 
 /* True if the workspace is so far below its fair share that its requests are sent late rather
    than refused. */
-bool wg_fair_is_modest(double used, const wg_fair_levels* levels);
+bool wg_fair_is_far_below_share(double used, const wg_fair_levels* levels);
 
 /* Confidence in wait estimates, learned from the times of first events; 1: full. */
 typedef struct {
@@ -43,13 +43,13 @@
 } wg_fair_margin;
 
 /* Updates the margin after a first event. */
-void wg_fair_learn(wg_fair_margin* margin, bool in_time);
-double wg_fair_trust(const wg_fair_margin* margin);
+void wg_fair_update_margin(wg_fair_margin* margin, bool in_time);
+double wg_fair_confidence(const wg_fair_margin* margin);
 
 /* Returns the wait tolerance: the fraction of its objective that a request of the workspace may
    queue behind others, 0..1. At 0 the request is not sent, since its workspace has far more than
    others that are refused. */
-double wg_fair_patience(double used, const wg_fair_levels* levels);
+double wg_fair_wait_tolerance(double used, const wg_fair_levels* levels);
 
 /* Returns the microseconds between two tries of a queued request. Workspaces above their fair
    share retry at intervals, so that their share does not depend on how many requests their host has
--- a/lib/fair/wg_usage.c
+++ b/lib/fair/wg_usage.c
@@ -28,7 +28,7 @@
     uint64_t asked_counted;
 } wg_usage_total;
 
-struct wg_usage_book {
+struct wg_usage_ledger {
     GHashTable* fleet;   /* workspace -> wg_usage_copy* */
     GHashTable* own;     /* workspace -> wg_usage_total* */
     wg_time reported_at; /* 0: never */
@@ -38,7 +38,7 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static wg_usage_total* wg_usage_own_of(wg_usage_book* b, uint64_t workspace) {
+static wg_usage_total* wg_usage_own_of(wg_usage_ledger* b, uint64_t workspace) {
     wg_usage_total* own = g_hash_table_lookup(b->own, &workspace);
     if (!own) {
         own = g_new0(wg_usage_total, 1);
@@ -48,7 +48,7 @@
     return own;
 }
 
-static wg_usage_copy* wg_usage_copy_of(wg_usage_book* b, uint64_t workspace) {
+static wg_usage_copy* wg_usage_copy_of(wg_usage_ledger* b, uint64_t workspace) {
     wg_usage_copy* copy = g_hash_table_lookup(b->fleet, &workspace);
     if (!copy) {
         copy = g_new0(wg_usage_copy, 1);
@@ -58,7 +58,7 @@
     return copy;
 }
 
-static void wg_usage_set_levels(wg_usage_book* b, double owed) {
+static void wg_usage_set_levels(wg_usage_ledger* b, double total_share) {
     guint num = g_hash_table_size(b->fleet);
     double* asked = g_new(double, num + 1);
     double served = 0;
@@ -73,7 +73,7 @@
         served += tokens;
     }
     b->levels.served = wg_fair_level(asked, filled, served);
-    b->levels.owed = owed > 0 ? wg_fair_level(asked, filled, owed) : 0;
+    b->levels.fair_share = total_share > 0 ? wg_fair_level(asked, filled, total_share) : 0;
     g_free(asked);
 }
 
@@ -81,7 +81,7 @@
     return (wg_usage_amount){amount.tokens * factor, amount.asked * factor};
 }
 
-static void wg_usage_decay_copy(wg_usage_book* b, double keep, bool drop) {
+static void wg_usage_decay_copy(wg_usage_ledger* b, double keep, bool drop) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, b->fleet);
@@ -96,7 +96,7 @@
 }
 
 /* Adds this host's usage since the last update to the copy, multiplied by `factor`. */
-static void wg_usage_count_own(wg_usage_book* b, double factor) {
+static void wg_usage_count_own(wg_usage_ledger* b, double factor) {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, b->own);
@@ -116,28 +116,29 @@
 
 /* ---- public functions ------------------------------------------------------------------------ */
 
-wg_usage_book* wg_usage_setup(void) {
-    wg_usage_book* b = g_new0(wg_usage_book, 1);
+wg_usage_ledger* wg_usage_setup(void) {
+    wg_usage_ledger* b = g_new0(wg_usage_ledger, 1);
     b->fleet = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     b->own = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     return b;
 }
 
-void wg_usage_shutdown(wg_usage_book* b) {
+void wg_usage_shutdown(wg_usage_ledger* b) {
     g_hash_table_unref(b->fleet);
     g_hash_table_unref(b->own);
     g_free(b);
 }
 
-void wg_usage_ask(wg_usage_book* b, uint64_t workspace, uint64_t tokens) {
+void wg_usage_record_demand(wg_usage_ledger* b, uint64_t workspace, uint64_t tokens) {
     wg_usage_own_of(b, workspace)->total.asked += tokens;
 }
 
-void wg_usage_serve(wg_usage_book* b, uint64_t workspace, uint64_t tokens) {
+void wg_usage_record_served(wg_usage_ledger* b, uint64_t workspace, uint64_t tokens) {
     wg_usage_own_of(b, workspace)->total.tokens += tokens;
 }
 
-void wg_usage_hear(wg_usage_book* b, wg_time now, const wg_usage* list, size_t num, double owed) {
+void wg_usage_apply_report(wg_usage_ledger* b, wg_time now, const wg_usage* list, size_t num,
+                           double total_share) {
     g_hash_table_remove_all(b->fleet);
     for (size_t i = 0; i < num; i++) {
         wg_usage_copy* copy = wg_usage_copy_of(b, list[i].workspace);
@@ -146,10 +147,10 @@
     wg_usage_count_own(b, 0);
     b->reported_at = now;
     b->decayed_at = now;
-    wg_usage_set_levels(b, owed);
+    wg_usage_set_levels(b, total_share);
 }
 
-void wg_usage_fade(wg_usage_book* b, wg_time now, int hosts, double owed) {
+void wg_usage_decay(wg_usage_ledger* b, wg_time now, int hosts, double total_share) {
     bool fresh = b->reported_at == 0 || now - b->reported_at < WG_USAGE_STALE_AFTER;
     if (fresh || now - b->decayed_at < WG_USAGE_DECAY_STEP) {
         return;
@@ -158,19 +159,19 @@
     wg_usage_decay_copy(b, keep, now - b->reported_at > WG_USAGE_DROPPED_AFTER);
     wg_usage_count_own(b, MAX(hosts, 1));
     b->decayed_at = now;
-    wg_usage_set_levels(b, owed);
+    wg_usage_set_levels(b, total_share);
 }
 
-double wg_usage_of(const wg_usage_book* b, uint64_t workspace) {
+double wg_usage_of(const wg_usage_ledger* b, uint64_t workspace) {
     const wg_usage_copy* copy = g_hash_table_lookup(b->fleet, &workspace);
     return copy ? copy->reported.tokens + copy->estimated.tokens : 0;
 }
 
-const wg_fair_levels* wg_usage_levels(const wg_usage_book* b) {
+const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* b) {
     return &b->levels;
 }
 
-GPtrArray* wg_usage_own(const wg_usage_book* b) {
+GPtrArray* wg_usage_own(const wg_usage_ledger* b) {
     GPtrArray* list = g_ptr_array_new();
     GHashTableIter iter;
     gpointer value;
--- a/lib/fair/wg_usage.h
+++ b/lib/fair/wg_usage.h
@@ -12,10 +12,13 @@
         - own totals only grow, so that any leader can compute the difference between two reports
 
     USE
-        1. wg_usage_book* b = wg_usage_setup();
-        2. wg_usage_ask(b, workspace, tokens); wg_usage_serve(b, workspace, tokens);
-        3. wg_usage_hear(b, now, list, num, owed);                       // a leader's report
-        4. wg_usage_fade(b, now, hosts, owed);                           // each tick without one
+        1. wg_usage_ledger* b = wg_usage_setup();
+        2. wg_usage_record_demand(b, workspace, tokens); wg_usage_record_served(b, workspace,
+   tokens);
+        3. wg_usage_apply_report(b, now, list, num, total_share);                       // a
+   leader's report
+        4. wg_usage_decay(b, now, hosts, total_share);                           // each tick
+   without one
         5. wg_usage_of(b, workspace); wg_usage_levels(b);
 
     THE CALLER OWNS
@@ -42,22 +45,23 @@
     uint64_t asked;     /* demand: all tokens requested, refused or not */
 } wg_usage;
 
-typedef struct wg_usage_book wg_usage_book;
+typedef struct wg_usage_ledger wg_usage_ledger;
 
-wg_usage_book* wg_usage_setup(void);
-void wg_usage_shutdown(wg_usage_book* book);
+wg_usage_ledger* wg_usage_setup(void);
+void wg_usage_shutdown(wg_usage_ledger* book);
 /* Records a request that was received, or was sent to a target, by this host. */
-void wg_usage_ask(wg_usage_book* book, uint64_t workspace, uint64_t tokens);
-void wg_usage_serve(wg_usage_book* book, uint64_t workspace, uint64_t tokens);
-/* Replaces the copy with the leader's report. `owed`: tokens of the configured capacity in the
-   time that usage covers; 0: not known. */
-void wg_usage_hear(wg_usage_book* book, wg_time now, const wg_usage* list, size_t num, double owed);
+void wg_usage_record_demand(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
+void wg_usage_record_served(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
+/* Replaces the copy with the leader's report. `total_share`: tokens of the configured capacity in
+   the time that usage covers; 0: not known. */
+void wg_usage_apply_report(wg_usage_ledger* book, wg_time now, const wg_usage* list, size_t num,
+                           double total_share);
 /* Decays the copy; does nothing while the last report is fresh. `hosts`: number of entry hosts
    that share the load. */
-void wg_usage_fade(wg_usage_book* book, wg_time now, int hosts, double owed);
+void wg_usage_decay(wg_usage_ledger* book, wg_time now, int hosts, double total_share);
 /* Returns the recent usage of the workspace in the whole fleet, tokens. */
-double wg_usage_of(const wg_usage_book* book, uint64_t workspace);
-const wg_fair_levels* wg_usage_levels(const wg_usage_book* book);
+double wg_usage_of(const wg_usage_ledger* book, uint64_t workspace);
+const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* book);
 /* Returns this host's own totals, wg_usage*, in no particular order; the caller frees the list
    only. */
-GPtrArray* wg_usage_own(const wg_usage_book* book);
+GPtrArray* wg_usage_own(const wg_usage_ledger* book);
--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -37,7 +37,7 @@
     }
     /* The table is full: reuse the entry of a router that is gone. */
     for (int i = 0; i < m->num; i++) {
-        if (m->items[i].state == WGM_STATE_GONE) {
+        if (m->items[i].state == WGM_STATE_UNREACHABLE) {
             m->items[i] = (wgm_member){0};
             wg_copy_name(m->items[i].name, sizeof m->items[i].name, name);
             return &m->items[i];
@@ -89,7 +89,7 @@
     g_free(m);
 }
 
-wgm_event wgm_heard(wgm_members* m, wg_time now, const wgm_member* heartbeat) {
+wgm_event wgm_record_heartbeat(wgm_members* m, wg_time now, const wgm_member* heartbeat) {
     wgm_member* member = _wgm_find(m, heartbeat->name);
     wgm_event event = WGM_EVENT_DEFAULT;
     if (!member) {
@@ -103,7 +103,7 @@
     } else if (member->incarnation != heartbeat->incarnation) {
         _wgm_retire(member);
         event = WGM_EVENT_RESTARTED;
-    } else if (member->state == WGM_STATE_GONE) {
+    } else if (member->state == WGM_STATE_UNREACHABLE) {
         event = WGM_EVENT_UP;
     } else if (member->state == WGM_STATE_UP && heartbeat->state == WGM_STATE_LEAVING) {
         event = WGM_EVENT_LEAVING;
@@ -117,22 +117,23 @@
     member->state = still_leaving ? WGM_STATE_LEAVING : heartbeat->state;
     wg_copy_name(member->address, sizeof member->address, heartbeat->address);
     wg_copy_name(member->data_centre, sizeof member->data_centre, heartbeat->data_centre);
-    member->heard_at = now;
+    member->last_contact_at = now;
     return event;
 }
 
-void wgm_spare(wgm_members* m, wg_time now, wg_time time) {
+void wgm_extend_deadlines(wgm_members* m, wg_time now, wg_time time) {
     for (int i = 0; i < m->num; i++) {
         wgm_member* member = &m->items[i];
-        member->heard_at = MIN(member->heard_at + time, now);
+        member->last_contact_at = MIN(member->last_contact_at + time, now);
     }
 }
 
 const wgm_member* wgm_tick(wgm_members* m, wg_time now) {
     for (int i = 0; i < m->num; i++) {
         wgm_member* member = &m->items[i];
-        if (member->state != WGM_STATE_GONE && now - member->heard_at > m->desc.gone_after) {
-            member->state = WGM_STATE_GONE;
+        if (member->state != WGM_STATE_UNREACHABLE &&
+            now - member->last_contact_at > m->desc.gone_after) {
+            member->state = WGM_STATE_UNREACHABLE;
             member->version = ++m->version;
             return member;
         }
@@ -169,8 +170,8 @@
     return m->version;
 }
 
-int wgm_entry(const wgm_members* m, const char* workspace, const char* data_centre, int spread,
-              const wgm_member** list, int list_max) {
+int wgm_pick_entry_hosts(const wgm_members* m, const char* workspace, const char* data_centre,
+                         int spread, const wgm_member** list, int list_max) {
     uint64_t seed = wg_hash(workspace, strlen(workspace), 0);
     _wgm_scored_t* scored = g_new(_wgm_scored_t, m->num + 1);
     int num = 0;
@@ -201,7 +202,7 @@
     for (int i = 0; i < m->num; i++) {
         stats.up += m->items[i].state == WGM_STATE_UP;
         stats.leaving += m->items[i].state == WGM_STATE_LEAVING;
-        stats.gone += m->items[i].state == WGM_STATE_GONE;
+        stats.unreachable += m->items[i].state == WGM_STATE_UNREACHABLE;
     }
     return stats;
 }
--- a/lib/member/wg_member.h
+++ b/lib/member/wg_member.h
@@ -16,9 +16,9 @@
 
     USE
         1. wgm_members* m = wgm_setup(&(wgm_desc){.members_max = 512}, &error);
-        2. leader: wgm_heard(m, now, &member); gone = wgm_tick(m, now);
+        2. leader: wgm_record_heartbeat(m, now, &member); gone = wgm_tick(m, now);
         3. copy:   wgm_put(m, &member);
-        4. num = wgm_entry(m, "ham-dakar", "plateau", 3, list, 8);
+        4. num = wgm_pick_entry_hosts(m, "ham-dakar", "plateau", 3, list, 8);
         5. wgm_shutdown(m);
 
     THE CALLER OWNS
@@ -37,7 +37,7 @@
     WGM_STATE_DEFAULT = 0,
     WGM_STATE_UP,
     WGM_STATE_LEAVING, /* completes its requests, gets no new ones */
-    WGM_STATE_GONE,
+    WGM_STATE_UNREACHABLE,
     WGM_STATE_NUM
 } wgm_state;
 
@@ -47,8 +47,8 @@
     char data_centre[WG_NAME_MAX];
     uint64_t incarnation;
     wgm_state state;
-    uint64_t version; /* version of the last change */
-    wg_time heard_at; /* leader only: time of the last heartbeat */
+    uint64_t version;        /* version of the last change */
+    wg_time last_contact_at; /* leader only: time of the last heartbeat */
     uint64_t retired[WGM_RETIRED_MAX];
 } wgm_member;
 
@@ -70,7 +70,7 @@
 typedef struct {
     int up;
     int leaving;
-    int gone;
+    int unreachable;
 } wgm_stats;
 
 typedef struct wgm_members wgm_members;
@@ -79,10 +79,10 @@
 wgm_members* wgm_setup(const wgm_desc* desc, GError** error);
 void wgm_shutdown(wgm_members* members);
 /* Leader: records a heartbeat. Uses name, address, data_centre, incarnation and state. */
-wgm_event wgm_heard(wgm_members* members, wg_time now, const wgm_member* heartbeat);
+wgm_event wgm_record_heartbeat(wgm_members* members, wg_time now, const wgm_member* heartbeat);
 /* Leader: extends all deadlines by `time` after a stall of this process: heartbeats were not read
    meanwhile. */
-void wgm_spare(wgm_members* members, wg_time now, wg_time time);
+void wgm_extend_deadlines(wgm_members* members, wg_time now, wg_time time);
 /* Leader: marks routers without recent heartbeats as gone. Returns one of them per call, or
    NULL. */
 const wgm_member* wgm_tick(wgm_members* members, wg_time now);
@@ -97,6 +97,6 @@
 /* Fills `list` with entry hosts for a workspace: `spread` routers (0: default) by rendezvous
    hashing, those of `data_centre` first. Only routers that are up are included. Returns the number
    of hosts. */
-int wgm_entry(const wgm_members* members, const char* workspace, const char* data_centre,
-              int spread, const wgm_member** list, int list_max);
+int wgm_pick_entry_hosts(const wgm_members* members, const char* workspace, const char* data_centre,
+                         int spread, const wgm_member** list, int list_max);
 wgm_stats wgm_query_stats(const wgm_members* members);
--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -72,7 +72,7 @@
 }
 
 static wg_time _wgp_backoff_until(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
-    return wg_backoff_free_at(p->backoff, now, _wgp_backoff_key(t));
+    return wg_backoff_ends_at(p->backoff, now, _wgp_backoff_key(t));
 }
 
 static bool _wgp_may_send(const wgp_place* p, const _wgp_target_t* t, wg_time now) {
@@ -83,10 +83,10 @@
     if (!_wgp_may_send(p, t, now)) {
         return false;
     }
-    if (t->info.aside_until == 0) {
+    if (t->info.ejected_until == 0) {
         return true;
     }
-    return now >= t->info.aside_until && !t->probing;
+    return now >= t->info.ejected_until && !t->probing;
 }
 
 static bool _wgp_lease_holds(const wgp_place* p, wg_time now) {
@@ -202,7 +202,7 @@
             continue;
         }
         /* One slot is kept for the probe request. */
-        bool probe_only = t->info.aside_until != 0 || t->info.rested;
+        bool probe_only = t->info.ejected_until != 0 || t->info.backed_off;
         int kept = !t->live || _wgp_is_draining(t) ? 0 : probe_only ? 1 : INT_MAX;
         if (_wgp_idle(t) > kept) {
             _wgp_release_slots(p, t, _wgp_idle(t) - kept);
@@ -231,18 +231,18 @@
     bool changed = !_wgp_is_draining(t);
     t->reported_draining = true;
     _wgp_release_idle(p, t->info.service);
-    return changed ? WGP_EVENT_LEAVING : WGP_EVENT_DEFAULT;
+    return changed ? WGP_EVENT_DRAINING : WGP_EVENT_DEFAULT;
 }
 
 static wgp_event _wgp_eject(wgp_place* p, wg_time now, _wgp_target_t* t) {
     int shift = MIN(t->ejections, 16);
     wg_time wait = MIN(p->desc.ejection_min << shift, p->desc.ejection_max);
     t->ejections++;
-    t->info.aside_until =
+    t->info.ejected_until =
         now + wait / 2 + wg_jitter_range(p->desc.seed, p->counter++, 0, MAX(wait / 2, 1));
     p->report_due = true; /* the leader needs a report even if no slot was released */
     _wgp_release_idle(p, t->info.service);
-    return WGP_EVENT_ASIDE;
+    return WGP_EVENT_EJECTED;
 }
 
 /* ---- public functions --------------------------------------------------------------------- */
@@ -253,7 +253,7 @@
         {"wgp_desc.prefixes_max", desc->prefixes_max, 0},
         {"wgp_desc.ejection_min", desc->ejection_min, 0},
         {"wgp_desc.ejection_max", desc->ejection_max, 0},
-        {"wgp_desc.rest_max", desc->rest_max, 0},
+        {"wgp_desc.rest_max", desc->backoff_max, 0},
         {"wgp_desc.failures", desc->failures, 0},
         {"wgp_desc.reserve", desc->reserve, 0},
     };
@@ -265,8 +265,9 @@
     p->targets = g_new0(_wgp_target_t, p->desc.targets_max);
     p->prefixes = g_new0(_wgp_prefix_t, p->desc.prefixes_max);
     p->by_id = g_hash_table_new(g_direct_hash, g_direct_equal);
-    p->backoff = wg_backoff_setup(&(wg_backoff_desc){
-        .targets_max = p->desc.targets_max, .rest_max = p->desc.rest_max, .seed = p->desc.seed});
+    p->backoff = wg_backoff_setup(&(wg_backoff_desc){.targets_max = p->desc.targets_max,
+                                                     .backoff_max = p->desc.backoff_max,
+                                                     .seed = p->desc.seed});
     return p;
 }
 
@@ -370,7 +371,7 @@
     p->lease_until = 0;
 }
 
-bool wgp_take_given_back(wgp_place* p) {
+bool wgp_take_report_due(wgp_place* p) {
     bool report_due = p->report_due;
     p->report_due = false;
     return report_due;
@@ -423,7 +424,7 @@
         t->in_reserve += choice->reserve ? 1 : 0;
         t->sent_since_report++;
         t->info.requests++;
-        t->probing = t->info.aside_until != 0;
+        t->probing = t->info.ejected_until != 0;
     }
 }
 
@@ -442,28 +443,28 @@
     /* A request that fails during a backoff period was sent before it, or held back: it does not
        count against the target. */
     bool in_backoff = _wgp_backoff_until(p, t, now) > 0;
-    if (result == WGP_RESULT_CANCELLED || (result == WGP_RESULT_BAD && in_backoff)) {
+    if (result == WGP_RESULT_CANCELLED || (result == WGP_RESULT_FAILED && in_backoff)) {
         return WGP_EVENT_DEFAULT;
     }
-    if (result == WGP_RESULT_GOOD) {
-        bool was_ejected = t->info.aside_until != 0;
-        p->report_due = p->report_due || was_ejected || (t->info.rested && !in_backoff);
-        t->info.rested = t->info.rested && in_backoff;
+    if (result == WGP_RESULT_SUCCESS) {
+        bool was_ejected = t->info.ejected_until != 0;
+        p->report_due = p->report_due || was_ejected || (t->info.backed_off && !in_backoff);
+        t->info.backed_off = t->info.backed_off && in_backoff;
         t->consecutive_failures = 0;
-        t->info.aside_until = 0;
+        t->info.ejected_until = 0;
         t->ejections = was_ejected ? t->ejections : 0;
-        return was_ejected ? WGP_EVENT_BACK : WGP_EVENT_DEFAULT;
+        return was_ejected ? WGP_EVENT_RESTORED : WGP_EVENT_DEFAULT;
     }
     t->info.failures++;
     t->consecutive_failures++;
-    bool ejected = t->info.aside_until > now;
+    bool ejected = t->info.ejected_until > now;
     if (was_probing || (t->consecutive_failures >= p->desc.failures && !ejected)) {
         return _wgp_eject(p, now, t);
     }
     return WGP_EVENT_DEFAULT;
 }
 
-void wgp_note_load(wgp_place* p, uint32_t target, int running) {
+void wgp_update_load(wgp_place* p, uint32_t target, int running) {
     _wgp_target_t* t = _wgp_find(p, target);
     if (t) {
         t->info.reported = running;
@@ -471,32 +472,32 @@
     }
 }
 
-wgp_event wgp_note_leaving(wgp_place* p, uint32_t target) {
+wgp_event wgp_record_draining(wgp_place* p, uint32_t target) {
     _wgp_target_t* t = _wgp_find(p, target);
     return t ? _wgp_set_draining(p, t) : WGP_EVENT_DEFAULT;
 }
 
-wgp_event wgp_note_answer(wgp_place* p, wg_time now, uint32_t target, const wg_backoff_wish* hint,
-                          int64_t unix_time) {
+wgp_event wgp_record_answer(wgp_place* p, wg_time now, uint32_t target, const wg_backoff_hint* hint,
+                            int64_t unix_time) {
     _wgp_target_t* t = _wgp_find(p, target);
     if (!t) {
         return WGP_EVENT_DEFAULT;
     }
-    wg_backoff_wish backoff_only = *hint;
-    backoff_only.leaving =
-        false; /* see wgp_note_leaving(): rows and host lists can revoke draining */
-    wg_backoff_news outcome =
-        wg_backoff_note(p->backoff, now, _wgp_backoff_key(t), &backoff_only, unix_time);
-    if (!outcome.rests) {
+    wg_backoff_hint backoff_only = *hint;
+    backoff_only.draining =
+        false; /* see wgp_record_draining(): rows and host lists can revoke draining */
+    wg_backoff_update outcome =
+        wg_backoff_record(p->backoff, now, _wgp_backoff_key(t), &backoff_only, unix_time);
+    if (!outcome.backoff_started) {
         return WGP_EVENT_DEFAULT;
     }
-    t->info.rested = true;
+    t->info.backed_off = true;
     p->report_due = true; /* the leader can assign the slots to other routers */
     _wgp_release_idle(p, t->info.service);
-    return WGP_EVENT_RESTS;
+    return WGP_EVENT_BACKOFF;
 }
 
-wgp_event wgp_note_host(wgp_place* p, const char* address, bool draining, uint64_t list_version) {
+wgp_event wgp_update_host(wgp_place* p, const char* address, bool draining, uint64_t list_version) {
     wgp_event event = WGP_EVENT_DEFAULT;
     for (int i = 0; i < p->targets_num; i++) {
         _wgp_target_t* t = &p->targets[i];
@@ -515,7 +516,7 @@
     return event;
 }
 
-void wgp_note_prefix(wgp_place* p, uint64_t prefix, uint32_t target) {
+void wgp_record_prefix(wgp_place* p, uint64_t prefix, uint32_t target) {
     if (prefix != 0) {
         *_wgp_prefix_entry(p, prefix) = (_wgp_prefix_t){.prefix = prefix, .target = target};
     }
@@ -538,7 +539,7 @@
     return t && _wgp_is_usable(p, t, now);
 }
 
-wg_time wgp_back_at(const wgp_place* p, wg_time now, uint32_t service) {
+wg_time wgp_backoff_ends_at(const wgp_place* p, wg_time now, uint32_t service) {
     wg_time backoff_end = WG_TIME_NEVER;
     for (int i = 0; i < p->targets_num; i++) {
         const _wgp_target_t* t = &p->targets[i];
@@ -551,7 +552,7 @@
 
 static void _wgp_fill_info(const _wgp_target_t* t, wgp_target_info* info) {
     *info = t->info;
-    info->leaving = _wgp_is_draining(t);
+    info->draining = _wgp_is_draining(t);
 }
 
 bool wgp_query_target(const wgp_place* p, int i, wgp_target_info* info) {
--- a/lib/place/wg_place.h
+++ b/lib/place/wg_place.h
@@ -23,7 +23,7 @@
         2. wgp_config_begin(p); wgp_config_target(...); wgp_config_end(p);
         3. wgp_add_slots(p, target, num); wgp_set_quota(p, service, max); wgp_set_lease(p, until);
         4. if (wgp_pick(p, now, &(wgp_request){.service = id}, &choice)) wgp_sent(p, &choice);
-        5. wgp_done(p, now, &choice, WGP_RESULT_GOOD);
+        5. wgp_done(p, now, &choice, WGP_RESULT_SUCCESS);
         6. wgp_shutdown(p);
 
     THE CALLER OWNS
@@ -49,7 +49,7 @@
     int failures;
     wg_time ejection_min;
     wg_time ejection_max;
-    wg_time rest_max; /* longest backoff that a target may request; 0: default of wg_backoff */
+    wg_time backoff_max; /* longest backoff that a target may request; 0: default of wg_backoff */
     int reserve;
     char data_centre[WG_NAME_MAX];
 } wgp_desc;
@@ -69,8 +69,8 @@
 
 typedef enum {
     WGP_RESULT_DEFAULT = 0,
-    WGP_RESULT_GOOD,
-    WGP_RESULT_BAD,       /* connection refused or aborted, timeout, or 5xx from the target */
+    WGP_RESULT_SUCCESS,
+    WGP_RESULT_FAILED,    /* connection refused or aborted, timeout, or 5xx from the target */
     WGP_RESULT_CANCELLED, /* ended by the router; no evidence of the target's health */
     WGP_RESULT_NUM
 } wgp_result;
@@ -78,10 +78,10 @@
 /* State change of a target, for the caller's log. */
 typedef enum {
     WGP_EVENT_DEFAULT = 0,
-    WGP_EVENT_ASIDE,
-    WGP_EVENT_BACK,
-    WGP_EVENT_LEAVING,
-    WGP_EVENT_RESTS,
+    WGP_EVENT_EJECTED,
+    WGP_EVENT_RESTORED,
+    WGP_EVENT_DRAINING,
+    WGP_EVENT_BACKOFF,
     WGP_EVENT_NUM
 } wgp_event;
 
@@ -92,9 +92,9 @@
     int leased;
     int in_use;
     int reported; /* running requests as last reported by the target, all routers */
-    bool leaving;
-    wg_time aside_until; /* when the next probe may be sent; 0: not ejected */
-    bool rested; /* requested backoff and has not served this router since the period ended */
+    bool draining;
+    wg_time ejected_until; /* when the next probe may be sent; 0: not ejected */
+    bool backed_off; /* requested backoff and has not served this router since the period ended */
     uint64_t requests;
     uint64_t failures;
     char name[WG_NAME_MAX];
@@ -134,7 +134,7 @@
 /* Drops all slots and quotas, after the leases ended. */
 void wgp_clear_slots(wgp_place* place);
 /* Whether slots were released, or a target was ejected or restored, since the last call. */
-bool wgp_take_given_back(wgp_place* place);
+bool wgp_take_report_due(wgp_place* place);
 
 /* Whether a request of the service could start now. `reserve`: whether an urgent one could. */
 bool wgp_has_room(const wgp_place* place, wg_time now, uint32_t service, bool reserve);
@@ -143,17 +143,17 @@
 void wgp_sent(wgp_place* place, const wgp_choice* choice);
 wgp_event wgp_done(wgp_place* place, wg_time now, const wgp_choice* choice, wgp_result result);
 /* Updates the number of requests that the target reports as running, for all routers. */
-void wgp_note_load(wgp_place* place, uint32_t target, int running);
+void wgp_update_load(wgp_place* place, uint32_t target, int running);
 /* Records that the target announced in an answer that it is draining. */
-wgp_event wgp_note_leaving(wgp_place* place, uint32_t target);
+wgp_event wgp_record_draining(wgp_place* place, uint32_t target);
 /* Applies the backoff hint of an answer; `unix_time` in seconds. Its draining flag is ignored. */
-wgp_event wgp_note_answer(wgp_place* place, wg_time now, uint32_t target,
-                          const wg_backoff_wish* hint, int64_t unix_time);
+wgp_event wgp_record_answer(wgp_place* place, wg_time now, uint32_t target,
+                            const wg_backoff_hint* hint, int64_t unix_time);
 /* Applies one entry of the platform's host list of version `list_version`. */
-wgp_event wgp_note_host(wgp_place* place, const char* address, bool draining,
-                        uint64_t list_version);
+wgp_event wgp_update_host(wgp_place* place, const char* address, bool draining,
+                          uint64_t list_version);
 /* Records that a target processed a prefix. */
-void wgp_note_prefix(wgp_place* place, uint64_t prefix, uint32_t target);
+void wgp_record_prefix(wgp_place* place, uint64_t prefix, uint32_t target);
 /* Records that a target dropped a prefix from its cache. */
 void wgp_forget_prefix(wgp_place* place, uint64_t prefix, uint32_t target);
 
@@ -165,7 +165,7 @@
 bool wgp_is_usable(const wgp_place* place, wg_time now, uint32_t target);
 /* Earliest end of a backoff period when all targets of a service that are not draining are in
    backoff; 0 when one is not, or when there is no such target. */
-wg_time wgp_back_at(const wgp_place* place, wg_time now, uint32_t service);
+wg_time wgp_backoff_ends_at(const wgp_place* place, wg_time now, uint32_t service);
 /* Target at index `i`; false past the end. */
 bool wgp_query_target(const wgp_place* place, int i, wgp_target_info* info);
 bool wgp_query_target_id(const wgp_place* place, uint32_t id, wgp_target_info* info);
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -38,17 +38,17 @@
     if (!t->counts) {
         return 1;
     }
-    double tolerance = wg_fair_patience(t->used, t->levels);
-    return tolerance < 1 ? tolerance * wg_fair_trust(t->margin) : 1;
+    double tolerance = wg_fair_wait_tolerance(t->used, t->levels);
+    return tolerance < 1 ? tolerance * wg_fair_confidence(t->margin) : 1;
 }
 
-wg_time wg_policy_wait(wg_time objective) {
+wg_time wg_policy_queue_time_max(wg_time objective) {
     return MAX(objective * _WG_POLICY_WAIT_PERCENT / 100, _WG_POLICY_WAIT_MIN);
 }
 
 wg_time wg_policy_limit(const wg_policy_terms* t, wg_time now) {
     wg_time left = t->started + t->objective - now;
-    double confidence = wg_fair_trust(t->margin);
+    double confidence = wg_fair_confidence(t->margin);
     double limit = _WG_POLICY_LIMIT * (_WG_POLICY_NO_CONFIDENCE_FACTOR +
                                        (1 - _WG_POLICY_NO_CONFIDENCE_FACTOR) * confidence);
     return (wg_time)(limit * (double)MIN(left, t->tightest));
@@ -61,13 +61,13 @@
 }
 
 wg_admit_limits wg_policy_limits(const wg_policy_terms* t, wg_time now) {
-    double whole = (double)wg_policy_limit(t, now);
+    double total = (double)wg_policy_limit(t, now);
     double tolerance = _wg_policy_tolerance(t);
     double factor = t->relaxed ? _WG_POLICY_RELAXED_FACTOR : 1;
     double large = _WG_POLICY_LARGE_LIMIT * (double)t->tightest;
     bool behind = t->counts && wg_fair_is_behind(t->used, t->levels);
-    return (wg_admit_limits){.whole = (wg_time)(factor * whole),
-                             .ahead = (wg_time)(factor * tolerance * whole),
+    return (wg_admit_limits){.total = (wg_time)(factor * total),
+                             .ahead = (wg_time)(factor * tolerance * total),
                              .ahead_large = (wg_time)(factor * tolerance * large),
                              .spares_shared = tolerance < 1 && !behind};
 }
@@ -78,15 +78,15 @@
     return all ? 1 : _WG_POLICY_SLOTS_MIN + _WG_POLICY_SLOTS_SPAN * tolerance;
 }
 
-bool wg_policy_may_spill(const wg_policy_terms* t) {
+bool wg_policy_may_spill_over(const wg_policy_terms* t) {
     return t->counts && _wg_policy_tolerance(t) >= 1;
 }
 
-bool wg_policy_is_modest(const wg_policy_terms* t) {
-    return t->counts && wg_fair_is_modest(t->used, t->levels);
+bool wg_policy_may_be_late(const wg_policy_terms* t) {
+    return t->counts && wg_fair_is_far_below_share(t->used, t->levels);
 }
 
-int wg_policy_asks_max(const wg_policy_terms* t) {
+int wg_policy_admission_requests_max(const wg_policy_terms* t) {
     double tolerance = t->sent_before ? 1 : _wg_policy_tolerance(t);
     if (tolerance <= 0) {
         return 0;
@@ -105,7 +105,7 @@
 /* Callers that return before the end of the backoff period would be refused again. All of them
    wait for the same moment, so each gets a random offset, limited so that the caller can still be
    served. */
-wg_time wg_policy_retry_after_rest(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
+wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
     wg_time max_wait = MAX(left, 0) / _WG_POLICY_HONOURED_DIVISOR;
     wg_time jitter = wg_policy_retry_after(seed, counter);
     wg_time spread = wg_jitter_range(seed, counter, max_wait * 4 / 5, max_wait);
--- a/lib/policy/wg_policy.h
+++ b/lib/policy/wg_policy.h
@@ -39,7 +39,7 @@
 } wg_policy_terms;
 
 /* Longest time that a request may be queued on this host before it is refused. */
-wg_time wg_policy_wait(wg_time objective);
+wg_time wg_policy_queue_time_max(wg_time objective);
 /* Longest expected wait for the first event at which the request is sent. */
 wg_time wg_policy_limit(const wg_policy_terms* terms, wg_time now);
 /* Longest expected time to the answer at which a request without a prompt is sent. */
@@ -48,15 +48,15 @@
 /* Fraction of a target's slots that may be in use before this request. */
 double wg_policy_slots_share(const wg_policy_terms* terms);
 /* True if the request may spill over to a target that has to compute its shared parts again. */
-bool wg_policy_may_spill(const wg_policy_terms* terms);
+bool wg_policy_may_spill_over(const wg_policy_terms* terms);
 /* True if the request is sent late rather than refused. */
-bool wg_policy_is_modest(const wg_policy_terms* terms);
+bool wg_policy_may_be_late(const wg_policy_terms* terms);
 /* Maximum number of admissions requested in one try; 0: the request is not sent. */
-int wg_policy_asks_max(const wg_policy_terms* terms);
+int wg_policy_admission_requests_max(const wg_policy_terms* terms);
 /* Microseconds between two tries of a queued request. */
 wg_time wg_policy_try_gap(const wg_policy_terms* terms);
 /* Returns a random time in microseconds after which a refused caller may retry. */
 wg_time wg_policy_retry_after(uint64_t seed, uint64_t counter);
 /* Like wg_policy_retry_after() while all targets are in backoff for `rest` microseconds, for a
    caller that has `left` microseconds until its deadline. */
-wg_time wg_policy_retry_after_rest(uint64_t seed, uint64_t counter, wg_time rest, wg_time left);
+wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time rest, wg_time left);
--- a/lib/quarantine/wg_quarantine.c
+++ b/lib/quarantine/wg_quarantine.c
@@ -127,7 +127,7 @@
     return true;
 }
 
-bool wg_quarantine_holds(const wg_quarantine* q, uint64_t fingerprint) {
+bool wg_quarantine_contains(const wg_quarantine* q, uint64_t fingerprint) {
     return wg_quarantine_find(q, fingerprint) != NULL;
 }
 
@@ -168,7 +168,7 @@
     _wg_quarantine_clear(q);
     q->change = change;
     for (size_t i = 0; i < num; i++) {
-        if (!wg_quarantine_holds(q, fingerprints[i])) {
+        if (!wg_quarantine_contains(q, fingerprints[i])) {
             _wg_quarantine_add(q, &(wg_quarantined){.fingerprint = fingerprints[i]});
         }
     }
@@ -210,7 +210,7 @@
     q->change = state ? state->change : 0;
     for (size_t i = 0; state && i < state->n_quarantined; i++) {
         wg_quarantined entry = _wg_quarantined_unpack(state->quarantined[i], now);
-        if (entry.fingerprint != 0 && !wg_quarantine_holds(q, entry.fingerprint)) {
+        if (entry.fingerprint != 0 && !wg_quarantine_contains(q, entry.fingerprint)) {
             _wg_quarantine_add(q, &entry);
         }
     }
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -17,7 +17,7 @@
     USE
         1. wg_quarantine* q = wg_quarantine_setup(&(wg_quarantine_desc){0});
         2. wg_quarantine_apply(q, now, &change, &dropped);     // an agreed change
-        3. wg_quarantine_holds(q, fingerprint);
+        3. wg_quarantine_contains(q, fingerprint);
         4. wg_quarantine_fingerprints(q); at a copy: wg_quarantine_copy(q, change, list, num);
 
     THE CALLER OWNS
@@ -52,8 +52,9 @@
     char path[WG_SUSPECT_PATH_MAX];
     int ends; /* number of targets that crashed while they had the request */
     wg_time until;
-    bool ended_well;  /* for use by the caller: a copy of the request ended well, not agreed yet */
-    wg_time asked_at; /* for use by the caller: when it last proposed the end of the quarantine */
+    bool ended_well; /* for use by the caller: a copy of the request ended well, not agreed yet */
+    wg_time
+        proposed_at; /* for use by the caller: when it last proposed the end of the quarantine */
 } wg_quarantined;
 
 typedef struct {
@@ -70,7 +71,7 @@
    evicted (fingerprint 0: none). */
 bool wg_quarantine_apply(wg_quarantine* quarantine, wg_time now, const Wgpb__Quarantine* change,
                          wg_quarantined* dropped);
-bool wg_quarantine_holds(const wg_quarantine* quarantine, uint64_t fingerprint);
+bool wg_quarantine_contains(const wg_quarantine* quarantine, uint64_t fingerprint);
 /* Returns NULL if the request is not quarantined. */
 wg_quarantined* wg_quarantine_find(const wg_quarantine* quarantine, uint64_t fingerprint);
 /* Returns the entry at index `at`, oldest first; NULL after the last. */
--- a/lib/quarantine/wg_suspects.c
+++ b/lib/quarantine/wg_suspects.c
@@ -105,8 +105,8 @@
     wg_suspects* s = g_new0(wg_suspects, 1);
     s->desc = *desc;
     s->desc.max = desc->max ? desc->max : WG_SUSPECTS_MAX_DEFAULT;
-    s->desc.life =
-        desc->life ? desc->life : WG_SUSPECT_LIFETIME_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
+    s->desc.lifetime =
+        desc->lifetime ? desc->lifetime : WG_SUSPECT_LIFETIME_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
     s->desc.cleared_time = desc->cleared_time
                                ? desc->cleared_time
                                : WG_SUSPECT_CLEARED_DEFAULT_S * (wg_time)WG_USEC_PER_SEC;
@@ -151,7 +151,7 @@
     return cleared->fingerprint == fingerprint && now - cleared->at < s->desc.cleared_time;
 }
 
-void wg_suspects_forget(wg_suspects* s, uint64_t fingerprint) {
+void wg_suspects_remove(wg_suspects* s, uint64_t fingerprint) {
     g_hash_table_remove(s->by_fingerprint, &fingerprint);
 }
 
@@ -160,7 +160,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, s->by_fingerprint);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (now - ((wg_suspect*)value)->last_crash_at >= s->desc.life) {
+        if (now - ((wg_suspect*)value)->last_crash_at >= s->desc.lifetime) {
             g_hash_table_iter_remove(&iter);
         }
     }
--- a/lib/quarantine/wg_suspects.h
+++ b/lib/quarantine/wg_suspects.h
@@ -59,12 +59,12 @@
     int targets_num;
     int weight;
     wg_time last_crash_at; /* time of the last crash */
-    wg_time asked_at;      /* for use by the caller: when it last proposed a quarantine */
+    wg_time proposed_at;   /* for use by the caller: when it last proposed a quarantine */
 } wg_suspect;
 
 typedef struct {
-    int max;      /* maximum number of suspects; default WG_SUSPECTS_MAX_DEFAULT */
-    wg_time life; /* microseconds after the last crash; default WG_SUSPECT_LIFETIME_DEFAULT_S */
+    int max;          /* maximum number of suspects; default WG_SUSPECTS_MAX_DEFAULT */
+    wg_time lifetime; /* microseconds after the last crash; default WG_SUSPECT_LIFETIME_DEFAULT_S */
     /* microseconds for which a request that ended well is no suspect; default
        WG_SUSPECT_CLEARED_DEFAULT_S */
     wg_time cleared_time;
@@ -84,7 +84,7 @@
 bool wg_suspects_clear(wg_suspects* suspects, wg_time now, uint64_t fingerprint);
 bool wg_suspects_ended_well(const wg_suspects* suspects, wg_time now, uint64_t fingerprint);
 /* Drops the evidence against the request without recording that it ended well. */
-void wg_suspects_forget(wg_suspects* suspects, uint64_t fingerprint);
+void wg_suspects_remove(wg_suspects* suspects, uint64_t fingerprint);
 /* Drops expired suspects. */
 void wg_suspects_tick(wg_suspects* suspects, wg_time now);
 int wg_suspects_num(const wg_suspects* suspects);
--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -49,7 +49,7 @@
     int64_t urgent_time; /* virtual time of the urgent requests alone */
     int64_t urgent_cost; /* estimated cost of urgent requests picked recently, decays by halving */
     int64_t all_cost;    /* estimated cost of all requests picked recently, decays by halving */
-    bool changed;        /* since the last wgq_accounts(); the flow is listed in `dirty` */
+    bool changed;        /* since the last wgq_take_accounts(); the flow is listed in `dirty` */
     int64_t average_cost;
     int64_t average_caller_estimate; /* average caller estimate of finished requests */
     wg_time average_run;
@@ -249,7 +249,7 @@
             return _wgq_refuse(q, refusal, WGQ_REFUSAL_TOKENS, after);
         }
     }
-    if (l->rate > 0 && !request->again) {
+    if (l->rate > 0 && !request->retry) {
         double max_tokens = (double)MAX(l->burst, l->rate);
         _wgq_refill(&f->rate_tokens, &f->rate_at, now, (double)l->rate, max_tokens);
         if (f->rate_tokens < 1) {
@@ -264,7 +264,7 @@
 static bool _wgq_admit(wgq_queue* q, wg_time now, _wgq_flow_t* f, const wgq_request* request,
                        wgq_refusal* refusal) {
     wg_time wait = _wgq_flow_wait(f, now);
-    if (!request->again && f->limits.queue > 0 && _wgq_queued(f) >= f->limits.queue) {
+    if (!request->retry && f->limits.queue > 0 && _wgq_queued(f) >= f->limits.queue) {
         bool in_flight_full = f->limits.in_flight > 0 && f->running >= f->limits.in_flight;
         wgq_refusal_code code = in_flight_full ? WGQ_REFUSAL_IN_FLIGHT : WGQ_REFUSAL_QUEUE;
         return _wgq_refuse(q, refusal, code, MAX(wait, f->average_run));
@@ -414,7 +414,7 @@
     if (_wgq_queued(f) == 0) {
         _wgq_activate_flow(q, now, f);
     }
-    _wgq_list_push(q, _wgq_list_of(f, r), slot, request->again);
+    _wgq_list_push(q, _wgq_list_of(f, r), slot, request->retry);
     wg_time leave_at = MIN(request->wait_until, request->deadline - f->average_run);
     _wgq_heap_put(&q->expiry, slot, leave_at);
     q->stats.queued++;
@@ -448,7 +448,7 @@
     }
 }
 
-void wgq_refresh(wgq_queue* q, wg_time now) {
+void wgq_raise_estimates(wgq_queue* q, wg_time now) {
     if (q->average_run <= 0 || q->stats.running == 0) {
         return;
     }
@@ -589,7 +589,7 @@
                          .running = (uint32_t)f->running};
 }
 
-int wgq_accounts(wgq_queue* q, bool all, wgq_account* accounts, int max) {
+int wgq_take_accounts(wgq_queue* q, bool all, wgq_account* accounts, int max) {
     if (all) {
         for (int flow = 0; flow < q->flows_num; flow++) {
             _wgq_mark_dirty(q, flow);
--- a/lib/queue/wg_queue.h
+++ b/lib/queue/wg_queue.h
@@ -22,9 +22,9 @@
         1. wgq_queue* q = wgq_setup(&(wgq_desc){.requests_max = 4096}, &error);
         2. r = wgq_push(q, now, &(wgq_request){.workspace = id, .limits = ...}, &refusal);
         3. while (a slot is free && wgq_pick(q, now, false, &r)) start(r);
-        4. wgq_charge(q, r, tokens);  wgq_refresh(q, now);  wgq_finish(q, now, r, cost);
+        4. wgq_charge(q, r, tokens);  wgq_raise_estimates(q, now);  wgq_finish(q, now, r, cost);
         5. while (wgq_expire(q, now, &r)) refuse it and wgq_drop(q, r);
-        6. wgq_sync() with fleet state from the leader; wgq_accounts() to report to the leader.
+        6. wgq_sync() with fleet state from the leader; wgq_take_accounts() to report to the leader.
         7. wgq_shutdown(q);
 
     THE CALLER OWNS
@@ -58,7 +58,7 @@
     uint32_t workspace; /* row id */
     wgq_limits limits;
     bool urgent;
-    bool again;         /* a retry: exempt from the rate limit, queued at the head */
+    bool retry;         /* a retry: exempt from the rate limit, queued at the head */
     int64_t estimate;   /* expected cost; 0: average of the workspace, else desc.first_cost */
     wg_time wait_until; /* the request expires if it has not started by then */
     wg_time deadline;   /* end of the request, its run time included */
@@ -124,7 +124,7 @@
 void wgq_charge(wgq_queue* queue, wgq_handle handle, int64_t cost_so_far);
 /* Raises the estimates of running requests that have outrun them, by the service's average cost per
    unit of run time. */
-void wgq_refresh(wgq_queue* queue, wg_time now);
+void wgq_raise_estimates(wgq_queue* queue, wg_time now);
 /* Ends a running request with its final cost. */
 void wgq_finish(wgq_queue* queue, wg_time now, wgq_handle handle, int64_t cost);
 /* A waiting request whose time is over; false when there is none. It stays until wgq_drop(). */
@@ -149,7 +149,7 @@
 void wgq_set_weight(wgq_queue* queue, uint32_t workspace, int64_t weight);
 /* Fills in up to `max` accounts that changed since the last call (`all`: every account); returns
    their number. */
-int wgq_accounts(wgq_queue* queue, bool all, wgq_account* accounts, int max);
+int wgq_take_accounts(wgq_queue* queue, bool all, wgq_account* accounts, int max);
 /* Virtual time of a workspace on this router; 0 when the workspace is unknown. */
 uint64_t wgq_query_virtual_time(const wgq_queue* queue, uint32_t workspace);
 wgq_stats wgq_query_stats(const wgq_queue* queue);
--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -115,7 +115,7 @@
         m->log_index = _wgr_last_index(n);
         m->log_term = _wgr_term_at(n, m->log_index);
         m->hint = kind == WGR_CAMPAIGN_FORCED ? 1 : 0;
-        m->life = kind == WGR_CAMPAIGN_START ? _wgr_start_incarnation(n, replica->id) : 0;
+        m->incarnation = kind == WGR_CAMPAIGN_START ? _wgr_start_incarnation(n, replica->id) : 0;
     }
 }
 
@@ -129,7 +129,7 @@
 
 static void _wgr_on_vote(wgr_node* n, wg_time now, const wgr_message* m) {
     bool forced = m->hint == 1;
-    bool just_started = m->life == n->life && !n->promised;
+    bool just_started = m->incarnation == n->incarnation && !n->promised;
     if (!forced && !just_started && _wgr_has_recent_leader(n, now)) {
         n->votes_refused++;
         return; /* ignores the term too: a replica that was partitioned must not depose a leader */
@@ -367,7 +367,7 @@
     n->desc = d;
     n->lease = d.election_min * WGR_LEASE_PERCENT / 100;
     n->role = WGR_ROLE_FOLLOWER;
-    n->life = wg_hash(&d.seed, sizeof d.seed, d.self) | 1;
+    n->incarnation = wg_hash(&d.seed, sizeof d.seed, d.self) | 1;
     n->messages = g_array_new(FALSE, TRUE, sizeof(wgr_message));
     g_array_set_clear_func(n->messages, _wgr_message_free_parts);
     _wgr_log_setup(n, d.restored);
@@ -433,7 +433,7 @@
     case WGR_MESSAGE_TIMEOUT_NOW:
         _wgr_on_timeout_now(n, now, m);
         return;
-    case WGR_MESSAGE_START_ASK:
+    case WGR_MESSAGE_START_QUERY:
         _wgr_on_start_query(n, m);
         return;
     case WGR_MESSAGE_START_REPLY:
@@ -466,7 +466,7 @@
     n->leaving = true;
 }
 
-bool wgr_has_left(const wgr_node* n) {
+bool wgr_leave_is_settled(const wgr_node* n) {
     return n->leave_answered || !_wgr_is_voter(n, n->desc.self);
 }
 
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -82,8 +82,8 @@
     WGR_MESSAGE_SNAPSHOT,
     WGR_MESSAGE_SNAPSHOT_REPLY,
     WGR_MESSAGE_TIMEOUT_NOW, /* the leader asks this replica to start an election immediately */
-    WGR_MESSAGE_START_ASK,   /* asks whether this replica has had contact with a leader since it
-                                started */
+    WGR_MESSAGE_START_QUERY, /* asks whether this replica has had contact with a leader since it
+                              started */
     WGR_MESSAGE_START_REPLY, /* `reject`: the sender has had contact with a leader since it
                                 started */
     WGR_MESSAGE_LEAVE,       /* a voter is about to stop and asks to be removed from the set */
@@ -115,7 +115,7 @@
 typedef struct {
     uint64_t id;
     wg_time length;
-} wgr_silence;
+} wgr_unresponsive;
 
 typedef struct {
     wgr_message_type type;
@@ -130,8 +130,8 @@
     uint64_t hint; /* rejected APPEND_REPLY: last index of the follower */
     wg_time echo;  /* send time of a heartbeat, or number of a START_ASK round; the reply returns it
                       unchanged */
-    uint64_t life; /* incarnation. START_REPLY: of the sender; VOTE: receiver's incarnation, which
-                      may grant the vote without waiting for a lease to end, 0: none */
+    uint64_t incarnation; /* incarnation. START_REPLY: of the sender; VOTE: receiver's incarnation,
+                      which may grant the vote without waiting for a lease to end, 0: none */
     wgr_entry* entries;
     int entries_num;
     uint64_t snapshot_index;
@@ -139,8 +139,9 @@
     uint64_t offset; /* of `chunk` in the snapshot; replies: bytes received */
     uint64_t total;
     GBytes* chunk;
-    wgr_set set;                            /* SNAPSHOT only */
-    wgr_silence silences[WGR_REPLICAS_MAX]; /* APPEND: replicas that don't respond to the leader */
+    wgr_set set; /* SNAPSHOT only */
+    wgr_unresponsive
+        silences[WGR_REPLICAS_MAX]; /* APPEND: replicas that don't respond to the leader */
     int silences_num;
 } wgr_message;
 
@@ -225,18 +226,18 @@
 /* For a planned stop of a leader: ends the lease and asks the most advanced voter to take over.
    Returns false and changes nothing when this replica isn't the leader or no other voter responded
    recently. */
-bool wgr_hand_over(wgr_node* node, wg_time now);
+bool wgr_transfer_leadership(wgr_node* node, wg_time now);
 
 /* Before a planned stop: repeatedly asks the leader to remove this replica from the set.
-   wgr_has_left() is true once that is settled: the replica was removed, was no voter, or has to
-   stay a voter. */
+   wgr_leave_is_settled() is true once that is settled: the replica was removed, was no voter, or
+   has to stay a voter. */
 void wgr_leave(wgr_node* node);
-bool wgr_has_left(const wgr_node* node);
+bool wgr_leave_is_settled(const wgr_node* node);
 
 /* Records that a replica's data folder is lost for good and another id runs in its place, so that
    its votes and leases no longer matter. */
-void wgr_note_gone(wgr_node* node, uint64_t id);
-bool wgr_is_known_gone(const wgr_node* node, uint64_t id);
+void wgr_record_replaced(wgr_node* node, uint64_t id);
+bool wgr_is_replaced(const wgr_node* node, uint64_t id);
 
 /* Fills in the next batch of work; false when there is none. */
 bool wgr_output_next(wgr_node* node, wgr_output* output);
--- a/lib/quorum/wg_quorum_internal.h
+++ b/lib/quorum/wg_quorum_internal.h
@@ -39,7 +39,7 @@
 /* Answer of another replica while this one asks whether all voters have just started. */
 typedef struct {
     uint64_t id;
-    uint64_t life;          /* incarnation of the replica; 0: no answer yet */
+    uint64_t incarnation;   /* incarnation of the replica; 0: no answer yet */
     wg_time known_round;    /* round in which this incarnation was first seen */
     wg_time answered_round; /* newest round that the replica answered */
     uint64_t log_index;
@@ -104,7 +104,7 @@
     int votes_num;
 
     /* start: wg_quorum_start.c */
-    uint64_t life;   /* random id of this process incarnation */
+    uint64_t incarnation; /* random id of this process incarnation */
     bool promised;   /* in this incarnation the replica has been leader or in contact with one */
     bool start_done; /* no more START_ASK rounds in this incarnation */
     wg_time start_next_at;
--- a/lib/quorum/wg_quorum_leader.c
+++ b/lib/quorum/wg_quorum_leader.c
@@ -272,7 +272,7 @@
     return _wgr_last_index(n);
 }
 
-bool wgr_hand_over(wgr_node* n, wg_time now) {
+bool wgr_transfer_leadership(wgr_node* n, wg_time now) {
     if (n->role != WGR_ROLE_LEADER || n->transferring) {
         return false;
     }
--- a/lib/quorum/wg_quorum_silence.c
+++ b/lib/quorum/wg_quorum_silence.c
@@ -31,7 +31,7 @@
         const _wgr_peer_t* peer = &n->peers[i];
         wg_time length = now - MAX(peer->acked_at, peer->unresponsive_since);
         if (length >= n->desc.election_min) {
-            m->silences[m->silences_num++] = (wgr_silence){.id = peer->id, .length = length};
+            m->silences[m->silences_num++] = (wgr_unresponsive){.id = peer->id, .length = length};
         }
     }
 }
@@ -39,7 +39,7 @@
 void _wgr_unresponsive_update(wgr_node* n, wg_time now, const wgr_message* m) {
     n->unresponsive_num = 0;
     for (int i = 0; i < m->silences_num; i++) {
-        const wgr_silence* reported = &m->silences[i];
+        const wgr_unresponsive* reported = &m->silences[i];
         if (reported->id != n->desc.self && reported->length > 0) {
             n->unresponsive[n->unresponsive_num++] = (_wgr_unresponsive_t){
                 .id = reported->id, .last_contact_at = now - reported->length};
--- a/lib/quorum/wg_quorum_start.c
+++ b/lib/quorum/wg_quorum_start.c
@@ -67,7 +67,7 @@
     _wgr_start_expect(n, &n->snapshot_set);
     for (int i = 0; i < n->start_replies_num; i++) {
         _wgr_unresponsive_await(n, now, n->start_replies[i].id);
-        wgr_message* m = _wgr_send(n, WGR_MESSAGE_START_ASK, n->start_replies[i].id);
+        wgr_message* m = _wgr_send(n, WGR_MESSAGE_START_QUERY, n->start_replies[i].id);
         m->echo = n->start_round;
     }
 }
@@ -103,7 +103,7 @@
 
 static bool _wgr_start_knows_all(const wgr_node* n) {
     for (int i = 0; i < n->start_replies_num; i++) {
-        if (n->start_replies[i].life == 0) {
+        if (n->start_replies[i].incarnation == 0) {
             return false;
         }
     }
@@ -115,7 +115,7 @@
 uint64_t _wgr_start_incarnation(const wgr_node* n, uint64_t id) {
     for (int i = 0; i < n->start_replies_num; i++) {
         if (n->start_replies[i].id == id) {
-            return n->start_replies[i].life;
+            return n->start_replies[i].incarnation;
         }
     }
     return 0;
@@ -135,7 +135,7 @@
 void _wgr_on_start_query(wgr_node* n, const wgr_message* m) {
     wgr_message* reply = _wgr_send(n, WGR_MESSAGE_START_REPLY, m->from);
     reply->echo = m->echo;
-    reply->life = n->life;
+    reply->incarnation = n->incarnation;
     reply->reject = n->promised;
     reply->log_index = _wgr_last_index(n);
     reply->log_term = _wgr_term_at(n, reply->log_index);
@@ -151,8 +151,8 @@
         return;
     }
     bool knew_all = _wgr_start_knows_all(n);
-    if (other->life != m->life) {
-        other->life = m->life;
+    if (other->incarnation != m->incarnation) {
+        other->incarnation = m->incarnation;
         other->known_round = n->start_round;
     }
     other->answered_round = MAX(other->answered_round, m->echo);
@@ -168,7 +168,7 @@
 
 /* ---- public functions ---------------------------------------------------------------------- */
 
-void wgr_note_gone(wgr_node* n, uint64_t id) {
+void wgr_record_replaced(wgr_node* n, uint64_t id) {
     if (id == 0 || _wgr_start_is_replaced(n, id) ||
         n->replaced_ids_num == G_N_ELEMENTS(n->replaced_ids)) {
         return;
@@ -182,6 +182,6 @@
     }
 }
 
-bool wgr_is_known_gone(const wgr_node* n, uint64_t id) {
+bool wgr_is_replaced(const wgr_node* n, uint64_t id) {
     return _wgr_start_is_replaced(n, id);
 }
--- a/lib/registry/wg_registry.c
+++ b/lib/registry/wg_registry.c
@@ -23,7 +23,7 @@
 /* ---- helpers ------------------------------------------------------------------------------- */
 
 static bool wg_target_ended(const wg_target* target) {
-    return target->state == WG_TARGET_GONE;
+    return target->state == WG_TARGET_REMOVED;
 }
 
 static void wg_registry_record_change(wg_registry* r, wg_target* target) {
@@ -32,7 +32,7 @@
 
 static void wg_registry_end(wg_registry* r, wg_target* target) {
     if (!wg_target_ended(target)) {
-        target->state = WG_TARGET_GONE;
+        target->state = WG_TARGET_REMOVED;
         r->ended++;
         wg_registry_record_change(r, target);
     }
@@ -151,34 +151,34 @@
     g_free(r);
 }
 
-wg_heard wg_registry_hear(wg_registry* r, wg_time now, const wg_target* received) {
+wg_heartbeat_result wg_registry_receive(wg_registry* r, wg_time now, const wg_target* received) {
     wg_target* target = g_hash_table_lookup(r->by_id, received->id);
     if (!target || wg_target_is_later_incarnation(target, received)) {
-        return WG_HEARD_CHANGE;
+        return WG_HEARTBEAT_CHANGED;
     }
     if (wg_target_is_earlier_incarnation(target, received)) {
-        return WG_HEARD_OLD;
+        return WG_HEARTBEAT_OUTDATED;
     }
     if (wg_target_ended(target)) {
         bool revive = received->sequence > target->received_sequence &&
                       wg_registry_may_revive(target, received) &&
                       !wg_registry_holder_is_live(r, now, target);
-        return revive ? WG_HEARD_CHANGE : WG_HEARD_OLD;
+        return revive ? WG_HEARTBEAT_CHANGED : WG_HEARTBEAT_OUTDATED;
     }
-    bool leave = received->state == WG_TARGET_GONE;
+    bool leave = received->state == WG_TARGET_REMOVED;
     uint64_t newest = MAX(target->sequence, target->received_sequence);
     if (!leave && received->sequence <= newest && newest > 0) {
-        return WG_HEARD_OLD;
+        return WG_HEARTBEAT_OUTDATED;
     }
     target->last_contact_at = now;
     bool reverted = target->state == WG_TARGET_DRAINING && received->state == WG_TARGET_READY;
     bool is_changed =
         !wg_target_is_unchanged(target, received) || wg_target_became_cold(target, received, now);
     if (leave || (!reverted && is_changed)) {
-        return WG_HEARD_CHANGE; /* its sequence number counts once the change is agreed on */
+        return WG_HEARTBEAT_CHANGED; /* its sequence number counts once the change is agreed on */
     }
     target->received_sequence = received->sequence;
-    return WG_HEARD_SAME;
+    return WG_HEARTBEAT_UNCHANGED;
 }
 
 static void wg_registry_create(wg_registry* r, wg_time now, const wg_target* record) {
@@ -210,22 +210,22 @@
         return;
     }
     if (wg_target_ended(target) && !wg_registry_may_revive(target, record)) {
-        target->replaced = target->replaced && record->state != WG_TARGET_GONE;
+        target->replaced = target->replaced && record->state != WG_TARGET_REMOVED;
         return;
     }
-    if (record->state == WG_TARGET_GONE) {
+    if (record->state == WG_TARGET_REMOVED) {
         wg_registry_end(r, target);
         wg_registry_prune(r);
         return;
     }
-    if (record->state == WG_TARGET_SILENT) {
+    if (record->state == WG_TARGET_UNRESPONSIVE) {
         /* Applies only to the state it was proposed for: a newer heartbeat wins. */
-        if (record->sequence == target->sequence && target->state != WG_TARGET_SILENT) {
+        if (record->sequence == target->sequence && target->state != WG_TARGET_UNRESPONSIVE) {
             bool draining = target->state == WG_TARGET_DRAINING;
             if (draining) {
                 wg_registry_end(r, target);
             } else {
-                target->state = WG_TARGET_SILENT;
+                target->state = WG_TARGET_UNRESPONSIVE;
                 wg_registry_record_change(r, target);
             }
         }
@@ -300,24 +300,24 @@
     return r->evacuated;
 }
 
-bool wg_registry_takes(const wg_registry* r, const wg_target* target) {
+bool wg_registry_accepts(const wg_registry* r, const wg_target* target) {
     return target->state == WG_TARGET_READY && !wg_registry_is_evacuated(r, target->data_centre);
 }
 
-void wg_registry_hear_all(wg_registry* r, wg_time now) {
+void wg_registry_reset_contacts(wg_registry* r, wg_time now) {
     for (guint i = 0; i < r->records->len; i++) {
         ((wg_target*)r->records->pdata[i])->last_contact_at = now;
     }
 }
 
-void wg_registry_spare(wg_registry* r, wg_time now, wg_time time) {
+void wg_registry_extend_deadlines(wg_registry* r, wg_time now, wg_time time) {
     for (guint i = 0; i < r->records->len; i++) {
         wg_target* target = r->records->pdata[i];
         target->last_contact_at = MIN(target->last_contact_at + time, now);
     }
 }
 
-const wg_target* wg_registry_silent(const wg_registry* r, wg_time now, wg_time limit) {
+const wg_target* wg_registry_find_unresponsive(const wg_registry* r, wg_time now, wg_time limit) {
     for (guint i = 0; i < r->records->len; i++) {
         const wg_target* target = r->records->pdata[i];
         bool live = target->state == WG_TARGET_READY || target->state == WG_TARGET_DRAINING;
@@ -328,7 +328,7 @@
     return NULL;
 }
 
-void wg_registry_note_asked(wg_registry* r, uint32_t number, wg_time now) {
+void wg_registry_record_proposal(wg_registry* r, uint32_t number, wg_time now) {
     wg_target* target = (wg_target*)wg_registry_find(r, number);
     if (target) {
         target->last_contact_at = now;
@@ -447,7 +447,7 @@
                           .change = in->change,
                           .cold_until = cold > 0 ? now + cold : 0,
                           .replaced = in->replaced};
-    return in->id[0] && in->state > WG_TARGET_DEFAULT && in->state <= WG_TARGET_GONE &&
+    return in->id[0] && in->state > WG_TARGET_DEFAULT && in->state <= WG_TARGET_REMOVED &&
            wg_copy_name(target->id, sizeof target->id, in->id) &&
            wg_copy_name(target->service, sizeof target->service, in->service) &&
            wg_copy_name(target->address, sizeof target->address, in->address) &&
--- a/lib/registry/wg_registry.h
+++ b/lib/registry/wg_registry.h
@@ -22,9 +22,9 @@
 
     USE
         1. wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-        2. if (wg_registry_hear(r, now, &record) == WG_HEARD_CHANGE) { agree on it, then }
+        2. if (wg_registry_receive(r, now, &record) == WG_HEARTBEAT_CHANGED) { agree on it, then }
            wg_registry_apply(r, now, &record);
-        3. wg_registry_silent(r, now, limit)   // an unresponsive target
+        3. wg_registry_find_unresponsive(r, now, limit)   // an unresponsive target
         4. wg_registry_changes(r, since, ...)  // for copies; wg_registry_merge() at the copy
 
     THE CALLER OWNS
@@ -51,8 +51,8 @@
     WG_TARGET_READY,
     WG_TARGET_DRAINING,
     /* unresponsive: no recent heartbeat; a newer heartbeat makes it ready again */
-    WG_TARGET_SILENT,
-    WG_TARGET_GONE
+    WG_TARGET_UNRESPONSIVE,
+    WG_TARGET_REMOVED
 } wg_target_state;
 
 /* One incarnation of a target. */
@@ -74,10 +74,10 @@
 } wg_target;
 
 typedef enum {
-    WG_HEARD_OLD = 0, /* outdated, or of an ended incarnation: only acknowledge it */
-    WG_HEARD_SAME,    /* a newer heartbeat without changes */
-    WG_HEARD_CHANGE   /* a change that has to be agreed on before it is acknowledged */
-} wg_heard;
+    WG_HEARTBEAT_OUTDATED = 0, /* outdated, or of an ended incarnation: only acknowledge it */
+    WG_HEARTBEAT_UNCHANGED,    /* a newer heartbeat without changes */
+    WG_HEARTBEAT_CHANGED       /* a change that has to be agreed on before it is acknowledged */
+} wg_heartbeat_result;
 
 typedef struct {
     int ended_max;          /* default WG_REGISTRY_ENDED_DEFAULT */
@@ -96,7 +96,8 @@
 wg_registry* wg_registry_setup(const wg_registry_desc* desc);
 void wg_registry_shutdown(wg_registry* registry);
 /* Classifies a heartbeat or a leave message, and updates the target's last contact. */
-wg_heard wg_registry_hear(wg_registry* registry, wg_time now, const wg_target* received);
+wg_heartbeat_result wg_registry_receive(wg_registry* registry, wg_time now,
+                                        const wg_target* received);
 /* Applies an agreed change; deterministic on every replica. */
 void wg_registry_apply(wg_registry* registry, wg_time now, const wg_target* record);
 /* Applies an agreed evacuation; false if it changes nothing or exceeds
@@ -106,18 +107,19 @@
 /* Returns the names of the evacuated data centres; owned by the registry. */
 const GPtrArray* wg_registry_evacuated(const wg_registry* registry);
 /* True if the target may be sent requests: it is ready, and its data centre is not evacuated. */
-bool wg_registry_takes(const wg_registry* registry, const wg_target* target);
+bool wg_registry_accepts(const wg_registry* registry, const wg_target* target);
 /* Sets the last contact of all targets to `now`, for a new leader that has received no
    heartbeats yet. */
-void wg_registry_hear_all(wg_registry* registry, wg_time now);
+void wg_registry_reset_contacts(wg_registry* registry, wg_time now);
 /* Extends the deadlines of all targets by `time` microseconds, for a stall that ended at `now`. */
-void wg_registry_spare(wg_registry* registry, wg_time now, wg_time time);
+void wg_registry_extend_deadlines(wg_registry* registry, wg_time now, wg_time time);
 /* Returns a ready or draining target without contact for more than `limit` microseconds, or
    NULL. */
-const wg_target* wg_registry_silent(const wg_registry* registry, wg_time now, wg_time limit);
-/* Skips the target in wg_registry_silent() for another limit, after a change of its state was
-   proposed. */
-void wg_registry_note_asked(wg_registry* registry, uint32_t number, wg_time now);
+const wg_target* wg_registry_find_unresponsive(const wg_registry* registry, wg_time now,
+                                               wg_time limit);
+/* Skips the target in wg_registry_find_unresponsive() for another limit, after a change of its
+   state was proposed. */
+void wg_registry_record_proposal(wg_registry* registry, uint32_t number, wg_time now);
 /* Returns the record with the lowest number above `after` (0: the first), or NULL. */
 const wg_target* wg_registry_next(const wg_registry* registry, uint32_t after);
 const wg_target* wg_registry_find(const wg_registry* registry, uint32_t number);
--- a/lib/retry/wg_retry.c
+++ b/lib/retry/wg_retry.c
@@ -24,12 +24,12 @@
     r->tokens = MIN(r->tokens + tokens, wg_retry_cap(rules));
 }
 
-void wg_retry_first(wg_retry* r, const wg_retry_rules* rules) {
+void wg_retry_record_first_send(wg_retry* r, const wg_retry_rules* rules) {
     wg_retry_init(r, rules);
     wg_retry_add(r, WG_RETRY_FIRST_SENDS_SHARE * (double)rules->percent / 100, rules);
 }
 
-void wg_retry_pass(wg_retry* r, wg_time time, const wg_retry_rules* rules) {
+void wg_retry_refill(wg_retry* r, wg_time time, const wg_retry_rules* rules) {
     wg_retry_init(r, rules);
     double part = WG_RETRY_REFILL * (double)rules->slack / MAX(rules->hosts, 1);
     wg_retry_add(r, part * (double)time / (double)rules->window, rules);
--- a/lib/retry/wg_retry.h
+++ b/lib/retry/wg_retry.h
@@ -9,7 +9,7 @@
 
     USE
         1. wg_retry r = {0};
-        2. wg_retry_first(&r, &rules);   // a first send
+        2. wg_retry_record_first_send(&r, &rules);   // a first send
         3. if (wg_retry_take(&r, &rules)) { send again }
 */
 #include "wg_base.h"
@@ -26,8 +26,8 @@
     bool initialized;
 } wg_retry;
 
-void wg_retry_first(wg_retry* retry, const wg_retry_rules* rules);
+void wg_retry_record_first_send(wg_retry* retry, const wg_retry_rules* rules);
 /* Takes one retry from the budget; false if none is left. */
 bool wg_retry_take(wg_retry* retry, const wg_retry_rules* rules);
 /* Refills a part of the slack for the elapsed `time`. */
-void wg_retry_pass(wg_retry* retry, wg_time time, const wg_retry_rules* rules);
+void wg_retry_refill(wg_retry* retry, wg_time time, const wg_retry_rules* rules);
--- a/lib/roster/wg_roster.c
+++ b/lib/roster/wg_roster.c
@@ -19,7 +19,7 @@
 struct wg_roster {
     GPtrArray* hosts;    /* wg_roster_host* */
     GHashTable* by_name; /* name -> wg_roster_host* */
-    GQueue left;         /* wg_roster_removal*, oldest first */
+    GQueue removals;     /* wg_roster_removal*, oldest first */
     uint64_t change;
     uint64_t floor; /* copies older than this change are replaced in full */
 };
@@ -27,12 +27,12 @@
 /* ---- helpers ------------------------------------------------------------------------------- */
 
 static void wg_roster_record_removal(wg_roster* r, const char* name) {
-    wg_roster_removal* left = g_new0(wg_roster_removal, 1);
-    wg_copy_name(left->name, sizeof left->name, name);
-    left->change = ++r->change;
-    g_queue_push_tail(&r->left, left);
-    if (r->left.length > WG_ROSTER_REMOVALS_MAX) {
-        wg_roster_removal* oldest = g_queue_pop_head(&r->left);
+    wg_roster_removal* removal = g_new0(wg_roster_removal, 1);
+    wg_copy_name(removal->name, sizeof removal->name, name);
+    removal->change = ++r->change;
+    g_queue_push_tail(&r->removals, removal);
+    if (r->removals.length > WG_ROSTER_REMOVALS_MAX) {
+        wg_roster_removal* oldest = g_queue_pop_head(&r->removals);
         r->floor = oldest->change;
         g_free(oldest);
     }
@@ -58,7 +58,7 @@
 static void wg_roster_clear(wg_roster* r) {
     g_hash_table_remove_all(r->by_name);
     g_ptr_array_set_size(r->hosts, 0);
-    g_queue_clear_full(&r->left, g_free);
+    g_queue_clear_full(&r->removals, g_free);
 }
 
 /* ---- public functions: leader and copies -------------------------------------------------- */
@@ -67,7 +67,7 @@
     wg_roster* r = g_new0(wg_roster, 1);
     r->hosts = g_ptr_array_new_with_free_func(g_free);
     r->by_name = g_hash_table_new(g_str_hash, g_str_equal);
-    g_queue_init(&r->left);
+    g_queue_init(&r->removals);
     return r;
 }
 
@@ -105,14 +105,14 @@
     r->floor = r->change;
 }
 
-bool wg_roster_hear(wg_roster* r, wg_time now, const wg_roster_host* report) {
+bool wg_roster_record_report(wg_roster* r, wg_time now, const wg_roster_host* report) {
     wg_roster_host* host = g_hash_table_lookup(r->by_name, report->name);
     bool same = host && strcmp(host->address, report->address) == 0 &&
                 strcmp(host->data_centre, report->data_centre) == 0;
     if (!host) {
         host = wg_roster_add(r, report);
     }
-    host->heard_at = now;
+    host->last_contact_at = now;
     if (same) {
         return false;
     }
@@ -132,17 +132,18 @@
     return true;
 }
 
-void wg_roster_spare(wg_roster* r, wg_time now, wg_time time) {
+void wg_roster_extend_deadlines(wg_roster* r, wg_time now, wg_time time) {
     for (guint i = 0; i < r->hosts->len; i++) {
         wg_roster_host* host = r->hosts->pdata[i];
-        host->heard_at = MIN(host->heard_at + time, now);
+        host->last_contact_at = MIN(host->last_contact_at + time, now);
     }
 }
 
-bool wg_roster_drop_silent(wg_roster* r, wg_time now, wg_time limit, char name[WG_NAME_MAX]) {
+bool wg_roster_remove_unresponsive(wg_roster* r, wg_time now, wg_time limit,
+                                   char name[WG_NAME_MAX]) {
     for (guint i = 0; i < r->hosts->len; i++) {
         const wg_roster_host* host = r->hosts->pdata[i];
-        if (now - host->heard_at > limit) {
+        if (now - host->last_contact_at > limit) {
             wg_copy_name(name, WG_NAME_MAX, host->name);
             return wg_roster_leave(r, name);
         }
@@ -152,30 +153,30 @@
 
 wg_roster_difference wg_roster_since(const wg_roster* r, uint64_t since) {
     wg_roster_difference d = {.reset = since < r->floor || since > r->change,
-                              .came = g_ptr_array_new(),
-                              .left = g_ptr_array_new(),
+                              .added = g_ptr_array_new(),
+                              .removed = g_ptr_array_new(),
                               .change = r->change};
     for (guint i = 0; i < r->hosts->len; i++) {
         wg_roster_host* host = r->hosts->pdata[i];
         if (d.reset || host->change > since) {
-            g_ptr_array_add(d.came, host);
+            g_ptr_array_add(d.added, host);
         }
     }
-    for (const GList* at = r->left.tail; at && !d.reset; at = at->prev) {
-        wg_roster_removal* left = at->data;
-        if (left->change <= since) {
+    for (const GList* at = r->removals.tail; at && !d.reset; at = at->prev) {
+        wg_roster_removal* removal = at->data;
+        if (removal->change <= since) {
             break;
         }
-        if (!wg_roster_find(r, left->name)) {
-            g_ptr_array_add(d.left, left->name);
+        if (!wg_roster_find(r, removal->name)) {
+            g_ptr_array_add(d.removed, removal->name);
         }
     }
     return d;
 }
 
 void wg_roster_difference_clear(wg_roster_difference* d) {
-    g_clear_pointer(&d->came, g_ptr_array_unref);
-    g_clear_pointer(&d->left, g_ptr_array_unref);
+    g_clear_pointer(&d->added, g_ptr_array_unref);
+    g_clear_pointer(&d->removed, g_ptr_array_unref);
 }
 
 /* ---- public functions: copies ------------------------------------------------------------- */
--- a/lib/roster/wg_roster_pick.c
+++ b/lib/roster/wg_roster_pick.c
@@ -25,14 +25,14 @@
     for (int i = 0; i < wg_roster_num(r); i++) {
         const wg_roster_host* host = wg_roster_at(r, i);
         bool is_local = strcmp(host->data_centre, q->data_centre) == 0;
-        bool excluded = q->without && strcmp(host->name, q->without) == 0;
+        bool excluded = q->excluded && strcmp(host->name, q->excluded) == 0;
         if (is_local == local && !excluded) {
             wg_roster_ranked entry = {host, wg_hash(host->name, strlen(host->name), q->caller)};
             g_array_append_val(ranked, entry);
         }
     }
     g_array_sort(ranked, wg_roster_compare);
-    guint num = MIN(ranked->len, WG_ROSTER_NAMED_MAX - list->len);
+    guint num = MIN(ranked->len, WG_ROSTER_PICK_MAX - list->len);
     for (guint i = 0; i < num; i++) {
         g_ptr_array_add(list, (gpointer)g_array_index(ranked, wg_roster_ranked, i).host);
     }
@@ -42,7 +42,7 @@
 GPtrArray* wg_roster_pick(const wg_roster* r, const wg_roster_query* query) {
     GPtrArray* list = g_ptr_array_new();
     wg_roster_add_ranked(r, query, true, list);
-    if (list->len < WG_ROSTER_NEAR_ENOUGH) {
+    if (list->len < WG_ROSTER_LOCAL_MIN) {
         wg_roster_add_ranked(r, query, false, list);
     }
     return list;
--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -206,7 +206,7 @@
 static bool _wgro_setup_parts(wgro_router* r, GError** error) {
     const wgro_settings* s = r->settings;
     wgp_desc place = {.seed = r->seed,
-                      .rest_max = s->target_rest_max_s * WG_USEC_PER_SEC,
+                      .backoff_max = s->target_rest_max_s * WG_USEC_PER_SEC,
                       .reserve = (int)s->urgent_reserve};
     wg_copy_name(place.data_centre, sizeof place.data_centre, s->data_centre);
     r->table = wgt_setup(&(wgt_desc){0}, error);
@@ -235,7 +235,7 @@
     wgf_pacer_setup(&r->pacer,
                     &(wgf_pacer_desc){.now = r->started_at,
                                       .interval = r->settings->report_ms * WG_USEC_PER_MSEC,
-                                      .gap = r->settings->report_gap_ms * WG_USEC_PER_MSEC,
+                                      .min_interval = r->settings->report_gap_ms * WG_USEC_PER_MSEC,
                                       .budget = r->settings->budget_bytes});
     if (!_wgro_setup_parts(r, error) || !_wgro_accept_setup(r, error) ||
         !_wgro_operators_setup(r, error) || !_wgro_link_setup(r, error)) {
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -30,7 +30,7 @@
 static json_t* _wgro_entry_list(wgro_router* r, const char* workspace, int spread,
                                 const char* data_centre) {
     const wgm_member* list[64];
-    int num = wgm_entry(r->members, workspace, data_centre, spread, list, 64);
+    int num = wgm_pick_entry_hosts(r->members, workspace, data_centre, spread, list, 64);
     json_t* hosts = json_array();
     for (int i = 0; i < num; i++) {
         if (!(r->stopping && strcmp(list[i]->name, r->settings->name) == 0)) {
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -176,19 +176,20 @@
 /* Applies the backoff that the answer requests from this router. Draining is handled separately. */
 static void _wgro_apply_backoff_hint(const _wgro_attempt_t* attempt, const struct evkeyvalq* in) {
     wgro_router* r = attempt->router;
-    wg_backoff_wish hint = {.status = attempt->status};
+    wg_backoff_hint hint = {.status = attempt->status};
     for (const struct evkeyval* h = in->tqh_first; h; h = h->next.tqe_next) {
         wg_backoff_read_field(&hint, "", (wg_text){h->key, strlen(h->key)},
                               (wg_text){h->value, strlen(h->value)});
     }
     int64_t unix_time = g_get_real_time() / WG_USEC_PER_SEC;
-    if (wgp_note_answer(r->place, wg_now(), attempt->target, &hint, unix_time) == WGP_EVENT_RESTS) {
+    if (wgp_record_answer(r->place, wg_now(), attempt->target, &hint, unix_time) ==
+        WGP_EVENT_BACKOFF) {
         wgp_target_info info;
         wgp_query_target_id(r->place, attempt->target, &info);
         r->counters.backoffs++;
         wg_log(WG_EVENT_TARGET_RESTS, "target=%s rest_ms=%" G_GINT64_FORMAT, info.name,
-               wg_backoff_wish_rest(&hint, unix_time,
-                                    r->settings->target_rest_max_s * WG_USEC_PER_SEC) /
+               wg_backoff_hint_period(&hint, unix_time,
+                                      r->settings->target_rest_max_s * WG_USEC_PER_SEC) /
                    WG_USEC_PER_MSEC);
     }
 }
@@ -198,10 +199,10 @@
     const char* running = evhttp_find_header(in, "Target-Running");
     guint64 number;
     if (running && g_ascii_string_to_unsigned(running, 10, 0, 1000000, &number, NULL)) {
-        wgp_note_load(r->place, attempt->target, (int)number);
+        wgp_update_load(r->place, attempt->target, (int)number);
     }
     if (evhttp_find_header(in, "Target-Leaving") &&
-        wgp_note_leaving(r->place, attempt->target) == WGP_EVENT_LEAVING) {
+        wgp_record_draining(r->place, attempt->target) == WGP_EVENT_DRAINING) {
         wg_log(WG_EVENT_TARGET_LEAVING, "source=answer");
     }
     const char* dropped = evhttp_find_header(in, "Target-Dropped-Prefix");
@@ -344,11 +345,11 @@
     if (call) {
         wgc_event event = {.type = WGC_EVENT_FAILED, .attempt = attempt->number};
         if (answered && attempt->reported_not_run) {
-            event.type = WGC_EVENT_NOT_RUN_SAID;
+            event.type = WGC_EVENT_NOT_RUN_REPORTED;
         } else if (complete) {
-            event.type = WGC_EVENT_WHOLE;
+            event.type = WGC_EVENT_COMPLETE;
             _wgro_read_usage(call, attempt);
-            wgp_note_prefix(r->place, call->prefix, attempt->target);
+            wgp_record_prefix(r->place, call->prefix, attempt->target);
         }
         _wgro_call_event(call, &event);
     }
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -57,10 +57,10 @@
     wg_time now = wg_now();
     if (call->choice.target) {
         wgp_event event = wgp_done(r->place, now, &call->choice, result);
-        if (event == WGP_EVENT_ASIDE || event == WGP_EVENT_BACK) {
+        if (event == WGP_EVENT_EJECTED || event == WGP_EVENT_RESTORED) {
             wgp_target_info info;
             wgp_query_target_id(r->place, call->choice.target, &info);
-            wg_log(event == WGP_EVENT_ASIDE ? WG_EVENT_TARGET_ASIDE : WG_EVENT_TARGET_BACK,
+            wg_log(event == WGP_EVENT_EJECTED ? WG_EVENT_TARGET_ASIDE : WG_EVENT_TARGET_BACK,
                    "target=%s", info.name);
         }
         call->last_target = call->choice.target;
@@ -88,9 +88,9 @@
         return WGP_RESULT_CANCELLED;
     }
     if (action->type == WGC_ACTION_FINISH && call->attempt->status < 500) {
-        return WGP_RESULT_GOOD;
+        return WGP_RESULT_SUCCESS;
     }
-    return call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+    return call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_FAILED;
 }
 
 static wg_time _wgro_retry_after(_wgro_call_t* call) {
@@ -100,7 +100,7 @@
     wg_time now = wg_now();
     const _wgro_service_t* service = _wgro_service_of(call);
     wg_time wait = wgq_expected_wait(service->queue, now, call->workspace);
-    wg_time backoff_end = wgp_back_at(call->router->place, now, service->row.id);
+    wg_time backoff_end = wgp_backoff_ends_at(call->router->place, now, service->row.id);
     return MAX(MAX(wait, backoff_end - now), RETRY_AFTER_MIN);
 }
 
@@ -235,7 +235,7 @@
     _wgro_call_event(call, &(wgc_event){.type = call->timer_event});
 }
 
-static bool _wgro_push(_wgro_call_t* call, bool again, wgq_refusal* refusal) {
+static bool _wgro_push(_wgro_call_t* call, bool retry, wgq_refusal* refusal) {
     _wgro_service_t* service = _wgro_service_of(call);
     wg_time now = wg_now();
     call->wait_until = _wgro_wait_until(call, now);
@@ -243,7 +243,7 @@
                             &(wgq_request){.workspace = call->workspace,
                                            .limits = call->limits,
                                            .urgent = call->urgent,
-                                           .again = again,
+                                           .retry = retry,
                                            .wait_until = call->wait_until,
                                            .deadline = call->deadline,
                                            .user_data = call},
@@ -274,7 +274,7 @@
     wg_log(WG_EVENT_ATTEMPT_FAILED, "attempt=%d wait_us=%" G_GINT64_FORMAT, action->attempt,
            action->wait);
     wgp_result result =
-        call->attempt && call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_BAD;
+        call->attempt && call->attempt->reported_not_run ? WGP_RESULT_CANCELLED : WGP_RESULT_FAILED;
     _wgro_release(call, _wgro_cost(call), result);
     _wgro_abort_attempt(call);
     _wgro_set_timer(call, wg_now() + action->wait, WGC_EVENT_WAITED);
@@ -309,7 +309,7 @@
         _wgro_finish(call);
     } else if (call->request && action->type == WGC_ACTION_ANSWER) {
         _wgro_answer_error(call, action);
-    } else if (call->request && action->type == WGC_ACTION_CUT) {
+    } else if (call->request && action->type == WGC_ACTION_ABORT) {
         _wgro_abort_answer(call, action);
     } else if (action->type == WGC_ACTION_CANCEL) {
         r->counters.callers_left++;
@@ -341,7 +341,7 @@
         return;
     case WGC_ACTION_FINISH:
     case WGC_ACTION_ANSWER:
-    case WGC_ACTION_CUT:
+    case WGC_ACTION_ABORT:
     case WGC_ACTION_CANCEL:
         _wgro_do_end(call, action);
         return;
@@ -357,7 +357,7 @@
     _wgro_call_t* call = user_data;
     wgh_request_lost(call->request);
     call->request = NULL;
-    _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_CALLER_GONE});
+    _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_CALLER_DISCONNECTED});
 }
 
 /* Keeps reading from the caller's connection so that a close is noticed while the request runs.
@@ -506,7 +506,7 @@
 
 void _wgro_dispatch(wgro_router* r) {
     wg_time now = wg_now();
-    wgf_pacer_news activity = {0};
+    wgf_pacer_load activity = {0};
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
         if (!service->live) {
@@ -519,9 +519,9 @@
         activity.waiting = activity.waiting || stats.queued > 0;
         activity.idle = activity.idle || wgp_query_free(r->place, now, service->row.id) > 0;
     }
-    wgf_pacer_state(&r->pacer, &activity);
-    if (wgp_take_given_back(r->place)) {
-        wgf_pacer_want(&r->pacer);
+    wgf_pacer_update(&r->pacer, &activity);
+    if (wgp_take_report_due(r->place)) {
+        wgf_pacer_request(&r->pacer);
     }
     if (r->pacer.wanted) {
         _wgro_report_soon(r);
@@ -552,7 +552,7 @@
     for (int i = 0; i < r->services_num; i++) {
         _wgro_service_t* service = &r->services[i];
         bool has_waiting = service->live && wgq_query_stats(service->queue).queued > 0;
-        wg_time backoff_end = has_waiting ? wgp_back_at(r->place, now, service->row.id) : 0;
+        wg_time backoff_end = has_waiting ? wgp_backoff_ends_at(r->place, now, service->row.id) : 0;
         if (backoff_end > 0) {
             _wgro_fail_waits_before(r, i, backoff_end);
         }
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -49,8 +49,8 @@
         if (!service->live) {
             continue;
         }
-        wgq_refresh(service->queue, now);
-        int num = wgq_accounts(service->queue, r->report_full, accounts, room);
+        wgq_raise_estimates(service->queue, now);
+        int num = wgq_take_accounts(service->queue, r->report_full, accounts, room);
         for (int a = 0; a < num; a++) {
             Wgpb__Account* account = &out->accounts[out->report.n_accounts];
             wgpb__account__init(account);
@@ -78,7 +78,7 @@
     wgp_target_info info;
     for (int i = 0; wgp_query_target(r->place, i, &info) && i < WGP_TARGETS_DEFAULT; i++) {
         gpointer id = GUINT_TO_POINTER(info.id);
-        bool aside = info.aside_until != 0 || info.rested;
+        bool aside = info.ejected_until != 0 || info.backed_off;
         guint now = (guint)info.leased << 1 | (aside ? 1 : 0);
         if (GPOINTER_TO_UINT(g_hash_table_lookup(r->held_reported, id)) == now) {
             continue;
@@ -151,7 +151,7 @@
     for (size_t i = 0; i < reply->n_members; i++) {
         const Wgpb__Member* in = reply->members[i];
         wgm_member member = {.incarnation = in->incarnation, .version = in->version};
-        member.state = (wgm_state)CLAMP(in->state, WGM_STATE_UP, WGM_STATE_GONE);
+        member.state = (wgm_state)CLAMP(in->state, WGM_STATE_UP, WGM_STATE_UNREACHABLE);
         if (wg_copy_name(member.name, sizeof member.name, in->name) &&
             wg_copy_name(member.address, sizeof member.address, in->address) &&
             wg_copy_name(member.data_centre, sizeof member.data_centre, in->data_centre)) {
@@ -423,7 +423,7 @@
 }
 
 void _wgro_report_soon(wgro_router* r) {
-    wgf_pacer_want(&r->pacer);
+    wgf_pacer_request(&r->pacer);
     if (r->link_up) {
         _wgro_link_tick(r, wg_now());
     }
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_pages.c
@@ -37,8 +37,8 @@
         json_array_append_new(
             list, json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:b,s:b,s:b,s:I,s:I}", "name", t.name,
                             "address", t.address, "slots", t.slots, "leased", t.leased, "in_use",
-                            t.in_use, "reported", t.reported, "leaving", (int)t.leaving, "aside",
-                            (int)(t.aside_until > now), "rested", (int)t.rested, "requests",
+                            t.in_use, "reported", t.reported, "leaving", (int)t.draining, "aside",
+                            (int)(t.ejected_until > now), "rested", (int)t.backed_off, "requests",
                             (json_int_t)t.requests, "failures", (json_int_t)t.failures));
     }
     return list;
@@ -56,9 +56,9 @@
         (int)r->stopping, "table_version", (json_int_t)t.version, "term", (json_int_t)r->term,
         "link", "up", (int)(r->link_up && r->leader_known), "bytes_sent", (json_int_t)n.bytes_sent,
         "bytes_received", (json_int_t)n.bytes_received, "reports", (json_int_t)c->reports,
-        "held_back", (json_int_t)r->pacer.held_back, "row_queries", (json_int_t)c->row_queries,
+        "held_back", (json_int_t)r->pacer.deferred, "row_queries", (json_int_t)c->row_queries,
         "table", "workspaces", t.workspaces, "services", t.services, "targets", t.targets,
-        "routers", "up", m.up, "leaving", m.leaving, "gone", m.gone);
+        "routers", "up", m.up, "leaving", m.leaving, "gone", m.unreachable);
     json_object_set_new(
         json, "requests",
         json_pack("{s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:i}", "taken", (json_int_t)c->requests,
@@ -90,7 +90,7 @@
                     {"walnutgate_target_rests_total", c->backoffs},
                     {"walnutgate_lease_refusals_total", c->lease_refusals},
                     {"walnutgate_reports_total", c->reports},
-                    {"walnutgate_reports_held_back_total", r->pacer.held_back},
+                    {"walnutgate_reports_held_back_total", r->pacer.deferred},
                     {"walnutgate_control_bytes_sent_total", n.bytes_sent},
                     {"walnutgate_control_bytes_received_total", n.bytes_received},
                     {"walnutgate_table_version", wgt_version(r->table)},
@@ -168,7 +168,7 @@
             continue;
         }
         bool draining = strcmp(state, "leaving") == 0;
-        if (wgp_note_host(r->place, address, draining, version) == WGP_EVENT_LEAVING) {
+        if (wgp_update_host(r->place, address, draining, version) == WGP_EVENT_DRAINING) {
             wg_log(WG_EVENT_TARGET_LEAVING, "address=%s source=host-list", address);
         }
     }
--- a/lib/share/wg_share.c
+++ b/lib/share/wg_share.c
@@ -18,13 +18,13 @@
 }
 
 static int _wgf_is_holder(const _wgf_slot_t* slot) {
-    return _wgf_slot_sum(slot) > 0 && !slot->aside ? 1 : 0;
+    return _wgf_slot_sum(slot) > 0 && !slot->ejected ? 1 : 0;
 }
 
 void _wgf_set_slot(wgf_share* s, int router, int target, _wgf_slot_t slot) {
     _wgf_slot_t* current = _wgf_slot(s, router, target);
     int added = _wgf_slot_sum(&slot) - _wgf_slot_sum(current);
-    s->targets[target].aside += slot.aside - current->aside;
+    s->targets[target].ejected_num += slot.ejected - current->ejected;
     s->targets[target].holders += _wgf_is_holder(&slot) - _wgf_is_holder(current);
     s->targets[target].counted += added;
     s->stats.leased += added;
@@ -40,7 +40,7 @@
 }
 
 int _wgf_capacity(const wgf_share* s, const _wgf_target_t* target) {
-    bool failed_for_all = target->aside > 0 && target->holders == 0;
+    bool failed_for_all = target->ejected_num > 0 && target->holders == 0;
     if (!target->live || target->draining || failed_for_all) {
         return 0;
     }
@@ -371,7 +371,7 @@
             router->last_contact_at = now;
             return (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id};
         }
-        wgf_router_gone(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
+        wgf_remove_router(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
     }
     wg_handle handle = wg_pool_alloc(&s->routers_pool);
     if (handle.id == 0) {
@@ -387,7 +387,7 @@
     return (wgf_router){handle.id};
 }
 
-void wgf_router_gone(wgf_share* s, wgf_router handle) {
+void wgf_remove_router(wgf_share* s, wgf_router handle) {
     int r = wg_pool_slot(&s->routers_pool, (wg_handle){handle.id});
     if (r < 0) {
         return;
@@ -408,7 +408,7 @@
         }
         _wgf_slot_t slot = *_wgf_slot(s, r, t);
         slot.held = (uint16_t)report->held[i].slots;
-        slot.aside = report->held[i].aside;
+        slot.ejected = report->held[i].ejected;
         if (report->applied >= slot.sent_seq) {
             slot.sent = 0;
         }
@@ -423,7 +423,7 @@
         return;
     }
     _wgf_router_t* router = &s->routers[r];
-    if (!report->full && wgf_wants_full(s, handle)) {
+    if (!report->full && wgf_needs_full_report(s, handle)) {
         s->stats.stale_reports++;
         return;
     }
@@ -442,7 +442,7 @@
     }
 }
 
-bool wgf_wants_full(const wgf_share* s, wgf_router handle) {
+bool wgf_needs_full_report(const wgf_share* s, wgf_router handle) {
     int r = wg_pool_slot(&s->routers_pool, (wg_handle){handle.id});
     return r >= 0 && (s->routers[r].lapsed || !s->routers[r].reported);
 }
@@ -484,7 +484,7 @@
     return r >= 0 && s->routers[r].has_orders;
 }
 
-int wgf_take_fairs(wgf_share* s, wgf_router handle, wgf_fair* fairs, int max) {
+int wgf_take_virtual_times(wgf_share* s, wgf_router handle, wgf_virtual_time* fairs, int max) {
     int r = wg_pool_slot(&s->routers_pool, (wg_handle){handle.id});
     int num = 0;
     int account = r < 0 ? -1 : s->routers[r].first_account;
@@ -495,10 +495,10 @@
         }
         const _wgf_flow_t* f = &s->flows[a->flow];
         int64_t others = (f->pending - a->pending) * WGF_SCALE / f->weight;
-        fairs[num++] = (wgf_fair){.service = s->services[f->service].id,
-                                  .workspace = f->workspace,
-                                  .virtual_time = (uint64_t)(f->virtual_time + others),
-                                  .acked = a->served};
+        fairs[num++] = (wgf_virtual_time){.service = s->services[f->service].id,
+                                          .workspace = f->workspace,
+                                          .virtual_time = (uint64_t)(f->virtual_time + others),
+                                          .acked = a->served};
     }
     return num;
 }
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -29,7 +29,7 @@
         2. wgf_config_begin(s); wgf_config_service(); wgf_config_target(); wgf_config_end(s);
         3. r = wgf_router_up(s, now, "r1", incarnation, "plateau");  wgf_report(s, now, r, &report);
         4. wgf_plan(s, now);
-        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_fairs(s, r, fairs, max);
+        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_virtual_times(s, r, fairs, max);
         6. wgf_shutdown(s);
 
     THE CALLER OWNS
@@ -44,9 +44,9 @@
     WGF_FLOWS_DEFAULT = 32768,
     WGF_ACCOUNTS_DEFAULT = 262144,
     WGF_SLOT_TERM_DEFAULT = 2 * WG_USEC_PER_SEC,
-    WGF_SPARE_KEPT_PERCENT = 25, /* of unused slots: reserve that the leader doesn't grant */
-    WGF_GRANTS_MAX = 256,        /* in one set of orders; the next one carries the rest */
-    WGF_SCALE = 1000000          /* virtual time is cost * WGF_SCALE / weight */
+    WGF_UNUSED_RESERVE_PERCENT = 25, /* of unused slots: reserve that the leader doesn't grant */
+    WGF_GRANTS_MAX = 256,            /* in one set of orders; the next one carries the rest */
+    WGF_SCALE = 1000000              /* virtual time is cost * WGF_SCALE / weight */
 };
 
 #define WGF_NO_QUOTA UINT32_MAX
@@ -69,8 +69,8 @@
 typedef struct {
     uint32_t target;
     uint32_t slots;
-    bool aside; /* ejected: the target failed for this router and gets no requests from it */
-} wgf_held;
+    bool ejected; /* ejected: the target failed for this router and gets no requests from it */
+} wgf_held_slots;
 
 typedef struct {
     bool full;        /* first report on a link: replaces the state known of the router */
@@ -78,8 +78,8 @@
     bool leaving;
     const wgf_account* accounts;
     int accounts_num;
-    const wgf_held* held; /* targets whose slots changed or were granted since the last report; full
-                             reports: all */
+    const wgf_held_slots* held; /* targets whose slots changed or were granted since the last
+                             report; full reports: all */
     int held_num;
 } wgf_report_desc;
 
@@ -90,7 +90,7 @@
 
 typedef struct {
     uint32_t service;
-    uint32_t most; /* WGF_NO_QUOTA: no limit */
+    uint32_t max; /* WGF_NO_QUOTA: no limit */
 } wgf_quota;
 
 /* Grants and quotas to send to a router after a plan. */
@@ -106,7 +106,7 @@
     uint32_t workspace;
     uint64_t virtual_time; /* excludes the router's own running requests */
     uint64_t acked;        /* value of the router's `served` included in virtual_time */
-} wgf_fair;
+} wgf_virtual_time;
 
 typedef struct {
     wg_time now;
@@ -149,17 +149,17 @@
 wgf_router wgf_router_up(wgf_share* share, wg_time now, const char* name, uint64_t incarnation,
                          const char* data_centre);
 /* Removes a router after a planned stop; its slots are free again. */
-void wgf_router_gone(wgf_share* share, wgf_router router);
+void wgf_remove_router(wgf_share* share, wgf_router router);
 void wgf_report(wgf_share* share, wg_time now, wgf_router router, const wgf_report_desc* report);
 /* True when the leader has no current state of this router and needs a full report. */
-bool wgf_wants_full(const wgf_share* share, wgf_router router);
+bool wgf_needs_full_report(const wgf_share* share, wgf_router router);
 /* Recomputes the slots of all routers, and expires the leases of routers that don't report. */
 void wgf_plan(wgf_share* share, wg_time now);
 /* Returns new grants and quotas for a router, to be sent with `seq`; false when there are none. */
 bool wgf_take_orders(wgf_share* share, wgf_router router, uint64_t seq, wgf_orders* orders);
 bool wgf_has_orders(const wgf_share* share, wgf_router router);
 /* Virtual times of the workspaces that have queued or running requests at this router. */
-int wgf_take_fairs(wgf_share* share, wgf_router router, wgf_fair* fairs, int max);
+int wgf_take_virtual_times(wgf_share* share, wgf_router router, wgf_virtual_time* fairs, int max);
 /* Virtual time at which a workspace starts when it becomes active. */
 uint64_t wgf_query_fleet_time(const wgf_share* share, uint32_t service);
 /* Virtual time of one workspace; 0 when unknown. */
--- a/lib/share/wg_share_internal.h
+++ b/lib/share/wg_share_internal.h
@@ -8,7 +8,7 @@
     uint16_t sent;     /* granted since; the router may not have received them yet */
     uint16_t unsent;   /* granted, to be sent with the next orders */
     uint32_t sent_seq; /* seq of the last orders that granted some */
-    bool aside;        /* ejected: the target failed for this router */
+    bool ejected;      /* ejected: the target failed for this router */
 } _wgf_slot_t;
 
 /* Use of one service by one workspace at one router. */
@@ -58,9 +58,9 @@
     bool draining;
     int service;
     int slots;
-    int counted; /* slots leased, over all routers */
-    int aside;   /* number of routers that ejected the target */
-    int holders; /* number of routers that hold slots and haven't ejected the target */
+    int counted;     /* slots leased, over all routers */
+    int ejected_num; /* number of routers that ejected the target */
+    int holders;     /* number of routers that hold slots and haven't ejected the target */
     char data_centre[WG_NAME_MAX];
 } _wgf_target_t;
 
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -174,7 +174,7 @@
 
 /* Enough slots: demand is met, and most of the unused slots are spread evenly. */
 static void _wgf_quotas_uncontended(wgf_share* s, double slots, double demand, int routers) {
-    double spread = (slots - demand) * (100 - WGF_SPARE_KEPT_PERCENT) / 100.0 / MAX(routers, 1);
+    double spread = (slots - demand) * (100 - WGF_UNUSED_RESERVE_PERCENT) / 100.0 / MAX(routers, 1);
     for (int r = 0; r < s->desc.routers_max; r++) {
         if (_wgf_accepts_slots(&s->routers[r])) {
             bool in_service = !s->routers[r].leaving;
@@ -283,7 +283,7 @@
     int best_score = 0;
     for (int t = 0; t < s->targets_num; t++) {
         const _wgf_target_t* target = &s->targets[t];
-        if (!_wgf_serves(target, service) || _wgf_slot(s, r, t)->aside) {
+        if (!_wgf_serves(target, service) || _wgf_slot(s, r, t)->ejected) {
             continue;
         }
         int score = 4 * (_wgf_capacity(s, target) - target->counted);
@@ -363,7 +363,7 @@
         _wgf_router_t* router = &s->routers[r];
         wg_time since_contact = router->live ? now - router->last_contact_at : 0;
         if (since_contact > _WGF_REMOVE_AFTER_TERMS * s->desc.slot_term) {
-            wgf_router_gone(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
+            wgf_remove_router(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
         } else if (since_contact > s->desc.slot_term && !router->lapsed) {
             router->lapsed = true;
             s->stats.lapsed++;
--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -223,7 +223,7 @@
     replaced = record;
     replaced.number = word->replaced_number;
     replaced.id = (char*)"t-replaced";
-    replaced.state = WG_TARGET_GONE;
+    replaced.state = WG_TARGET_REMOVED;
     replaced.replaced = true;
     state.n_targets = word->replaced_number ? 2 : 1;
     state.registry_change = MAX(word->change, 1);
--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -228,13 +228,13 @@
         start_request(s, router, picked);
     }
     wgq_stats stats = wgq_query_stats(r->queue);
-    if (wgp_take_given_back(r->place)) {
-        wgf_pacer_want(&r->pacer);
+    if (wgp_take_report_due(r->place)) {
+        wgf_pacer_request(&r->pacer);
     }
-    wgf_pacer_state(&r->pacer,
-                    &(wgf_pacer_news){.at_work = stats.queued + stats.running > 0,
-                                      .waiting = stats.queued > 0,
-                                      .idle = wgp_query_free(r->place, s->now, SERVICE_ID) > 0});
+    wgf_pacer_update(&r->pacer,
+                     &(wgf_pacer_load){.at_work = stats.queued + stats.running > 0,
+                                       .waiting = stats.queued > 0,
+                                       .idle = wgp_query_free(r->place, s->now, SERVICE_ID) > 0});
     _simf_plan_report(s, router);
 }
 
@@ -247,7 +247,7 @@
         return;
     }
     wgq_finish(r->queue, s->now, q->handle, 0);
-    wgp_done(r->place, s->now, &q->choice, WGP_RESULT_BAD);
+    wgp_done(r->place, s->now, &q->choice, WGP_RESULT_FAILED);
     wgq_refusal refusal;
     q->handle = wgq_push(r->queue, s->now,
                          &(wgq_request){.workspace = (uint32_t)q->workspace + 1,
@@ -255,7 +255,7 @@
                                                    .queue = s->trace->queue_limit,
                                                    .urgent_percent = 20},
                                         .urgent = q->urgent,
-                                        .again = true,
+                                        .retry = true,
                                         .wait_until = s->now + s->trace->queue_wait,
                                         .deadline = q->deadline,
                                         .user_data = q},
@@ -323,7 +323,7 @@
             s->queued[q->workspace]++;
             _simf_dispatch(s, router);
             if (wgq_query_waiting(s->routers[router].queue, (uint32_t)load->workspace + 1) == 1) {
-                wgf_pacer_want(&s->routers[router].pacer);
+                wgf_pacer_request(&s->routers[router].pacer);
                 _simf_plan_report(s, router);
             }
         }
@@ -349,7 +349,7 @@
     if (wgq_user_data(r->queue, q->handle) == q &&
         wgp_query_target_id(r->place, q->choice.target, &info) && info.in_use > 0) {
         wgq_finish(r->queue, s->now, q->handle, q->tokens);
-        wgp_done(r->place, s->now, &q->choice, WGP_RESULT_GOOD);
+        wgp_done(r->place, s->now, &q->choice, WGP_RESULT_SUCCESS);
     }
     int router = _simf_queue_router(s, q->router);
     g_free(q);
@@ -371,7 +371,7 @@
 static void fill_report(run_t* s, int router, report_t* out) {
     router_t* r = &s->routers[router];
     wgq_account accounts[SIMF_WORKSPACES_MAX];
-    out->accounts_num = wgq_accounts(r->queue, r->report_full, accounts, SIMF_WORKSPACES_MAX);
+    out->accounts_num = wgq_take_accounts(r->queue, r->report_full, accounts, SIMF_WORKSPACES_MAX);
     for (int i = 0; i < out->accounts_num; i++) {
         out->accounts[i] =
             (wgf_account){.service = SERVICE_ID,
@@ -382,14 +382,14 @@
                           .running = accounts[i].running,
                           .virtual_time = wgq_query_virtual_time(r->queue, accounts[i].workspace)};
     }
-    out->held = g_new(wgf_held, s->trace->targets);
+    out->held = g_new(wgf_held_slots, s->trace->targets);
     wgp_target_info info;
     for (int g = 0; wgp_query_target(r->place, g, &info); g++) {
-        bool aside = info.aside_until != 0;
+        bool aside = info.ejected_until != 0;
         uint32_t now = (uint32_t)info.leased << 1 | (aside ? 1 : 0);
         if (r->report_full || r->held_told[g] != now) {
             r->held_told[g] = now;
-            out->held[out->held_num++] = (wgf_held){info.id, (uint32_t)info.leased};
+            out->held[out->held_num++] = (wgf_held_slots){info.id, (uint32_t)info.leased};
         }
     }
 }
@@ -428,7 +428,8 @@
     out->fleet_time = wgf_query_fleet_time(s->share, SERVICE_ID);
     wgf_take_orders(s->share, r->at_leader, out->seq, &out->orders);
     if (fairs) {
-        out->fairs_num = wgf_take_fairs(s->share, r->at_leader, out->fairs, SIMF_WORKSPACES_MAX);
+        out->fairs_num =
+            wgf_take_virtual_times(s->share, r->at_leader, out->fairs, SIMF_WORKSPACES_MAX);
     }
     uint64_t bytes = REPLY_BYTES + (uint64_t)out->fairs_num * FAIR_BYTES +
                      (uint64_t)(out->orders.grants_num + out->orders.quotas_num) * SLOT_BYTES;
@@ -517,7 +518,7 @@
                      in->fairs[i].acked);
         }
         for (int i = 0; i < in->orders.quotas_num; i++) {
-            wgp_set_quota(r->place, in->orders.quotas[i].service, in->orders.quotas[i].most);
+            wgp_set_quota(r->place, in->orders.quotas[i].service, in->orders.quotas[i].max);
         }
         for (int i = 0; i < in->orders.grants_num; i++) {
             wgp_add_slots(r->place, in->orders.grants[i].target, (int)in->orders.grants[i].add);
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -52,12 +52,12 @@
         return;
     }
     wgq_account accounts[SIMF_WORKSPACES_MAX];
-    int num = wgq_accounts(s->routers[router].queue, true, accounts, SIMF_WORKSPACES_MAX);
+    int num = wgq_take_accounts(s->routers[router].queue, true, accounts, SIMF_WORKSPACES_MAX);
     for (int i = 0; i < num; i++) {
         s->queued[accounts[i].workspace - 1] -= (int)accounts[i].queued;
     }
     _simf_router_start(s, router);
-    wgf_pacer_want(&s->routers[router].pacer);
+    wgf_pacer_request(&s->routers[router].pacer);
     _simf_plan_report(s, router);
 }
 
--- a/tests/sim/sim_fleet_internal.h
+++ b/tests/sim/sim_fleet_internal.h
@@ -66,7 +66,7 @@
     int accounts_num;
     int held_num;
     wgf_account accounts[SIMF_WORKSPACES_MAX];
-    wgf_held* held;
+    wgf_held_slots* held;
 } report_t;
 
 /* A reply on its way. */
@@ -78,7 +78,7 @@
     wg_time echo;
     uint64_t fleet_time;
     int fairs_num;
-    wgf_fair fairs[SIMF_WORKSPACES_MAX];
+    wgf_virtual_time fairs[SIMF_WORKSPACES_MAX];
     wgf_orders orders;
 } reply_t;
 
--- a/tests/sim/sim_quorum.c
+++ b/tests/sim/sim_quorum.c
@@ -74,7 +74,7 @@
                         &error);
     WG_ASSERT(n->node && n->table && n->claims);
     for (guint i = 0; i < s->gone->len; i++) {
-        wgr_note_gone(n->node, g_array_index(s->gone, uint64_t, i));
+        wgr_record_replaced(n->node, g_array_index(s->gone, uint64_t, i));
     }
     n->up = true;
     n->crash_at = 0;
@@ -397,7 +397,7 @@
     g_array_append_val(s->gone, identity);
     for (int i = 0; i < s->desc.replicas; i++) {
         if (s->nodes[i].up) {
-            wgr_note_gone(s->nodes[i].node, identity);
+            wgr_record_replaced(s->nodes[i].node, identity);
         }
     }
 }
@@ -484,7 +484,7 @@
 }
 
 void simq_hand_over(simq_run* s, int slot) {
-    wgr_hand_over(s->nodes[slot].node, _simq_local_time(s, &s->nodes[slot]));
+    wgr_transfer_leadership(s->nodes[slot].node, _simq_local_time(s, &s->nodes[slot]));
     pump(s, slot);
 }
 
@@ -493,7 +493,7 @@
 }
 
 bool simq_has_left(simq_run* s, int slot) {
-    return wgr_has_left(s->nodes[slot].node);
+    return wgr_leave_is_settled(s->nodes[slot].node);
 }
 
 uint64_t simq_answered(const simq_run* s) {
--- a/tests/sim/sim_quorum_random.c
+++ b/tests/sim/sim_quorum_random.c
@@ -140,7 +140,7 @@
     }
     for (int i = 0; i < s->desc.replicas; i++) {
         node_t* n = &s->nodes[i];
-        bool settled = n->up && n->stopping && wgr_has_left(n->node);
+        bool settled = n->up && n->stopping && wgr_leave_is_settled(n->node);
         if (settled || !n->up) {
             s->counts.left += settled;
             n->stopping = false;
