--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -21,7 +21,7 @@
 
 static wg_admit_answer ask(wg_time now, uint64_t holder, uint64_t ticket) {
     wg_admit_request r = request(holder, ticket, 2900);
-    return wg_admit_ask(admit, now, &r);
+    return wg_admit_decide(admit, now, &r);
 }
 
 /* However many hosts ask at once, no more is sent than can be read in time. */
@@ -56,13 +56,13 @@
 START_TEST(a_fresh_account_knows_what_the_target_tells) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     const uint64_t first_only[] = {100, 999};
-    wg_admit_learn(admit, 0, 7, first_only, 2);
+    wg_admit_record_held_parts(admit, 0, 7, first_only, 2);
     ck_assert_uint_eq(ask(0, 1, 1).held, 2500);
     const uint64_t both[] = {100, 200};
-    wg_admit_learn(admit, 0, 8, both, 2);
+    wg_admit_record_held_parts(admit, 0, 8, both, 2);
     wg_admit_request r = request(1, 2, 2900);
     r.target = 8;
-    wg_admit_answer answer = wg_admit_ask(admit, 0, &r);
+    wg_admit_answer answer = wg_admit_decide(admit, 0, &r);
     ck_assert_uint_eq(answer.held, 6300);
     ck_assert_uint_eq(answer.unread, 2900);
     wg_admit_shutdown(admit);
@@ -82,8 +82,8 @@
     for (int ms = 0; ms < STEPS; ms++) {
         wg_admit_request r = request((uint64_t)ms % HOSTS, (uint64_t)ms, 10);
         r.limits = (wg_admit_limits){WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
-        r.rate_most = 9.8;
-        if (wg_jitter(5, (uint64_t)ms) % 3 && wg_admit_ask(admit, ms * MSEC, &r).granted) {
+        r.rate_max = 9.8;
+        if (wg_jitter(5, (uint64_t)ms) % 3 && wg_admit_decide(admit, ms * MSEC, &r).granted) {
             grants[num++] = ms * MSEC;
         }
     }
@@ -93,7 +93,7 @@
     ck_assert_int_ge(num, 9 * STEPS / 1000);
     wg_admit_request warm = request(1, STEPS, 10);
     warm.limits = (wg_admit_limits){WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
-    ck_assert(wg_admit_ask(admit, STEPS * MSEC, &warm).granted);
+    ck_assert(wg_admit_decide(admit, STEPS * MSEC, &warm).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -108,8 +108,8 @@
             for (int ms = 0; ms < 1000; ms++) {
                 wg_admit_request r = request(1, (uint64_t)ms, 10);
                 r.limits = (wg_admit_limits){WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER, false};
-                r.rate_most = rates[i];
-                granted += wg_admit_ask(admit, ms * MSEC, &r).granted;
+                r.rate_max = rates[i];
+                granted += wg_admit_decide(admit, ms * MSEC, &r).granted;
             }
             wg_admit_shutdown(admit);
         }
@@ -123,13 +123,13 @@
 START_TEST(parts_are_given_up_for_newer_ones) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     ask(0, 1, 1);
-    wg_admit_read(admit, SECOND, 1, 1);
+    wg_admit_first_event(admit, SECOND, 1, 1);
     for (uint64_t i = 2; i < 30; i++) {
         wg_admit_request other = request(1, i, 6000);
         other.parts[0] = 1000 + i;
         other.parts_num = 1;
         other.limits = (wg_admit_limits){WG_TIME_NEVER, WG_TIME_NEVER, WG_TIME_NEVER};
-        ck_assert(wg_admit_ask(admit, SECOND, &other).granted);
+        ck_assert(wg_admit_decide(admit, SECOND, &other).granted);
         wg_admit_end(admit, SECOND, 1, i, false);
     }
     ck_assert_uint_eq(ask(2 * SECOND, 2, 1).held, 0);
@@ -141,7 +141,7 @@
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.copied = 6300;
-    ck_assert_uint_eq(wg_admit_ask(admit, 0, &r).unread, 2900);
+    ck_assert_uint_eq(wg_admit_decide(admit, 0, &r).unread, 2900);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -151,11 +151,11 @@
     ck_assert(ask(0, 9, 9).granted);
     wg_admit_request r = request(1, 1, 2900);
     r.parts[0] = 300;
-    r.limits.ahead = r.limits.whole = r.limits.ahead_large = 1;
-    ck_assert(!wg_admit_ask(admit, 0, &r).granted);
+    r.limits.ahead = r.limits.total = r.limits.ahead_large = 1;
+    ck_assert(!wg_admit_decide(admit, 0, &r).granted);
     ck_assert_int_eq(wg_admit_num(admit), 1);
     r.limits = in_time;
-    wg_admit_answer next = wg_admit_ask(admit, 0, &r);
+    wg_admit_answer next = wg_admit_decide(admit, 0, &r);
     ck_assert_uint_eq(next.ahead, 9200);
     ck_assert_uint_eq(next.held, 0);
     wg_admit_shutdown(admit);
@@ -168,12 +168,12 @@
     wg_admit_request r = request(1, 1, 2900);
     r.limits.ahead = 30 * MSEC;
     r.limits.spares_shared = true;
-    ck_assert(!wg_admit_ask(admit, 0, &r).granted); /* 6300 tokens to read first */
+    ck_assert(!wg_admit_decide(admit, 0, &r).granted); /* 6300 tokens to read first */
     r.copied = 6300;
-    ck_assert(wg_admit_ask(admit, 0, &r).granted);
+    ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_end(admit, 0, 1, 1, false);
     r.copied = 0; /* they are held now */
-    ck_assert(wg_admit_ask(admit, 0, &r).granted);
+    ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -184,7 +184,7 @@
     ck_assert(!wg_admit_fits(&in_time, 2000 * MSEC, 200 * MSEC));
     ck_assert(wg_admit_fits(&in_time, 560 * MSEC, 500 * MSEC));
     ck_assert(!wg_admit_fits(&in_time, 600 * MSEC, 500 * MSEC));
-    const wg_admit_limits none = {.whole = 570 * MSEC};
+    const wg_admit_limits none = {.total = 570 * MSEC};
     ck_assert(!wg_admit_fits(&none, 100 * MSEC, 0)); /* without patience nothing is sent */
 }
 END_TEST
@@ -195,7 +195,7 @@
     for (uint32_t target = 1; target <= 7; target++) {
         wg_admit_request r = request(9, target, 100);
         r.target = target;
-        ck_assert(wg_admit_ask(admit, 0, &r).granted);
+        ck_assert(wg_admit_decide(admit, 0, &r).granted);
     }
     for (uint64_t holder = 1; holder <= 3; holder++) {
         ck_assert(ask(0, holder, 1).granted);
@@ -206,7 +206,7 @@
     wg_admit_end(admit, 400 * MSEC, 4, 1, true);
     ck_assert(!ask(900 * MSEC, 4, 2).granted); /* for longer now */
     ck_assert(ask(1100 * MSEC, 4, 2).granted);
-    wg_admit_read(admit, 1200 * MSEC, 4, 2);
+    wg_admit_first_event(admit, 1200 * MSEC, 4, 2);
     wg_admit_end(admit, 1200 * MSEC, 4, 2, true); /* it had answered: begins anew */
     ck_assert(ask(1210 * MSEC, 4, 3).granted);
     wg_admit_shutdown(admit);
@@ -219,13 +219,13 @@
         for (uint64_t ticket = 1; ticket <= 3; ticket++) {
             wg_admit_request r = request(1, ticket, 100);
             r.target = target;
-            wg_admit_ask(admit, 0, &r);
+            wg_admit_decide(admit, 0, &r);
             wg_admit_end(admit, 0, 1, ticket, true);
         }
     }
     wg_admit_request r = request(1, 9, 100);
     r.target = 1;
-    ck_assert(wg_admit_ask(admit, 1, &r).granted);
+    ck_assert(wg_admit_decide(admit, 1, &r).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -234,11 +234,11 @@
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 10);
     r.running_most = 1;
-    ck_assert(wg_admit_ask(admit, 0, &r).granted);
+    ck_assert(wg_admit_decide(admit, 0, &r).granted);
     r.ticket = 2;
-    ck_assert(!wg_admit_ask(admit, 0, &r).granted);
+    ck_assert(!wg_admit_decide(admit, 0, &r).granted);
     wg_admit_end(admit, 0, 1, 1, false);
-    ck_assert(wg_admit_ask(admit, 0, &r).granted);
+    ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -248,9 +248,9 @@
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.floor_unread = 4000;
-    ck_assert_uint_eq(wg_admit_ask(admit, 0, &r).ahead, 4000);
+    ck_assert_uint_eq(wg_admit_decide(admit, 0, &r).ahead, 4000);
     r.ticket = 2;
-    ck_assert_uint_eq(wg_admit_ask(admit, 2 * SECOND, &r).ahead, 9200);
+    ck_assert_uint_eq(wg_admit_decide(admit, 2 * SECOND, &r).ahead, 9200);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -262,13 +262,13 @@
     for (uint64_t i = 1; i < 200; i++) {
         wg_admit_request r = request(1, i, 2900);
         r.parts_num = 0;
-        wg_admit_ask(admit, (wg_time)i * SECOND, &r);
-        wg_admit_read(admit, (wg_time)i * SECOND + 920 * MSEC, 1, i); /* 10 tokens a ms */
+        wg_admit_decide(admit, (wg_time)i * SECOND, &r);
+        wg_admit_first_event(admit, (wg_time)i * SECOND + 920 * MSEC, 1, i); /* 10 tokens a ms */
         wg_admit_end(admit, SECOND, 1, i, false);
     }
     wg_admit_request r = request(1, 1000, 2900);
     r.parts_num = 0;
-    ck_assert(wg_admit_ask(admit, 300 * SECOND, &r).wait > 2 * before);
+    ck_assert(wg_admit_decide(admit, 300 * SECOND, &r).wait > 2 * before);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -286,29 +286,29 @@
             r.parts[1] = wg_jitter(seed, ++counter) % 60;
             switch (wg_jitter(seed, ++counter) % 8) {
             case 0:
-                wg_admit_drop_holder(admit, holder);
+                wg_admit_release_holder(admit, holder);
                 break;
             case 1:
             case 2:
-                wg_admit_read(admit, step * 10 * MSEC, holder, ticket);
+                wg_admit_first_event(admit, step * 10 * MSEC, holder, ticket);
                 break;
             case 3:
             case 4:
                 wg_admit_end(admit, step * 10 * MSEC, holder, ticket, false);
                 break;
             default:
-                wg_admit_ask(admit, step * 10 * MSEC, &r);
+                wg_admit_decide(admit, step * 10 * MSEC, &r);
                 break;
             }
         }
         for (uint64_t holder = 1; holder <= 9; holder++) {
-            wg_admit_drop_holder(admit, holder);
+            wg_admit_release_holder(admit, holder);
         }
         ck_assert_int_eq(wg_admit_num(admit), 0);
         for (uint32_t target = 1; target <= 5; target++) {
             wg_admit_request r = request(1, 1, 2900);
             r.target = target;
-            wg_admit_answer answer = wg_admit_ask(admit, 100 * SECOND, &r);
+            wg_admit_answer answer = wg_admit_decide(admit, 100 * SECOND, &r);
             ck_assert_uint_eq(answer.ahead, 0);
             ck_assert_uint_eq(answer.running, 0);
             wg_admit_end(admit, 0, 1, 1, false);
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -88,12 +88,12 @@
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     uint32_t home = wg_balance_choose(balance, 0, &need).target;
-    wg_balance_note_prompt(balance, 0, home, &p);
+    wg_balance_record_prompt(balance, 0, home, &p);
     wg_choice again = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_eq(again.target, home);
     ck_assert_uint_ne(again.source, 0); /* the second home, for what was given up here */
     ck_assert_uint_ne(again.source, home);
-    wg_balance_set_others(balance, home, 500000, 3);
+    wg_balance_set_others_load(balance, home, 500000, 3);
     wg_choice elsewhere = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_ne(elsewhere.target, home);
     ck_assert_uint_eq(elsewhere.source, home);
@@ -111,8 +111,8 @@
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     uint32_t home = wg_balance_choose(balance, 0, &need).target;
-    wg_balance_note_prompt(balance, 0, home, &p);
-    wg_balance_set_others(balance, home, 500000, 3);
+    wg_balance_record_prompt(balance, 0, home, &p);
+    wg_balance_set_others_load(balance, home, 500000, 3);
     wg_choice second = wg_balance_choose(balance, 5 * SECOND, &need);
     ck_assert_uint_ne(second.target, home);
     ck_assert_uint_eq(second.unread, 2900); /* it counts as holding them */
@@ -136,7 +136,7 @@
     wg_choice after = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_ne(after.target, first.target);
     ck_assert_uint_eq(after.source, first.target);
-    leaving.state = WG_TARGET_GONE;
+    leaving.state = WG_TARGET_REMOVED;
     leaving.sequence++;
     wg_registry_apply(registry, 2, &leaving);
     wg_balance_sync(balance, 2, registry);
@@ -172,9 +172,9 @@
     wg_prompt p = prompt(77, 78);
     uint32_t unread = 0;
     uint32_t running = 0;
-    wg_balance_set_others(balance, 1, 60000, 9);
+    wg_balance_set_others_load(balance, 1, 60000, 9);
     ck_assert(!choose(&p, SECOND).is_fresh);
-    wg_balance_note_load(balance, SECOND, 1, 1000, 2);
+    wg_balance_update_load(balance, SECOND, 1, 1000, 2);
     wg_balance_load_of(balance, 1, &unread, &running);
     ck_assert_uint_eq(unread, 1000);
     ck_assert_uint_eq(running, 2);
@@ -194,7 +194,7 @@
         before[i] = choose(&p, 0).target;
     }
     wg_target gone = *wg_registry_find(registry, 7);
-    gone.state = WG_TARGET_GONE;
+    gone.state = WG_TARGET_REMOVED;
     wg_registry_apply(registry, 1, &gone);
     wg_balance_sync(balance, 1, registry);
     for (uint64_t i = 0; i < G_N_ELEMENTS(before); i++) {
@@ -215,7 +215,7 @@
         wg_balance_sync(other, 0, registry);
         wg_balance_set_hosts(other, 69);
         for (uint32_t t = 1; t <= 90; t++) {
-            wg_balance_set_others(other, t, 3000 + 40 * t, 5);
+            wg_balance_set_others_load(other, t, 3000 + 40 * t, 5);
         }
         wg_prompt p = {.parts = {h + 1000}, .sizes = {1800}, .num = 1, .tokens = 1800};
         wg_need need = {.service = "m", .prompt = &p, .slots = 64};
@@ -233,10 +233,10 @@
     begin(1);
     wg_prompt p = prompt(77, 78);
     wg_balance_set_hosts(balance, hosts);
-    wg_balance_clear_others(balance);
-    wg_balance_set_others(balance, 1, 60000, 3);
+    wg_balance_clear_others_load(balance);
+    wg_balance_set_others_load(balance, 1, 60000, 3);
     for (int i = 0; i < reports; i++) {
-        wg_balance_clear_others(balance);
+        wg_balance_clear_others_load(balance);
     }
     wg_time wait = choose(&p, 0).wait;
     end();
@@ -315,7 +315,7 @@
     for (int i = 0; i < 200; i++) {
         wg_choice c = choose_plain(0, SECOND);
         wg_balance_begin(balance, 0, &c);
-        wg_balance_end(balance, WORK_MS * MSEC, &c, WG_RESULT_GOOD);
+        wg_balance_end(balance, WORK_MS * MSEC, &c, WG_RESULT_SUCCESS);
     }
 }
 
@@ -353,7 +353,7 @@
         }
         for (int i = 0; i < AT_ONCE; i++) {
             wg_time took = (i / PLAIN_SLOTS + 1) * WORK_MS * MSEC;
-            wg_balance_end(balance, took, &c[i], WG_RESULT_GOOD);
+            wg_balance_end(balance, took, &c[i], WG_RESULT_SUCCESS);
         }
     }
     wg_time alone = choose_plain(0, SECOND).wait;
@@ -416,11 +416,11 @@
     begin_apart(10);
     ck_assert_int_eq(chosen_here(3000), 200);
     for (int i = 0; i < 200; i++) {
-        wg_balance_note_third(balance, false);
+        wg_balance_record_third_home(balance, false);
     }
     ck_assert_int_lt(chosen_here(3000), 160);
     for (int i = 0; i < 200; i++) {
-        wg_balance_note_third(balance, true);
+        wg_balance_record_third_home(balance, true);
     }
     ck_assert_int_eq(chosen_here(3000), 200);
     end();
@@ -441,7 +441,7 @@
                 *c = choose(&p, now);
                 wg_balance_begin(balance, now, c);
             } else if (random / 64 % 3 == 0) {
-                wg_balance_read(balance, now, c);
+                wg_balance_first_event(balance, now, c);
             } else {
                 wg_balance_end(balance, now, c, (wg_result)(1 + random / 256 % 4));
                 *c = (wg_choice){0};
@@ -449,7 +449,7 @@
         }
         for (size_t i = 0; i < G_N_ELEMENTS(open); i++) {
             if (open[i].target) {
-                wg_balance_end(balance, 7 * SECOND, &open[i], WG_RESULT_LEFT);
+                wg_balance_end(balance, 7 * SECOND, &open[i], WG_RESULT_CALLER_DISCONNECTED);
             }
         }
         wg_balance_load loads[8];
@@ -491,7 +491,7 @@
     begin(2);
     wg_choice c = {.target = 1};
     wg_balance_begin(balance, 0, &c);
-    wg_balance_end(balance, 0, &c, WG_RESULT_MOVED);
+    wg_balance_end(balance, 0, &c, WG_RESULT_REPLACED);
     wg_need need = {.service = "m", .slots = 64};
     for (int i = 0; i < 50; i++) {
         ck_assert_uint_eq(wg_balance_choose(balance, 20 * SECOND, &need).target, 2);
@@ -514,7 +514,7 @@
     wg_prompt p = prompt(77, 78);
     wg_choice c = choose(&p, 0);
     ck_assert_uint_eq(c.unread, p.tokens);
-    wg_balance_note_prompt(balance, 0, c.target, &p);
+    wg_balance_record_prompt(balance, 0, c.target, &p);
     ck_assert_uint_eq(choose(&p, 1).unread, 2900); /* sent there */
     wg_prompt other = prompt(177, 178);
     ck_assert_uint_eq(choose(&other, 1 * SECOND).unread, other.tokens);
@@ -558,42 +558,42 @@
         ck_assert(fabs(given - served) < 1e-6);
     }
     const wg_fair_levels served = {.served = 100};
-    const wg_fair_levels owed = {.owed = 100};
-    const wg_fair_levels both = {.served = 100, .owed = 100};
-    ck_assert(wg_fair_patience(99, &both) == 1);
-    ck_assert(wg_fair_patience(99, &(wg_fair_levels){0}) == 1);
-    ck_assert(wg_fair_patience(140, &served) < wg_fair_patience(120, &served));
-    ck_assert(wg_fair_is_modest(40, &both) && !wg_fair_is_modest(60, &both));
-    ck_assert(!wg_fair_is_modest(0, &(wg_fair_levels){0}));
+    const wg_fair_levels owed = {.fair_share = 100};
+    const wg_fair_levels both = {.served = 100, .fair_share = 100};
+    ck_assert(wg_fair_wait_tolerance(99, &both) == 1);
+    ck_assert(wg_fair_wait_tolerance(99, &(wg_fair_levels){0}) == 1);
+    ck_assert(wg_fair_wait_tolerance(140, &served) < wg_fair_wait_tolerance(120, &served));
+    ck_assert(wg_fair_is_far_below_share(40, &both) && !wg_fair_is_far_below_share(60, &both));
+    ck_assert(!wg_fair_is_far_below_share(0, &(wg_fair_levels){0}));
     /* Beyond what is owed it still has what nobody else wants. */
-    ck_assert(wg_fair_patience(9000, &owed) > 0);
-    const wg_fair_levels crowded = {.served = 100, .owed = 40};
-    ck_assert(wg_fair_patience(130, &crowded) < wg_fair_patience(95, &crowded));
+    ck_assert(wg_fair_wait_tolerance(9000, &owed) > 0);
+    const wg_fair_levels crowded = {.served = 100, .fair_share = 40};
+    ck_assert(wg_fair_wait_tolerance(130, &crowded) < wg_fair_wait_tolerance(95, &crowded));
     /* A patient host's calls are tried whenever there is room, others a few times at most. */
     ck_assert_int_eq(wg_fair_try_gap(1), 0);
     ck_assert_int_ge(wg_fair_try_gap(0.99), 50 * MSEC);
     /* Of two that have more than they are owed, the one that others left behind goes first. */
-    const wg_fair_levels roomy = {.served = 400, .owed = 100};
+    const wg_fair_levels roomy = {.served = 400, .fair_share = 100};
     ck_assert(wg_fair_is_behind(194, &roomy) && !wg_fair_is_behind(390, &roomy));
-    ck_assert(wg_fair_patience(194, &roomy) > 3 * wg_fair_patience(390, &roomy));
+    ck_assert(wg_fair_wait_tolerance(194, &roomy) > 3 * wg_fair_wait_tolerance(390, &roomy));
     ck_assert(!wg_fair_is_behind(99, &both));
     /* Far beyond others that are refused it has to give way. */
-    ck_assert(wg_fair_patience(200, &served) == 0);
-    ck_assert(wg_fair_patience(200, &both) == 0);
+    ck_assert(wg_fair_wait_tolerance(200, &served) == 0);
+    ck_assert(wg_fair_wait_tolerance(200, &both) == 0);
 }
 END_TEST
 
 START_TEST(the_margin_follows_what_came) {
     wg_fair_margin margin = {0};
-    ck_assert(wg_fair_trust(&margin) == 1);
+    ck_assert(wg_fair_confidence(&margin) == 1);
     for (int i = 0; i < 200; i++) {
-        wg_fair_learn(&margin, false);
+        wg_fair_update_margin(&margin, false);
     }
-    ck_assert(wg_fair_trust(&margin) > 0.05 && wg_fair_trust(&margin) < 0.2);
+    ck_assert(wg_fair_confidence(&margin) > 0.05 && wg_fair_confidence(&margin) < 0.2);
     for (int i = 0; i < 400; i++) {
-        wg_fair_learn(&margin, true);
+        wg_fair_update_margin(&margin, true);
     }
-    ck_assert(wg_fair_trust(&margin) == 1);
+    ck_assert(wg_fair_confidence(&margin) == 1);
 }
 END_TEST
 
@@ -618,10 +618,10 @@
                 if (random % 4000 == 0) {
                     hosts[h] = (wg_retry){0}; /* started again */
                 }
-                wg_retry_pass(&hosts[h], 10 * MSEC, &rules);
+                wg_retry_refill(&hosts[h], 10 * MSEC, &rules);
                 int requests = busy ? (int)(random / 4000 % 3) : random / 4000 % 30 == 0;
                 for (int i = 0; i < requests; i++) {
-                    wg_retry_first(&hosts[h], &rules);
+                    wg_retry_record_first_send(&hosts[h], &rules);
                     firsts[step]++;
                     agains[step] += wg_retry_take(&hosts[h], &rules);
                 }
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -45,7 +45,7 @@
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
-    step(WGC_EVENT_NOT_RUN_SAID);
+    step(WGC_EVENT_NOT_RUN_REPORTED);
     step(WGC_EVENT_WAITED);
     end = step(WGC_EVENT_NO_TARGET);
     ck_assert_int_eq(end.code, WGC_CODE_NO_CAPACITY);
@@ -76,12 +76,12 @@
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_CLAIMED);
     step(WGC_EVENT_WRITTEN);
-    ck_assert_int_eq(step(WGC_EVENT_NOT_RUN_SAID).type, WGC_ACTION_WAIT);
+    ck_assert_int_eq(step(WGC_EVENT_NOT_RUN_REPORTED).type, WGC_ACTION_WAIT);
     budget.hundredths = 0;
     step(WGC_EVENT_WAITED);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
-    wgc_action end = step(WGC_EVENT_NOT_RUN_SAID);
+    wgc_action end = step(WGC_EVENT_NOT_RUN_REPORTED);
     ck_assert_int_eq(end.type, WGC_ACTION_ANSWER);
     ck_assert_int_eq(end.verdict, WG_VERDICT_NOT_RUN);
 }
@@ -119,11 +119,11 @@
     step(WGC_EVENT_WAITED);
     step(WGC_EVENT_SLOT);
     ck_assert_int_eq(call.attempt, 2);
-    wgc_event late = {.type = WGC_EVENT_WHOLE, .attempt = 1};
+    wgc_event late = {.type = WGC_EVENT_COMPLETE, .attempt = 1};
     ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
     late.type = WGC_EVENT_HEAD;
     ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
-    ck_assert_int_eq(step(WGC_EVENT_WHOLE).type, WGC_ACTION_FINISH);
+    ck_assert_int_eq(step(WGC_EVENT_COMPLETE).type, WGC_ACTION_FINISH);
     ck_assert_int_eq(step(WGC_EVENT_FAILED).type, WGC_ACTION_DEFAULT);
 }
 END_TEST
@@ -145,7 +145,7 @@
     step(WGC_EVENT_WRITTEN);
     step(WGC_EVENT_HEAD);
     wgc_action cut = step(WGC_EVENT_FAILED);
-    ck_assert_int_eq(cut.type, WGC_ACTION_CUT);
+    ck_assert_int_eq(cut.type, WGC_ACTION_ABORT);
     ck_assert_int_eq(cut.verdict, WG_VERDICT_MAY_HAVE_RUN);
 }
 END_TEST
@@ -163,7 +163,7 @@
 START_TEST(claims_decide_who_runs) {
     begin(false, true, false);
     step(WGC_EVENT_SLOT);
-    ck_assert_int_eq(step(WGC_EVENT_CLAIM_ENDED).type, WGC_ACTION_GIVE_EARLIER);
+    ck_assert_int_eq(step(WGC_EVENT_CLAIM_ENDED).type, WGC_ACTION_REPLAY);
     begin(false, true, false);
     step(WGC_EVENT_SLOT);
     wgc_action running = step(WGC_EVENT_CLAIM_RUNNING);
@@ -183,7 +183,7 @@
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
-    wgc_action cancel = step(WGC_EVENT_CALLER_GONE);
+    wgc_action cancel = step(WGC_EVENT_CALLER_DISCONNECTED);
     ck_assert_int_eq(cancel.type, WGC_ACTION_CANCEL);
     ck_assert(cancel.abort_attempt);
 }
@@ -208,11 +208,11 @@
             if (type == WGC_EVENT_HEAD && !call.written) {
                 continue; /* an answer comes after a request */
             }
-            if (type == WGC_EVENT_NOT_RUN_SAID && call.head_relayed) {
+            if (type == WGC_EVENT_NOT_RUN_REPORTED && call.head_relayed) {
                 continue;
             }
             byte = byte || (running && type == WGC_EVENT_WRITTEN);
-            said = running && type == WGC_EVENT_NOT_RUN_SAID;
+            said = running && type == WGC_EVENT_NOT_RUN_REPORTED;
             wgc_action action = wgc_step(&call, SECOND, &event);
             if (said) {
                 byte = false;
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -83,7 +83,7 @@
     GBytes* packed = wg_document_pack(whole, NULL);
     Wgpb__Configuration configuration;
     Wgpb__Order order = WGPB__ORDER__INIT;
-    wg_document_fill(&configuration, (uint64_t)version, packed);
+    wg_document_fill_message(&configuration, (uint64_t)version, packed);
     order.ticket = (uint64_t)version;
     order.configuration = &configuration;
     host->outcome = -1;
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -191,23 +191,23 @@
 START_TEST(members_come_and_go) {
     wgm_members* m = wgm_setup(&(wgm_desc){.members_max = 4}, NULL);
     wgm_member a = member("a", 1, WGM_STATE_UP, "x");
-    ck_assert_int_eq(wgm_heard(m, 0, &a), WGM_EVENT_UP);
-    ck_assert_int_eq(wgm_heard(m, SECOND, &a), WGM_EVENT_DEFAULT);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 0, &a), WGM_EVENT_UP);
+    ck_assert_int_eq(wgm_record_heartbeat(m, SECOND, &a), WGM_EVENT_DEFAULT);
     a.state = WGM_STATE_LEAVING;
-    ck_assert_int_eq(wgm_heard(m, SECOND, &a), WGM_EVENT_LEAVING);
+    ck_assert_int_eq(wgm_record_heartbeat(m, SECOND, &a), WGM_EVENT_LEAVING);
     a.state = WGM_STATE_UP;
-    wgm_heard(m, SECOND, &a); /* a late report of before */
+    wgm_record_heartbeat(m, SECOND, &a); /* a late report of before */
     ck_assert_int_eq(wgm_find(m, "a")->state, WGM_STATE_LEAVING);
     wgm_member again = member("a", 2, WGM_STATE_UP, "x");
-    ck_assert_int_eq(wgm_heard(m, 2 * SECOND, &again), WGM_EVENT_RESTARTED);
-    ck_assert_int_eq(wgm_heard(m, 2 * SECOND, &a), WGM_EVENT_STALE);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &again), WGM_EVENT_RESTARTED);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &a), WGM_EVENT_STALE);
     ck_assert_uint_eq(wgm_find(m, "a")->incarnation, 2);
     ck_assert_ptr_null(wgm_tick(m, 5 * SECOND));
     ck_assert_str_eq(wgm_tick(m, 5 * SECOND + 1)->name, "a");
     const wgm_member* list[4];
-    ck_assert_int_eq(wgm_entry(m, "w", "x", 0, list, 4), 0);
-    ck_assert_int_eq(wgm_heard(m, 6 * SECOND, &again), WGM_EVENT_UP);
-    ck_assert_int_eq(wgm_entry(m, "w", "x", 0, list, 4), 1);
+    ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 0);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 6 * SECOND, &again), WGM_EVENT_UP);
+    ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 1);
     wgm_shutdown(m);
 }
 END_TEST
@@ -218,7 +218,7 @@
         char name[8];
         g_snprintf(name, sizeof name, "r%d", i);
         wgm_member one = member(name, 1, WGM_STATE_UP, i % 2 ? "east" : "west");
-        wgm_heard(m, 0, &one);
+        wgm_record_heartbeat(m, 0, &one);
     }
     return m;
 }
@@ -227,15 +227,15 @@
     wgm_members* all = twelve_members();
     wgm_members* less = twelve_members();
     wgm_member leaving = member("r3", 1, WGM_STATE_LEAVING, "east");
-    wgm_heard(less, 0, &leaving);
+    wgm_record_heartbeat(less, 0, &leaving);
     int moved = 0;
     for (int w = 0; w < 200; w++) {
         char workspace[8];
         g_snprintf(workspace, sizeof workspace, "w%d", w);
         const wgm_member* before[3];
         const wgm_member* after[3];
-        ck_assert_int_eq(wgm_entry(all, workspace, "east", 3, before, 3), 3);
-        ck_assert_int_eq(wgm_entry(less, workspace, "east", 3, after, 3), 3);
+        ck_assert_int_eq(wgm_pick_entry_hosts(all, workspace, "east", 3, before, 3), 3);
+        ck_assert_int_eq(wgm_pick_entry_hosts(less, workspace, "east", 3, after, 3), 3);
         bool seen_west = false;
         for (int i = 0; i < 3; i++) {
             bool west = strcmp(before[i]->data_centre, "west") == 0;
@@ -287,10 +287,10 @@
     ck_assert(!wgp_pick(p, 0, &(wgp_request){.service = 7, .urgent = true}, &choice));
     /* A quota below what runs takes back each slot as it falls idle, and only then. */
     wgp_set_quota(p, 7, 3);
-    ck_assert(!wgp_take_given_back(p));
-    wgp_done(p, 0, &(wgp_choice){.target = 1}, WGP_RESULT_GOOD);
-    wgp_done(p, 0, &reserve, WGP_RESULT_GOOD);
-    ck_assert(wgp_take_given_back(p));
+    ck_assert(!wgp_take_report_due(p));
+    wgp_done(p, 0, &(wgp_choice){.target = 1}, WGP_RESULT_SUCCESS);
+    wgp_done(p, 0, &reserve, WGP_RESULT_SUCCESS);
+    ck_assert(wgp_take_report_due(p));
     ck_assert(!wgp_has_room(p, 0, 7, false));
     ck_assert(!wgp_has_room(p, 101 * SECOND, 7, true));
     wgp_shutdown(p);
@@ -299,15 +299,15 @@
 
 START_TEST(leaving_is_not_unseen_by_an_older_list) {
     wgp_place* p = place_with(2, 4);
-    ck_assert_int_eq(wgp_note_host(p, "127.0.0.1:1000", true, 10), WGP_EVENT_LEAVING);
+    ck_assert_int_eq(wgp_update_host(p, "127.0.0.1:1000", true, 10), WGP_EVENT_DRAINING);
     ck_assert(!wgp_is_usable(p, 0, 1));
-    wgp_note_host(p, "127.0.0.1:1000", false, 9);
-    wgp_note_host(p, "127.0.0.1:1000", false, 10);
+    wgp_update_host(p, "127.0.0.1:1000", false, 9);
+    wgp_update_host(p, "127.0.0.1:1000", false, 10);
     ck_assert(!wgp_is_usable(p, 0, 1));
-    wgp_note_host(p, "127.0.0.1:1000", false, 11);
+    wgp_update_host(p, "127.0.0.1:1000", false, 11);
     ck_assert(wgp_is_usable(p, 0, 1));
-    ck_assert_int_eq(wgp_note_leaving(p, 2), WGP_EVENT_LEAVING);
-    wgp_note_host(p, "127.0.0.1:1001", false, 50);
+    ck_assert_int_eq(wgp_record_draining(p, 2), WGP_EVENT_DRAINING);
+    wgp_update_host(p, "127.0.0.1:1001", false, 50);
     ck_assert(!wgp_is_usable(p, 0, 2)); /* it said so itself */
     wgp_choice choice;
     wgp_add_slots(p, 1, 1); /* what it held was given back when it was seen leaving */
@@ -326,17 +326,17 @@
     wgp_event event = WGP_EVENT_DEFAULT;
     for (int i = 0; i < 3; i++) {
         wgp_sent(p, &one);
-        event = wgp_done(p, 0, &one, WGP_RESULT_BAD);
+        event = wgp_done(p, 0, &one, WGP_RESULT_FAILED);
     }
-    ck_assert_int_eq(event, WGP_EVENT_ASIDE);
+    ck_assert_int_eq(event, WGP_EVENT_EJECTED);
     ck_assert(!wgp_is_usable(p, 0, 1));
     ck_assert(wgp_is_usable(p, SECOND, 1));
     wgp_sent(p, &one);
     ck_assert(!wgp_is_usable(p, SECOND, 1)); /* one probe at a time */
-    ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_BAD), WGP_EVENT_ASIDE);
+    ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_EJECTED);
     ck_assert(!wgp_is_usable(p, SECOND + 400 * MSEC, 1)); /* longer than before */
     wgp_sent(p, &one);
-    ck_assert_int_eq(wgp_done(p, 4 * SECOND, &one, WGP_RESULT_GOOD), WGP_EVENT_BACK);
+    ck_assert_int_eq(wgp_done(p, 4 * SECOND, &one, WGP_RESULT_SUCCESS), WGP_EVENT_RESTORED);
     wgp_shutdown(p);
 }
 END_TEST
@@ -345,34 +345,34 @@
     wgp_place* p = place_with(2, 4);
     wgp_choice one = {.target = 1};
     wgp_choice choice;
-    wg_backoff_wish wish = {.status = 503, .rest = 3 * SECOND, .leaving = true};
+    wg_backoff_hint wish = {.status = 503, .period = 3 * SECOND, .draining = true};
     wgp_sent(p, &one);
-    ck_assert_int_eq(wgp_note_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_RESTS);
-    ck_assert_int_eq(wgp_note_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_DEFAULT);
-    ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_BAD), WGP_EVENT_DEFAULT);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_BACKOFF);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_DEFAULT);
+    ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_DEFAULT);
     wgp_target_info info;
     wgp_query_target_id(p, 1, &info);
-    ck_assert(info.rested && !info.leaving);
+    ck_assert(info.backed_off && !info.draining);
     ck_assert_int_eq(info.leased, 1);
-    ck_assert(wgp_take_given_back(p));
+    ck_assert(wgp_take_report_due(p));
     ck_assert(!wgp_is_usable(p, 3 * SECOND, 1));
     ck_assert(!wgp_may_send(p, 3 * SECOND, 1));
-    ck_assert_int_eq(wgp_back_at(p, 3 * SECOND, 7), 0);
-    wgp_note_prefix(p, 99, 1);
+    ck_assert_int_eq(wgp_backoff_ends_at(p, 3 * SECOND, 7), 0);
+    wgp_record_prefix(p, 99, 1);
     ck_assert(wgp_pick(p, 3 * SECOND, &(wgp_request){.service = 7, .prefix = 99}, &choice));
     ck_assert_uint_eq(choice.target, 2);
     /* Both rest; the first of them is back first. */
-    wish.rest = 9 * SECOND;
-    wgp_note_answer(p, SECOND, 2, &wish, 0);
+    wish.period = 9 * SECOND;
+    wgp_record_answer(p, SECOND, 2, &wish, 0);
     ck_assert(!wgp_has_room(p, 3 * SECOND, 7, true));
-    ck_assert_int_ge(wgp_back_at(p, 3 * SECOND, 7), 4 * SECOND);
-    ck_assert_int_lt(wgp_back_at(p, 3 * SECOND, 7), 5 * SECOND);
+    ck_assert_int_ge(wgp_backoff_ends_at(p, 3 * SECOND, 7), 4 * SECOND);
+    ck_assert_int_lt(wgp_backoff_ends_at(p, 3 * SECOND, 7), 5 * SECOND);
     ck_assert(wgp_is_usable(p, 5 * SECOND, 1));
     wgp_sent(p, &one);
-    wgp_done(p, 5 * SECOND, &one, WGP_RESULT_GOOD);
-    ck_assert(wgp_take_given_back(p)); /* more slots may come */
+    wgp_done(p, 5 * SECOND, &one, WGP_RESULT_SUCCESS);
+    ck_assert(wgp_take_report_due(p)); /* more slots may come */
     wgp_query_target_id(p, 1, &info);
-    ck_assert(!info.rested);
+    ck_assert(!info.backed_off);
     wgp_shutdown(p);
 }
 END_TEST
@@ -380,7 +380,7 @@
 START_TEST(prefix_is_a_hint_that_gives_way) {
     wgp_place* p = place_with(4, 8);
     wgp_choice choice;
-    wgp_note_prefix(p, 99, 2);
+    wgp_record_prefix(p, 99, 2);
     wgp_request request = {.service = 7, .prefix = 99};
     for (int i = 0; i < 2; i++) {
         ck_assert(wgp_pick(p, 0, &request, &choice));
@@ -388,11 +388,11 @@
         wgp_sent(p, &choice);
     }
     /* Its load counts: beyond a quarter of its slots more than the least loaded it loses. */
-    wgp_note_load(p, 2, 8);
+    wgp_update_load(p, 2, 8);
     ck_assert(wgp_pick(p, 0, &request, &choice));
     ck_assert_uint_ne(choice.target, 2);
-    wgp_note_load(p, 2, 0);
-    wgp_note_leaving(p, 2);
+    wgp_update_load(p, 2, 0);
+    wgp_record_draining(p, 2);
     ck_assert(wgp_pick(p, 0, &request, &choice));
     ck_assert_uint_ne(choice.target, 2);
     wgp_shutdown(p);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -25,7 +25,7 @@
 START_TEST(the_callers_place_is_read_under_the_name_that_it_comes_with) {
     char* place = renamed("zone");
     ck_assert_ptr_nonnull(place);
-    ck_assert_str_eq(platform_entry_names.query_place, place);
+    ck_assert_str_eq(platform_entry_names.query_data_centre, place);
     g_free(place);
 }
 END_TEST
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -2,7 +2,7 @@
 #include "wg_policy.h"
 #include "wg_test.h"
 
-static const wg_fair_levels levels = {.owed = 1000, .served = 1000};
+static const wg_fair_levels levels = {.fair_share = 1000, .served = 1000};
 static const wg_fair_margin trusted = {.value = 1};
 
 static wg_policy_terms terms(double used) {
@@ -34,16 +34,16 @@
     wg_admit_limits b = wg_policy_limits(&below, 0);
     wg_admit_limits a = wg_policy_limits(&above, 0);
     wg_admit_limits f = wg_policy_limits(&far, 0);
-    ck_assert_int_eq(b.ahead, b.whole);
+    ck_assert_int_eq(b.ahead, b.total);
     ck_assert_int_lt(a.ahead, b.ahead);
     ck_assert_int_eq(f.ahead, 0);
     ck_assert(!b.spares_shared);
     ck_assert(a.spares_shared);
-    ck_assert(wg_policy_may_spill(&below));
-    ck_assert(!wg_policy_may_spill(&above));
-    ck_assert_int_eq(wg_policy_asks_max(&below), 3);
-    ck_assert_int_eq(wg_policy_asks_max(&above), 2);
-    ck_assert_int_eq(wg_policy_asks_max(&far), 0);
+    ck_assert(wg_policy_may_spill_over(&below));
+    ck_assert(!wg_policy_may_spill_over(&above));
+    ck_assert_int_eq(wg_policy_admission_requests_max(&below), 3);
+    ck_assert_int_eq(wg_policy_admission_requests_max(&above), 2);
+    ck_assert_int_eq(wg_policy_admission_requests_max(&far), 0);
     ck_assert_int_eq(wg_policy_try_gap(&below), 0);
     ck_assert_int_gt(wg_policy_try_gap(&above), 0);
     ck_assert_double_eq(wg_policy_slots_share(&below), 1);
@@ -56,18 +56,18 @@
 START_TEST(a_second_attempt_is_tried_in_full) {
     wg_policy_terms far = terms(5000);
     far.sent_before = true;
-    ck_assert_int_eq(wg_policy_asks_max(&far), 3);
+    ck_assert_int_eq(wg_policy_admission_requests_max(&far), 3);
 }
 END_TEST
 
 START_TEST(the_modest_are_sent_late_rather_than_refused) {
     wg_policy_terms t = terms(400);
-    ck_assert(wg_policy_is_modest(&t));
-    wg_time before = wg_policy_limits(&t, 0).whole;
+    ck_assert(wg_policy_may_be_late(&t));
+    wg_time before = wg_policy_limits(&t, 0).total;
     t.relaxed = true;
-    ck_assert_int_eq(wg_policy_limits(&t, 0).whole, 2 * before);
+    ck_assert_int_eq(wg_policy_limits(&t, 0).total, 2 * before);
     t.used = 600;
-    ck_assert(!wg_policy_is_modest(&t));
+    ck_assert(!wg_policy_may_be_late(&t));
 }
 END_TEST
 
@@ -75,16 +75,16 @@
 START_TEST(open_routes_wait_like_anybody) {
     wg_policy_terms t = terms(5000);
     t.counts = false;
-    ck_assert_int_eq(wg_policy_limits(&t, 0).ahead, wg_policy_limits(&t, 0).whole);
-    ck_assert(!wg_policy_may_spill(&t));
-    ck_assert(!wg_policy_is_modest(&t));
+    ck_assert_int_eq(wg_policy_limits(&t, 0).ahead, wg_policy_limits(&t, 0).total);
+    ck_assert(!wg_policy_may_spill_over(&t));
+    ck_assert(!wg_policy_may_be_late(&t));
     ck_assert_double_eq(wg_policy_slots_share(&t), 1);
 }
 END_TEST
 
 START_TEST(a_refusal_comes_within_a_quarter_of_the_objective) {
-    ck_assert_int_eq(wg_policy_wait(1000 * MSEC), 110 * MSEC);
-    ck_assert_int_eq(wg_policy_wait(10 * MSEC), 5 * MSEC);
+    ck_assert_int_eq(wg_policy_queue_time_max(1000 * MSEC), 110 * MSEC);
+    ck_assert_int_eq(wg_policy_queue_time_max(10 * MSEC), 5 * MSEC);
 }
 END_TEST
 
@@ -93,13 +93,13 @@
     wg_time least = WG_TIME_NEVER;
     wg_time most = 0;
     for (uint64_t i = 0; i < 200; i++) {
-        wg_time after = wg_policy_retry_after_rest(7, i, 2 * SECOND, 30 * SECOND);
+        wg_time after = wg_policy_retry_after_backoff(7, i, 2 * SECOND, 30 * SECOND);
         least = MIN(least, after);
         most = MAX(most, after);
         ck_assert_int_gt(after, 2 * SECOND);
-        ck_assert_int_le(wg_policy_retry_after_rest(7, i, 9 * SECOND, 3 * SECOND), SECOND);
-        ck_assert_int_ge(wg_policy_retry_after_rest(7, i, 9 * SECOND, 3 * SECOND), SECOND / 2);
-        ck_assert_int_eq(wg_policy_retry_after_rest(7, i, 9 * SECOND, -SECOND), 0);
+        ck_assert_int_le(wg_policy_retry_after_backoff(7, i, 9 * SECOND, 3 * SECOND), SECOND);
+        ck_assert_int_ge(wg_policy_retry_after_backoff(7, i, 9 * SECOND, 3 * SECOND), SECOND / 2);
+        ck_assert_int_eq(wg_policy_retry_after_backoff(7, i, 9 * SECOND, -SECOND), 0);
     }
     ck_assert_int_ge(most - least, 150 * MSEC);
 }
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -96,7 +96,7 @@
 END_TEST
 
 START_TEST(evidence_is_forgotten_after_a_time) {
-    wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){.life = 100 * SECOND});
+    wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){.lifetime = 100 * SECOND});
     ck_assert(!is_due_after(s, SECOND, 7, 1, true));
     wg_suspects_tick(s, 100 * SECOND);
     ck_assert_int_eq(wg_suspects_num(s), 1);
@@ -163,11 +163,11 @@
     ck_assert(change(q, 5 * SECOND, 7, "w", true));
     ck_assert(!change(q, 6 * SECOND, 7, "w", true));
     ck_assert(!change(q, 6 * SECOND, 0, "w", true));
-    ck_assert(wg_quarantine_holds(q, 7));
+    ck_assert(wg_quarantine_contains(q, 7));
     ck_assert_int_eq(wg_quarantine_find(q, 7)->until, 605 * SECOND);
     ck_assert_uint_eq(wg_quarantine_change(q), 1);
     ck_assert(change(q, 7 * SECOND, 7, "w", false));
-    ck_assert(!wg_quarantine_holds(q, 7));
+    ck_assert(!wg_quarantine_contains(q, 7));
     ck_assert_uint_eq(wg_quarantine_change(q), 2);
     wg_quarantine_shutdown(q);
 }
@@ -180,14 +180,14 @@
         ck_assert(change(q, 0, fp, "b", true));
     }
     ck_assert_int_eq(wg_quarantine_num(q), 5);
-    ck_assert(wg_quarantine_holds(q, 1));
-    ck_assert(!wg_quarantine_holds(q, 115));
-    ck_assert(wg_quarantine_holds(q, 116));
+    ck_assert(wg_quarantine_contains(q, 1));
+    ck_assert(!wg_quarantine_contains(q, 115));
+    ck_assert(wg_quarantine_contains(q, 116));
     ck_assert(change(q, 0, 2, "c", true));
     ck_assert(change(q, 0, 3, "d", true)); /* full: the workspace with most gives way */
     ck_assert_int_eq(wg_quarantine_num(q), 6);
-    ck_assert(!wg_quarantine_holds(q, 116));
-    ck_assert(wg_quarantine_holds(q, 1));
+    ck_assert(!wg_quarantine_contains(q, 116));
+    ck_assert(wg_quarantine_contains(q, 1));
     wg_quarantine_shutdown(q);
 }
 END_TEST
@@ -210,8 +210,8 @@
     uint64_t* list = wg_quarantine_fingerprints(loaded);
     wg_quarantine_copy(copy, 4, list, 2);
     g_free(list);
-    ck_assert(wg_quarantine_holds(copy, 7) && wg_quarantine_holds(copy, 9));
-    ck_assert(!wg_quarantine_holds(copy, 8));
+    ck_assert(wg_quarantine_contains(copy, 7) && wg_quarantine_contains(copy, 9));
+    ck_assert(!wg_quarantine_contains(copy, 8));
     wg_quarantine_load(copy, 0, NULL); /* of a release that knew none */
     ck_assert_int_eq(wg_quarantine_num(copy), 0);
     wg_quarantine_shutdown(q);
@@ -293,7 +293,7 @@
 
 static bool run_is_refused(const run_state* r, int host, uint64_t fp) {
     const wg_suspect* own = wg_suspects_find(r->hosts[host], fp);
-    return wg_quarantine_holds(r->list, fp) || (own && wg_suspect_is_due(own));
+    return wg_quarantine_contains(r->list, fp) || (own && wg_suspect_is_due(own));
 }
 
 static void run_send(run_state* r, uint64_t fp, int tries) {
@@ -353,7 +353,7 @@
 static void run_finish(run_state* r, run_call* call) {
     call->live = false;
     wg_suspects_clear(r->hosts[call->host], run_now(r), call->fingerprint);
-    if (wg_quarantine_holds(r->list, call->fingerprint)) {
+    if (wg_quarantine_contains(r->list, call->fingerprint)) {
         run_word word = {.ended_well = true, .crash = {.fingerprint = call->fingerprint}};
         run_tell(r, &word);
     }
@@ -388,7 +388,7 @@
 static void run_end_quarantine(run_state* r, uint64_t fp) {
     change(r->list, run_now(r), fp, "w", false);
     for (int h = 0; h < RUN_HOSTS; h++) {
-        wg_suspects_forget(r->hosts[h], fp);
+        wg_suspects_remove(r->hosts[h], fp);
     }
 }
 
@@ -396,13 +396,13 @@
     uint64_t fp = word->crash.fingerprint;
     if (word->ended_well) {
         wg_suspects_clear(r->leader, run_now(r), fp);
-        if (wg_quarantine_holds(r->list, fp)) {
+        if (wg_quarantine_contains(r->list, fp)) {
             run_end_quarantine(r, fp);
         }
         return;
     }
     const wg_suspect* suspect = wg_suspects_add(r->leader, run_now(r), &word->crash);
-    if (suspect && wg_suspect_is_due(suspect) && !wg_quarantine_holds(r->list, fp)) {
+    if (suspect && wg_suspect_is_due(suspect) && !wg_quarantine_contains(r->list, fp)) {
         run_begin_quarantine(r, fp);
     }
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -119,16 +119,16 @@
         push(q, (wg_time)i, 1, 100, false);
         pick(q, (wg_time)i, &picked);
         wgq_charge(q, picked, (int64_t)(wg_jitter(3, i) % 500));
-        ck_assert_int_eq(wgq_accounts(q, false, &account, 1), 1);
+        ck_assert_int_eq(wgq_take_accounts(q, false, &account, 1), 1);
         ck_assert_uint_ge(account.served, last);
         last = account.served;
         wgq_finish(q, (wg_time)i, picked, (int64_t)(wg_jitter(4, i) % 500));
     }
     wgq_account account;
-    ck_assert_int_eq(wgq_accounts(q, false, &account, 1), 1);
+    ck_assert_int_eq(wgq_take_accounts(q, false, &account, 1), 1);
     ck_assert_uint_eq(account.pending, 0);
     ck_assert_uint_eq(account.running, 0);
-    ck_assert_int_eq(wgq_accounts(q, false, &account, 1), 0);
+    ck_assert_int_eq(wgq_take_accounts(q, false, &account, 1), 0);
     wgq_shutdown(q);
 }
 END_TEST
@@ -330,16 +330,16 @@
     push(q, 10 * SECOND, 1, 100, false);
     pick(q, 10 * SECOND, &picked);
     wgq_account account;
-    wgq_refresh(q, 10 * SECOND + SECOND / 2);
-    wgq_accounts(q, true, &account, 1);
+    wgq_raise_estimates(q, 10 * SECOND + SECOND / 2);
+    wgq_take_accounts(q, true, &account, 1);
     ck_assert_uint_le(account.pending, 101);
-    wgq_refresh(q, 15 * SECOND);
-    wgq_accounts(q, true, &account, 1);
+    wgq_raise_estimates(q, 15 * SECOND);
+    wgq_take_accounts(q, true, &account, 1);
     ck_assert_uint_ge(account.pending, 450);
     ck_assert_uint_le(account.pending, 550);
     uint64_t served = account.served;
     wgq_finish(q, 16 * SECOND, picked, 300); /* it was slow, not large */
-    wgq_accounts(q, true, &account, 1);
+    wgq_take_accounts(q, true, &account, 1);
     ck_assert_uint_eq(account.pending, 0);
     ck_assert_uint_eq(account.served, served + 300);
     wgq_shutdown(q);
--- a/tests/test_quorum_start.c
+++ b/tests/test_quorum_start.c
@@ -69,7 +69,7 @@
     wgr_message ask = {0};
     now += ROUND_GAP;
     wgr_tick(node, now);
-    return sent(WGR_MESSAGE_START_ASK, &ask) ? ask.echo : 0;
+    return sent(WGR_MESSAGE_START_QUERY, &ask) ? ask.echo : 0;
 }
 
 static void answer(uint64_t from, wg_time round, uint64_t life, uint64_t log_index) {
@@ -78,7 +78,7 @@
                      .to = SELF,
                      .term = 1,
                      .echo = round,
-                     .life = life,
+                     .incarnation = life,
                      .log_index = log_index,
                      .log_term = 1};
     wgr_step(node, now, &m);
@@ -89,7 +89,7 @@
 }
 
 static wgr_message ask_node(void) {
-    wgr_message m = {.type = WGR_MESSAGE_START_ASK, .from = OTHER, .to = SELF, .echo = 5};
+    wgr_message m = {.type = WGR_MESSAGE_START_QUERY, .from = OTHER, .to = SELF, .echo = 5};
     wgr_message reply = {0};
     wgr_step(node, now, &m);
     ck_assert_int_eq(sent(WGR_MESSAGE_START_REPLY, &reply), 1);
@@ -104,7 +104,7 @@
                      .term = 9,
                      .log_index = 50,
                      .log_term = 8,
-                     .life = life};
+                     .incarnation = life};
     wgr_message reply = {0};
     wgr_step(node, now, &m);
     return sent(WGR_MESSAGE_VOTE_REPLY, &reply) == 1 && !reply.reject;
@@ -137,7 +137,7 @@
     ck_assert_int_eq(votes_asked(&vote), 0);
     answer(THIRD, second, 8, 2);
     ck_assert_int_eq(votes_asked(&vote), 2);
-    ck_assert_uint_eq(vote.life, vote.to == OTHER ? 7 : 8);
+    ck_assert_uint_eq(vote.incarnation, vote.to == OTHER ? 7 : 8);
     end();
 }
 END_TEST
@@ -211,23 +211,23 @@
     start(1, 0);
     wgr_message before = ask_node();
     ck_assert(!before.reject);
-    ck_assert_uint_ne(before.life, 0);
+    ck_assert_uint_ne(before.incarnation, 0);
     hear_leader();
     ck_assert(ask_node().reject);
-    ck_assert(!votes_at_once(before.life));
+    ck_assert(!votes_at_once(before.incarnation));
     end();
 }
 END_TEST
 
 START_TEST(a_vote_is_given_in_the_life_that_was_told) {
     start(1, 0);
-    uint64_t life = ask_node().life;
+    uint64_t life = ask_node().incarnation;
     ck_assert(votes_at_once(life));
     end();
     start(2, 0); /* it has restarted since */
     ck_assert(!votes_at_once(life));
     ck_assert(!votes_at_once(0));
-    ck_assert(votes_at_once(ask_node().life));
+    ck_assert(votes_at_once(ask_node().incarnation));
     end();
 }
 END_TEST
@@ -235,7 +235,7 @@
 START_TEST(one_whose_disk_is_lost_need_not_answer) {
     start(1, 3);
     wgr_message vote = {0};
-    wgr_note_gone(node, THIRD);
+    wgr_record_replaced(node, THIRD);
     for (int i = 0; i < 2; i++) {
         answer(OTHER, ask_round(), 7, 2);
     }
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -13,11 +13,11 @@
     return t;
 }
 
-static wg_heard hear(wg_registry* r, wg_time now, const char* id, wg_target_state state,
-                     uint64_t sequence) {
+static wg_heartbeat_result hear(wg_registry* r, wg_time now, const char* id, wg_target_state state,
+                                uint64_t sequence) {
     wg_target t = record(id, state, sequence, "10.0.0.1:1");
-    wg_heard heard = wg_registry_hear(r, now, &t);
-    if (heard == WG_HEARD_CHANGE) {
+    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
+    if (heard == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
     return heard;
@@ -35,10 +35,10 @@
 
 START_TEST(heartbeats_that_say_nothing_new_change_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_READY, 1), WG_HEARD_CHANGE);
+    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     uint64_t change = wg_registry_change(r);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 2), WG_HEARD_SAME);
-    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 2), WG_HEARD_OLD);
+    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
     ck_assert_uint_eq(wg_registry_change(r), change);
     wg_registry_shutdown(r);
 }
@@ -48,13 +48,13 @@
 START_TEST(a_late_heartbeat_revives_nobody) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 1);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_DRAINING, 5), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 4), WG_HEARD_OLD);
-    ck_assert_int_eq(hear(r, 3, "a", WG_TARGET_READY, 6), WG_HEARD_SAME);
+    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_DRAINING, 5), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear(r, 3, "a", WG_TARGET_READY, 6), WG_HEARTBEAT_UNCHANGED);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_DRAINING);
-    ck_assert_int_eq(hear(r, 4, "a", WG_TARGET_GONE, 0), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear(r, 5, "a", WG_TARGET_READY, 99), WG_HEARD_OLD);
-    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_GONE);
+    ck_assert_int_eq(hear(r, 4, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear(r, 5, "a", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
 }
 END_TEST
@@ -64,16 +64,16 @@
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 1);
     wg_target drain = record("a", WG_TARGET_DRAINING, 2, "10.0.0.1:1");
-    ck_assert_int_eq(wg_registry_hear(r, 1, &drain), WG_HEARD_CHANGE);
-    ck_assert_int_eq(wg_registry_hear(r, 2, &drain), WG_HEARD_CHANGE);
+    ck_assert_int_eq(wg_registry_receive(r, 1, &drain), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(wg_registry_receive(r, 2, &drain), WG_HEARTBEAT_CHANGED);
     wg_registry_shutdown(r);
 }
 END_TEST
 
 START_TEST(a_leave_without_a_record_is_remembered) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_GONE, 0), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 7), WG_HEARD_OLD);
+    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 7), WG_HEARTBEAT_OUTDATED);
     wg_registry_shutdown(r);
 }
 END_TEST
@@ -82,7 +82,7 @@
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 1);
     hear(r, 1, "b", WG_TARGET_READY, 1);
-    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_GONE);
+    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_REMOVED);
     ck_assert_int_eq(state_of(r, "b"), WG_TARGET_READY);
     wg_registry_shutdown(r);
 }
@@ -91,15 +91,15 @@
 START_TEST(silent_ones_come_back_by_a_newer_heartbeat_only) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 3);
-    ck_assert_ptr_null(wg_registry_silent(r, 5 * SECOND, 5 * SECOND));
-    const wg_target* silent = wg_registry_silent(r, 5 * SECOND + 1, 5 * SECOND);
+    ck_assert_ptr_null(wg_registry_find_unresponsive(r, 5 * SECOND, 5 * SECOND));
+    const wg_target* silent = wg_registry_find_unresponsive(r, 5 * SECOND + 1, 5 * SECOND);
     ck_assert_ptr_nonnull(silent);
     wg_target gone = *silent;
-    gone.state = WG_TARGET_SILENT;
+    gone.state = WG_TARGET_UNRESPONSIVE;
     wg_registry_apply(r, 6 * SECOND, &gone);
-    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_SILENT);
-    ck_assert_int_eq(hear(r, 7 * SECOND, "a", WG_TARGET_READY, 3), WG_HEARD_OLD);
-    ck_assert_int_eq(hear(r, 8 * SECOND, "a", WG_TARGET_READY, 4), WG_HEARD_CHANGE);
+    ck_assert_int_eq(state_of(r, "a"), WG_TARGET_UNRESPONSIVE);
+    ck_assert_int_eq(hear(r, 7 * SECOND, "a", WG_TARGET_READY, 3), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear(r, 8 * SECOND, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_READY);
     wg_registry_shutdown(r);
 }
@@ -111,11 +111,11 @@
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "lives", WG_TARGET_READY, 1);
     hear(r, SECOND, "crashed", WG_TARGET_READY, 1);
-    ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_GONE);
-    ck_assert_int_eq(hear(r, 2 * SECOND, "lives", WG_TARGET_READY, 2), WG_HEARD_OLD);
-    ck_assert_int_eq(hear(r, 4 * SECOND, "lives", WG_TARGET_READY, 3), WG_HEARD_CHANGE);
+    ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_REMOVED);
+    ck_assert_int_eq(hear(r, 2 * SECOND, "lives", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear(r, 4 * SECOND, "lives", WG_TARGET_READY, 3), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_READY);
-    ck_assert_int_eq(state_of(r, "crashed"), WG_TARGET_GONE);
+    ck_assert_int_eq(state_of(r, "crashed"), WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
 }
 END_TEST
@@ -127,21 +127,22 @@
     hear(r, 0, "crashed", WG_TARGET_READY, 1);
     hear(r, 1 * SECOND, "lives", WG_TARGET_READY, 1);
     for (uint64_t i = 2; i < 10; i++) {
-        ck_assert_int_eq(hear(r, (wg_time)i * SECOND, "crashed", WG_TARGET_READY, i), WG_HEARD_OLD);
+        ck_assert_int_eq(hear(r, (wg_time)i * SECOND, "crashed", WG_TARGET_READY, i),
+                         WG_HEARTBEAT_OUTDATED);
         hear(r, (wg_time)i * SECOND, "lives", WG_TARGET_READY, i);
     }
     ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_READY);
-    ck_assert_int_eq(hear(r, 20 * SECOND, "lives", WG_TARGET_GONE, 0), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear(r, 30 * SECOND, "lives", WG_TARGET_READY, 99), WG_HEARD_OLD);
+    ck_assert_int_eq(hear(r, 20 * SECOND, "lives", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear(r, 30 * SECOND, "lives", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
     wg_registry_shutdown(r);
 }
 END_TEST
 
-static wg_heard hear_cold(wg_registry* r, wg_time now, uint64_t sequence, wg_time cold) {
+static wg_heartbeat_result hear_cold(wg_registry* r, wg_time now, uint64_t sequence, wg_time cold) {
     wg_target t = record("a", WG_TARGET_READY, sequence, "10.0.0.1:1");
     t.cold_until = cold ? now + cold : 0;
-    wg_heard heard = wg_registry_hear(r, now, &t);
-    if (heard == WG_HEARD_CHANGE) {
+    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
+    if (heard == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
     return heard;
@@ -152,9 +153,9 @@
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear_cold(r, 0, 1, 3 * SECOND);
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 3 * SECOND);
-    ck_assert_int_eq(hear_cold(r, 1 * SECOND, 2, 2 * SECOND), WG_HEARD_SAME);
-    ck_assert_int_eq(hear_cold(r, 5 * SECOND, 3, 0), WG_HEARD_SAME);
-    ck_assert_int_eq(hear_cold(r, 6 * SECOND, 4, 2 * SECOND), WG_HEARD_CHANGE);
+    ck_assert_int_eq(hear_cold(r, 1 * SECOND, 2, 2 * SECOND), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(hear_cold(r, 5 * SECOND, 3, 0), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(hear_cold(r, 6 * SECOND, 4, 2 * SECOND), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 8 * SECOND);
     Wgpb__TargetRecord packed;
     wg_target at_another;
@@ -182,8 +183,8 @@
     evacuate(r, 1, true, true);
     evacuate(r, 2, true, false);
     ck_assert_uint_eq(wg_registry_change(r), change + 1);
-    ck_assert(!wg_registry_takes(r, wg_registry_find(r, 1)));
-    ck_assert(wg_registry_takes(r, wg_registry_find(r, 2)));
+    ck_assert(!wg_registry_accepts(r, wg_registry_find(r, 1)));
+    ck_assert(wg_registry_accepts(r, wg_registry_find(r, 2)));
 
     Wgpb__RegistryState* state = wg_registry_dump(r, 3);
     wg_registry* loaded = wg_registry_setup(&(wg_registry_desc){0});
@@ -194,7 +195,7 @@
 
     evacuate(r, 10 * SECOND, false, true);
     evacuate(r, 11 * SECOND, false, false);
-    ck_assert(wg_registry_takes(r, wg_registry_find(r, 1)));
+    ck_assert(wg_registry_accepts(r, wg_registry_find(r, 1)));
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 13 * SECOND);
     ck_assert_int_eq(wg_registry_find(r, 2)->cold_until, 0);
     wg_registry_shutdown(r);
@@ -230,7 +231,7 @@
             g_snprintf(id, sizeof id, "i%d", (int)(random % 60));
             g_snprintf(address, sizeof address, "10.0.0.%d:1", (int)(random / 60 % 12));
             wg_target t = record(id, (wg_target_state)(1 + random / 720 % 4), step / 3, address);
-            if (wg_registry_hear(r, (wg_time)step, &t) == WG_HEARD_CHANGE) {
+            if (wg_registry_receive(r, (wg_time)step, &t) == WG_HEARTBEAT_CHANGED) {
                 wg_registry_apply(r, (wg_time)step, &t);
             }
             if (random % 17 == 0) {
@@ -238,13 +239,13 @@
                 since = wg_registry_change(r);
                 const wg_target* mine = NULL;
                 while ((mine = wg_registry_next(r, mine ? mine->number : 0))) {
-                    bool ended = mine->state == WG_TARGET_GONE;
+                    bool ended = mine->state == WG_TARGET_REMOVED;
                     const wg_target* theirs = wg_registry_find(copy, mine->number);
                     ck_assert(theirs ? theirs->state == mine->state : ended);
                 }
                 const wg_target* theirs = NULL;
                 while ((theirs = wg_registry_next(copy, theirs ? theirs->number : 0))) {
-                    ck_assert(theirs->state == WG_TARGET_GONE ||
+                    ck_assert(theirs->state == WG_TARGET_REMOVED ||
                               wg_registry_find(r, theirs->number) != NULL);
                 }
             }
@@ -263,12 +264,12 @@
 
 /* ---- a target that starts again under its id ---- */
 
-static wg_heard hear_born(wg_registry* r, wg_time now, uint64_t born, wg_target_state state,
-                          uint64_t sequence) {
+static wg_heartbeat_result hear_born(wg_registry* r, wg_time now, uint64_t born,
+                                     wg_target_state state, uint64_t sequence) {
     wg_target t = record("a", state, sequence, "10.0.0.1:1");
     t.born = born;
-    wg_heard heard = wg_registry_hear(r, now, &t);
-    if (heard == WG_HEARD_CHANGE) {
+    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
+    if (heard == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
     return heard;
@@ -289,12 +290,12 @@
     hear_born(r, 0, 1000, WG_TARGET_READY, 1);
     hear_born(r, SECOND, 1000, WG_TARGET_READY, 501);
     uint32_t former = last_record(r)->number;
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear_born(r, 4 * SECOND, 2000, WG_TARGET_READY, 2), WG_HEARD_SAME);
+    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear_born(r, 4 * SECOND, 2000, WG_TARGET_READY, 2), WG_HEARTBEAT_UNCHANGED);
     const wg_target* target = last_record(r);
     ck_assert_uint_ne(target->number, former);
     ck_assert_int_eq(target->state, WG_TARGET_READY);
-    ck_assert_int_eq(wg_registry_find(r, former)->state, WG_TARGET_GONE);
+    ck_assert_int_eq(wg_registry_find(r, former)->state, WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
 }
 END_TEST
@@ -304,11 +305,12 @@
     hear_born(r, 0, 1000, WG_TARGET_READY, 500);
     hear_born(r, SECOND, 2000, WG_TARGET_READY, 1);
     uint64_t change = wg_registry_change(r);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 501), WG_HEARD_OLD);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_DRAINING, 502), WG_HEARD_OLD);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_GONE, 0), WG_HEARD_OLD);
+    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 501), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_DRAINING, 502),
+                     WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_REMOVED, 0), WG_HEARTBEAT_OUTDATED);
     /* Agreed on after it was overtaken. */
-    wg_target silent = record("a", WG_TARGET_SILENT, 500, "10.0.0.1:1");
+    wg_target silent = record("a", WG_TARGET_UNRESPONSIVE, 500, "10.0.0.1:1");
     silent.born = 1000;
     wg_registry_apply(r, 2 * SECOND, &silent);
     ck_assert_uint_eq(wg_registry_change(r), change);
@@ -320,9 +322,9 @@
 START_TEST(a_target_that_left_may_start_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear_born(r, 0, 1000, WG_TARGET_DRAINING, 5);
-    hear_born(r, SECOND, 0, WG_TARGET_GONE, 0); /* a leave does not say its start */
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 900), WG_HEARD_OLD);
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARD_CHANGE);
+    hear_born(r, SECOND, 0, WG_TARGET_REMOVED, 0); /* a leave does not say its start */
+    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 900), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(last_record(r)->state, WG_TARGET_READY);
     wg_registry_shutdown(r);
 }
@@ -337,10 +339,12 @@
     Wgpb__RegistryState* state = wg_registry_dump(r, SECOND);
     ck_assert(wg_registry_load(loaded, SECOND, state));
     wgpb__registry_state__free_unpacked(state, NULL);
-    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 1000, WG_TARGET_READY, 8), WG_HEARD_OLD);
-    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 2000, WG_TARGET_READY, 2), WG_HEARD_SAME);
-    ck_assert_int_eq(hear_born(loaded, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARD_CHANGE);
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARD_CHANGE);
+    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 1000, WG_TARGET_READY, 8),
+                     WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 2000, WG_TARGET_READY, 2),
+                     WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(hear_born(loaded, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(hear_born(r, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     ck_assert_uint_eq(last_record(loaded)->number, last_record(r)->number);
     wg_registry_shutdown(loaded);
     wg_registry_shutdown(r);
@@ -351,8 +355,10 @@
 START_TEST(many_starts_under_one_id_stay_bounded) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 4});
     for (uint64_t born = 1; born <= 50; born++) {
-        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 1), WG_HEARD_CHANGE);
-        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 2), WG_HEARD_SAME);
+        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 1),
+                         WG_HEARTBEAT_CHANGED);
+        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 2),
+                         WG_HEARTBEAT_UNCHANGED);
     }
     int num = 0;
     for (const wg_target* t = NULL; (t = wg_registry_next(r, t ? t->number : 0));) {
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -22,14 +22,14 @@
     if (d.reset) {
         wg_roster_copy_reset(copy);
     }
-    for (guint i = 0; i < d.left->len; i++) {
-        wg_roster_copy_remove(copy, d.left->pdata[i]);
+    for (guint i = 0; i < d.removed->len; i++) {
+        wg_roster_copy_remove(copy, d.removed->pdata[i]);
     }
-    for (guint i = 0; i < d.came->len; i++) {
-        wg_roster_copy_add(copy, d.came->pdata[i]);
+    for (guint i = 0; i < d.added->len; i++) {
+        wg_roster_copy_add(copy, d.added->pdata[i]);
     }
     wg_roster_copy_set_change(copy, d.change);
-    int told = (int)(d.came->len + d.left->len);
+    int told = (int)(d.added->len + d.removed->len);
     wg_roster_difference_clear(&d);
     return told;
 }
@@ -51,8 +51,8 @@
     wg_roster_begin(leader, 3);
     for (int i = 0; i < HOSTS; i++) {
         wg_roster_host h = host(i, 0);
-        ck_assert(wg_roster_hear(leader, SECOND, &h));
-        ck_assert(!wg_roster_hear(leader, SECOND, &h));
+        ck_assert(wg_roster_record_report(leader, SECOND, &h));
+        ck_assert(!wg_roster_record_report(leader, SECOND, &h));
     }
     ck_assert_int_eq(tell(leader, copy), HOSTS);
     ck_assert_int_eq(tell(leader, copy), 0);
@@ -61,12 +61,12 @@
     ck_assert_int_eq(tell(leader, copy), 1);
     ck_assert_ptr_null(wg_roster_find(copy, "h7"));
     wg_roster_host moved = host(9, 1);
-    ck_assert(wg_roster_hear(leader, SECOND, &moved));
+    ck_assert(wg_roster_record_report(leader, SECOND, &moved));
     ck_assert_int_eq(tell(leader, copy), 1);
     expect_equal(leader, copy);
     char name[WG_NAME_MAX];
-    ck_assert(!wg_roster_drop_silent(leader, SECOND + GONE, GONE, name));
-    ck_assert(wg_roster_drop_silent(leader, SECOND + GONE + 1, GONE, name));
+    ck_assert(!wg_roster_remove_unresponsive(leader, SECOND + GONE, GONE, name));
+    ck_assert(wg_roster_remove_unresponsive(leader, SECOND + GONE + 1, GONE, name));
     ck_assert_int_eq(tell(leader, copy), 1);
     expect_equal(leader, copy);
     wg_roster_shutdown(copy);
@@ -90,16 +90,16 @@
     wg_roster_begin(leader, TERM);
     for (int i = 0; i < KNOWN; i++) {
         wg_roster_host h = host(i, 0);
-        wg_roster_hear(leader, SECOND, &h);
+        wg_roster_record_report(leader, SECOND, &h);
     }
     tell(leader, copy);
     wg_roster_begin(leader, TERM);
     for (int i = 0; i < KNOWN - 1; i++) {
         wg_roster_host h = host(i, 0);
-        wg_roster_hear(leader, 2 * SECOND, &h);
+        wg_roster_record_report(leader, 2 * SECOND, &h);
     }
     wg_roster_host came = host(KNOWN, 0);
-    wg_roster_hear(leader, 2 * SECOND, &came);
+    wg_roster_record_report(leader, 2 * SECOND, &came);
     ck_assert_uint_ne(wg_roster_change(leader), wg_roster_change(copy));
     tell(leader, copy);
     expect_equal(leader, copy);
@@ -130,7 +130,7 @@
         } else if (what < 450) {
             wg_roster_leave(leader, h.name);
         } else if (what < 900) {
-            wg_roster_hear(leader, step, &h);
+            wg_roster_record_report(leader, step, &h);
         } else {
             wg_roster* copy = copies[MIN(number % 40, COPIES - 1)];
             tell(leader, copy);
@@ -155,7 +155,7 @@
     wg_roster_begin(r, 1);
     for (int i = 0; i < hosts; i++) {
         wg_roster_host h = host(i, 0);
-        wg_roster_hear(r, SECOND, &h);
+        wg_roster_record_report(r, SECOND, &h);
     }
     return r;
 }
@@ -167,7 +167,7 @@
     for (int i = 0; i < CALLERS; i++) {
         wg_roster_query query = {.data_centre = "dc1", .caller = wg_jitter(77, (uint64_t)i)};
         GPtrArray* named = wg_roster_pick(r, &query);
-        ck_assert_uint_eq(named->len, WG_ROSTER_NAMED_MAX);
+        ck_assert_uint_eq(named->len, WG_ROSTER_PICK_MAX);
         for (guint k = 0; k < named->len; k++) {
             g_hash_table_add(seen, named->pdata[k]);
         }
@@ -186,18 +186,18 @@
     for (int i = 0; i < CALLERS; i++) {
         wg_roster_query all = {.data_centre = "dc1", .caller = wg_jitter(3, (uint64_t)i)};
         wg_roster_query less = all;
-        less.without = "h6";
+        less.excluded = "h6";
         GPtrArray* before = wg_roster_pick(r, &all);
         GPtrArray* after = wg_roster_pick(r, &less);
-        ck_assert_uint_eq(before->len, WG_ROSTER_NAMED_MAX);
-        ck_assert_uint_eq(after->len, WG_ROSTER_NAMED_MAX);
+        ck_assert_uint_eq(before->len, WG_ROSTER_PICK_MAX);
+        ck_assert_uint_eq(after->len, WG_ROSTER_PICK_MAX);
         int kept = 0;
         for (guint k = 0; k < after->len; k++) {
             kept += g_ptr_array_find(before, after->pdata[k], NULL);
             ck_assert_str_eq(((wg_roster_host*)after->pdata[k])->data_centre, "dc1");
         }
-        ck_assert_int_ge(kept, WG_ROSTER_NAMED_MAX - 1);
-        changed += kept < WG_ROSTER_NAMED_MAX;
+        ck_assert_int_ge(kept, WG_ROSTER_PICK_MAX - 1);
+        changed += kept < WG_ROSTER_PICK_MAX;
         g_ptr_array_unref(before);
         g_ptr_array_unref(after);
     }
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -150,14 +150,14 @@
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
     wgf_router a = wgf_router_up(s, SECOND, "a", 1, "dc");
-    ck_assert(wgf_wants_full(s, a));
+    ck_assert(wgf_needs_full_report(s, a));
     report(s, 4 * SECOND, a, true, 0, 1, 0, 9);
-    ck_assert(!wgf_wants_full(s, a));
+    ck_assert(!wgf_needs_full_report(s, a));
     wgf_plan(s, 4 * SECOND);
     wgf_take_orders(s, a, 1, &orders);
     wgf_plan(s, 6 * SECOND + 10 * MSEC);
     report(s, 6 * SECOND + 20 * MSEC, a, false, 1, 1, 0, 9);
-    ck_assert(wgf_wants_full(s, a));
+    ck_assert(wgf_needs_full_report(s, a));
     report(s, 6 * SECOND + 40 * MSEC, a, true, 1, 1, 0, 9);
     wgf_plan(s, 6 * SECOND + 50 * MSEC);
     ck_assert(wgf_take_orders(s, a, 2, &orders));
@@ -178,9 +178,9 @@
     for (int i = 0; i < orders.grants_num; i++) {
         holds[orders.grants[i].target - TARGET] += (int)orders.grants[i].add;
     }
-    wgf_held held[TARGETS];
+    wgf_held_slots held[TARGETS];
     for (uint32_t t = 0; t < TARGETS; t++) {
-        held[t] = (wgf_held){TARGET + t, (uint32_t)holds[t]};
+        held[t] = (wgf_held_slots){TARGET + t, (uint32_t)holds[t]};
     }
     /* Further orders leave before the report that confirms the first ones arrives. */
     report(s, 4 * SECOND, a, false, 0, 1, 0, 9);
@@ -188,11 +188,11 @@
     ck_assert(wgf_take_orders(s, a, 2, &orders));
     wgf_report(s, 4 * SECOND, a,
                &(wgf_report_desc){.applied = 1, .held = held, .held_num = TARGETS});
-    wgf_held changed[TARGETS];
+    wgf_held_slots changed[TARGETS];
     for (int i = 0; i < orders.grants_num; i++) {
         uint32_t t = orders.grants[i].target - TARGET;
         holds[t] += (int)orders.grants[i].add;
-        changed[i] = (wgf_held){TARGET + t, (uint32_t)holds[t]};
+        changed[i] = (wgf_held_slots){TARGET + t, (uint32_t)holds[t]};
     }
     /* The second report names only the targets whose slots the second orders changed. */
     wgf_report(s, 4 * SECOND, a,
@@ -209,7 +209,7 @@
     wgf_pacer_setup(&pacer, &(wgf_pacer_desc){.now = 0, .budget = 1000});
     uint64_t bytes = 0;
     for (wg_time now = 0; now < 100 * SECOND; now += 10 * MSEC) {
-        wgf_pacer_want(&pacer);
+        wgf_pacer_request(&pacer);
         if (wgf_pacer_due(&pacer, now, bytes)) {
             bytes += 200;
             wgf_pacer_sent(&pacer, now, true);
@@ -217,13 +217,13 @@
     }
     ck_assert_uint_le(bytes, 101 * 1000 + 200);
     ck_assert_uint_ge(bytes, 95 * 1000);
-    ck_assert_uint_gt(pacer.held_back, 0);
+    ck_assert_uint_gt(pacer.deferred, 0);
     /* Nothing at work: reports are rare, but a request that begins to wait is told soon. */
     wgf_pacer_setup(&pacer, &(wgf_pacer_desc){.now = 0});
     ck_assert(!wgf_pacer_due(&pacer, 499 * MSEC, 0));
-    wgf_pacer_state(&pacer, &(wgf_pacer_news){.at_work = true});
+    wgf_pacer_update(&pacer, &(wgf_pacer_load){.at_work = true});
     ck_assert(wgf_pacer_due(&pacer, 200 * MSEC, 0));
-    wgf_pacer_state(&pacer, &(wgf_pacer_news){.at_work = true, .waiting = true});
+    wgf_pacer_update(&pacer, &(wgf_pacer_load){.at_work = true, .waiting = true});
     ck_assert(wgf_pacer_due(&pacer, 20 * MSEC, 0));
     /* Reports that keep the leases alive leave whatever the budget says. */
     wgf_pacer_setup(&pacer, &(wgf_pacer_desc){.now = 0, .budget = 1});
--- a/tests/test_target_read.c
+++ b/tests/test_target_read.c
@@ -89,16 +89,16 @@
 
 START_TEST(a_leave_may_say_which_start_leaves) {
     wg_target target;
-    ck_assert(wg_target_read_leave(NULL, "t-1", &target, NULL));
+    ck_assert(wg_target_read_deregistration(NULL, "t-1", &target, NULL));
     ck_assert_uint_eq(target.born, 0);
     json_t* json = json_loads("{\"born\":7}", 0, NULL);
-    ck_assert(wg_target_read_leave(json, "t-1", &target, NULL));
+    ck_assert(wg_target_read_deregistration(json, "t-1", &target, NULL));
     ck_assert_uint_eq(target.born, 7);
-    ck_assert_int_eq(target.state, WG_TARGET_GONE);
+    ck_assert_int_eq(target.state, WG_TARGET_REMOVED);
     json_object_set_new(json, "born", json_string("7"));
-    ck_assert(!wg_target_read_leave(json, "t-1", &target, NULL));
+    ck_assert(!wg_target_read_deregistration(json, "t-1", &target, NULL));
     json_decref(json);
-    ck_assert(!wg_target_read_leave(NULL, "", &target, NULL));
+    ck_assert(!wg_target_read_deregistration(NULL, "", &target, NULL));
 }
 END_TEST
 
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -11,31 +11,31 @@
 };
 
 /* A leader's word: one workspace has eight times as much as the other, and both ask for more. */
-static wg_usage_book* told(wg_time now) {
+static wg_usage_ledger* told(wg_time now) {
     static const wg_usage word[] = {{MOST, 800000, 900000}, {OTHER, 100000, 900000}};
-    wg_usage_book* book = wg_usage_setup();
-    wg_usage_hear(book, now, word, G_N_ELEMENTS(word), 0);
+    wg_usage_ledger* book = wg_usage_setup();
+    wg_usage_apply_report(book, now, word, G_N_ELEMENTS(word), 0);
     return book;
 }
 
-static void pass(wg_usage_book* book, wg_time* now, wg_time duration, uint64_t workspace,
+static void pass(wg_usage_ledger* book, wg_time* now, wg_time duration, uint64_t workspace,
                  uint64_t tokens_per_tick) {
     for (wg_time until = *now + duration; *now < until;) {
         *now += 50 * MSEC;
-        wg_usage_ask(book, workspace, tokens_per_tick);
-        wg_usage_serve(book, workspace, tokens_per_tick);
-        wg_usage_fade(book, *now, HOSTS, 0);
+        wg_usage_record_demand(book, workspace, tokens_per_tick);
+        wg_usage_record_served(book, workspace, tokens_per_tick);
+        wg_usage_decay(book, *now, HOSTS, 0);
     }
 }
 
 START_TEST(fresh_word_is_taken_as_it_is) {
     wg_time now = 100 * SECOND;
-    wg_usage_book* book = told(now);
+    wg_usage_ledger* book = told(now);
     pass(book, &now, 900 * MSEC, OTHER, 1000);
     ck_assert(fabs(wg_usage_of(book, MOST) - 800000) < 1);
     ck_assert(fabs(wg_usage_of(book, OTHER) - 100000) < 1);
     ck_assert(fabs(wg_usage_levels(book)->served - 450000) < 1);
-    ck_assert(wg_fair_patience(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
     wg_usage_shutdown(book);
 }
 END_TEST
@@ -44,12 +44,12 @@
    meanwhile. */
 START_TEST(old_word_fades_and_is_dropped) {
     wg_time now = 100 * SECOND;
-    wg_usage_book* book = told(now);
+    wg_usage_ledger* book = told(now);
     pass(book, &now, 1200 * MSEC, OTHER, 0);
     ck_assert(fabs(wg_usage_of(book, MOST) - 400000) < 4000);
-    ck_assert(wg_fair_patience(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
     pass(book, &now, 3800 * MSEC, OTHER, 0);
-    ck_assert(wg_fair_patience(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
     wg_usage_shutdown(book);
 }
 END_TEST
@@ -58,13 +58,13 @@
    200,000 of ten hosts, 346,000 in the time that usage stands for. */
 START_TEST(own_work_stands_for_that_of_others) {
     wg_time now = 100 * SECOND;
-    wg_usage_book* book = told(now);
+    wg_usage_ledger* book = told(now);
     pass(book, &now, 15 * SECOND, OTHER, 1000);
     ck_assert(fabs(wg_usage_of(book, OTHER) - 346000) < 20000);
-    wg_usage_ask(book, MOST, 100000);
+    wg_usage_record_demand(book, MOST, 100000);
     pass(book, &now, 100 * MSEC, OTHER, 1000);
-    ck_assert(wg_fair_patience(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
-    ck_assert(wg_fair_patience(wg_usage_of(book, OTHER), wg_usage_levels(book)) < 1);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, OTHER), wg_usage_levels(book)) < 1);
     wg_usage_shutdown(book);
 }
 END_TEST
@@ -73,9 +73,9 @@
 START_TEST(new_word_replaces_the_estimate) {
     static const wg_usage word[] = {{OTHER, 5000, 6000}};
     wg_time now = 100 * SECOND;
-    wg_usage_book* book = told(now);
+    wg_usage_ledger* book = told(now);
     pass(book, &now, 5 * SECOND, MOST, 1000);
-    wg_usage_hear(book, now, word, G_N_ELEMENTS(word), 0);
+    wg_usage_apply_report(book, now, word, G_N_ELEMENTS(word), 0);
     ck_assert(fabs(wg_usage_of(book, MOST)) < 1);
     ck_assert(fabs(wg_usage_of(book, OTHER) - 5000) < 1);
     pass(book, &now, 1050 * MSEC, OTHER, 0);
@@ -86,7 +86,7 @@
 
 START_TEST(own_totals_only_grow) {
     wg_time now = 100 * SECOND;
-    wg_usage_book* book = told(now);
+    wg_usage_ledger* book = told(now);
     pass(book, &now, 5 * SECOND, OTHER, 1000);
     GPtrArray* own = wg_usage_own(book);
     ck_assert_uint_eq(own->len, 1);
