--- a/lib/net/wg_net.c
+++ b/lib/net/wg_net.c
@@ -21,7 +21,7 @@
     bool dialer;
     bool up;
     bool closing;
-    bool slow; /* it does not take what is sent; the next tick closes it */
+    bool slow; /* the peer does not read fast enough; the next tick closes the link */
     wg_time opened_at;
     wg_time heard_at;
     wg_time sent_at;
@@ -38,17 +38,17 @@
     _wgn_link_t* links;
     struct evconnlistener* listener;
     struct event* tick;
-    wg_time ticked_at; /* the last tick, or the set-up */
+    wg_time ticked_at; /* time of the last tick, at first of the setup */
     _wgn_budget budget;
     wgn_stats stats;
 };
 
 enum {
-    /* Payloads from this size on are shared by reference: a copy of fewer bytes costs less than the
-       chain and the frame that a reference takes. */
+    /* Bytes from which a payload is shared by reference. Below it a copy is cheaper than the
+       evbuffer chain that a reference needs. */
     _WGN_SHARED_MIN = 1024,
     _WGN_TICK = 250 * WG_USEC_PER_MSEC,
-    /* A tick that comes so much too late means that this process stood still. */
+    /* Delay of a tick from which this process counts as stalled. */
     _WGN_LATE = 100 * WG_USEC_PER_MSEC
 };
 
@@ -92,11 +92,11 @@
     return (wgn_link){l->handle.id};
 }
 
-/* Forget what is unsent: the bufferevent may live on for a turn of the loop, longer than the net.
- */
+/* Discards unsent output. The bufferevent can outlive the net by one iteration of the loop, and its
+   output may refer to the budget of the net. */
 static void _wgn_forget_unsent(_wgn_link_t* l) {
     struct evbuffer* out = bufferevent_get_output(l->bev);
-    evbuffer_unfreeze(out, 1); /* bufferevents hold the front of their output */
+    evbuffer_unfreeze(out, 1); /* a bufferevent freezes the front of its output */
     evbuffer_drain(out, evbuffer_get_length(out));
 }
 
@@ -117,15 +117,15 @@
     net->stats.links--;
 }
 
-/* Is the other end in another data centre? Not known before its hello came, nor where one end names
-   none. */
+/* True if the peer is in another data centre. False before the peer's hello, and if one of the ends
+   has no data centre set. */
 static bool _wgn_is_far(const _wgn_link_t* l) {
     const char* own = l->net->desc.self.data_centre;
     const char* other = l->peer.data_centre;
     return own[0] && other[0] && strcmp(own, other) != 0;
 }
 
-/* The head of a frame, and the counts. */
+/* Writes the header of a frame and updates the counters. Returns the output buffer. */
 static struct evbuffer* _wgn_write_head(_wgn_link_t* l, wgw_type type, size_t size) {
     uint8_t head[WGW_HEAD_SIZE];
     wgn_stats* stats = &l->net->stats;
@@ -145,8 +145,8 @@
     evbuffer_add(_wgn_write_head(l, type, size), payload, size);
 }
 
-/* May so many bytes more wait? A link that has not taken what was sent before is given up where
-   they would be too many; the peer comes back and is told what it lacks then. */
+/* True if `size` more bytes may be queued on the link. Otherwise marks the link as slow, which
+   closes it in the next tick; the peer reconnects and gets the current state. */
 static bool _wgn_has_room(_wgn_link_t* l, size_t size) {
     wgn_net* net = l->net;
     size_t unsent = evbuffer_get_length(bufferevent_get_output(l->bev));
@@ -181,7 +181,7 @@
     _wgn_write(l, WGW_TYPE_HELLO, l->own_hello->data, l->own_hello->len);
 }
 
-/* Proof of one side; `dialer_side` tells whose. */
+/* Computes the proof of the dialer (`dialer_side`) or of the acceptor. */
 static void _wgn_make_proof(const _wgn_link_t* l, bool dialer_side, uint8_t out[WGW_MAC_SIZE]) {
     const GByteArray* dialer = l->dialer ? l->own_hello : l->peer_hello;
     const GByteArray* acceptor = l->dialer ? l->peer_hello : l->own_hello;
@@ -219,7 +219,8 @@
     return true;
 }
 
-/* The other end is owed our proof too: what is written may still wait when the link is dropped. */
+/* Flushes the output before the link is closed, so that the peer still gets our proof and can
+   report the wrong key itself. */
 static void _wgn_send_rest(const _wgn_link_t* l) {
     evbuffer_write(bufferevent_get_output(l->bev), bufferevent_getfd(l->bev));
 }
@@ -244,7 +245,7 @@
     return true;
 }
 
-/* Handle one frame; false closes the link. */
+/* Handles one frame. False if the link has to be closed. */
 static bool _wgn_take_frame(_wgn_link_t* l, const wgw_frame* frame) {
     l->net->stats.frames_received++;
     if (l->up) {
@@ -277,7 +278,7 @@
         }
         evbuffer_copyout(in, head, sizeof head);
         wgw_frame frame;
-        /* Before the proof a peer may only send small frames. */
+        /* Limits the memory that an unauthenticated peer can use. */
         size_t max = l->up ? net->desc.frame_max : 1024;
         wgw_parse parse = wgw_frame_parse(head, sizeof head, max, &frame);
         size_t whole = WGW_HEAD_SIZE + frame.size;
@@ -296,7 +297,7 @@
         net->stats.bytes_received += whole;
         bool keep = _wgn_take_frame(l, &frame);
         if (wg_pool_slot(&net->pool, handle) < 0) {
-            return; /* closed by the callback */
+            return; /* a callback closed the link */
         }
         if (!keep) {
             net->stats.frames_bad++;
@@ -352,16 +353,16 @@
     }
 }
 
-/* For how long this process stood still before this tick; 0: it did not. */
+/* Time for which this process was stalled before this tick, 0 if it was not. */
 static wg_time _wgn_stood_still(wgn_net* net, wg_time now) {
     wg_time over = now - net->ticked_at - _WGN_TICK;
     net->ticked_at = now;
     return over > _WGN_LATE ? over : 0;
 }
 
-/* The tick comes before what waits in the sockets is read. So time in which this process stood
-   still is no silence of others: without this, one that was late for a silence deadline (0.6 s
-   between controls) closed all its links, and had to find everybody anew. */
+/* Closes links past a deadline and sends pings. The tick runs before pending input is read, so the
+   deadlines are extended by the time for which this process was stalled: otherwise a process that
+   stalled would close all its links, though the peers kept sending. */
 static void _wgn_on_tick(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
@@ -479,12 +480,12 @@
         _wgn_drop(l);
         return (wgn_link){0};
     }
-    bufferevent_priority_set(l->bev, WGN_PRIORITY); /* connecting has set it back */
+    bufferevent_priority_set(l->bev, WGN_PRIORITY); /* connecting resets the priority */
     _wgn_no_delay(bufferevent_getfd(l->bev));
     return link;
 }
 
-/* The link when a frame of this size may be sent on it now, else NULL. */
+/* Returns the link if a payload of `size` bytes can be sent on it now, else NULL. */
 static _wgn_link_t* _wgn_to_send(const wgn_net* net, wgn_link link, size_t size) {
     _wgn_link_t* l = _wgn_find(net, link);
     bool takes = l && l->up && !l->closing && !l->slow;
--- a/lib/net/wg_net_frame.c
+++ b/lib/net/wg_net_frame.c
@@ -1,4 +1,4 @@
-/* wg_net_frame.c -- messages that are packed once and sent on many links */
+/* wg_net_frame.c -- messages packed once and sent on many links; see wg_net.h */
 #include <event2/buffer.h>
 
 #include "wg_net_internal.h"
--- a/lib/net/wg_net_internal.h
+++ b/lib/net/wg_net_internal.h
@@ -1,23 +1,23 @@
 #pragma once
-/* wg_net_internal.h -- packed frames as the files of lib/net see them; not installed */
+/* wg_net_internal.h -- packed frames inside lib/net; not installed */
 #include <event2/buffer.h>
 
 #include "wg_net.h"
 
-/* Bytes of frames that wait on links, each frame counted once however many links it waits on. */
+/* Unsent bytes of shared frames; a frame counts once, on however many links it is queued. */
 typedef struct {
     size_t waiting;
 } _wgn_budget;
 
 struct wgn_frame {
     int references;
-    int waits;           /* links that it was not written out to yet */
-    _wgn_budget* budget; /* while it waits */
+    int waits;           /* links that have not written the frame yet */
+    _wgn_budget* budget; /* set while `waits` is not 0 */
     wgw_type type;
-    size_t size; /* of the payload */
+    size_t size; /* bytes of payload */
     uint8_t* payload;
 };
 
-/* Append a frame without copying it; it counts in the budget until all links have written it out.
-   The budget has to outlive the links. */
+/* Appends a frame by reference. It counts in the budget until all links have written it; the budget
+   has to outlive the links. */
 void _wgn_frame_append(wgn_frame* frame, struct evbuffer* out, _wgn_budget* budget);
