--- a/lib/net/wg_loop.h
+++ b/lib/net/wg_loop.h
@@ -4,8 +4,8 @@
 
     WHAT IT DOES
         Creates a libevent loop with four priorities. Ready events of a higher priority run first;
-        after every WG_LOOP_CALLBACKS callbacks of a lower priority the loop polls again, so that
-        new high-priority events do not wait for a long queue.
+        after every WG_LOOP_CALLBACKS_MAX callbacks of a lower priority the loop polls again, so
+   that new high-priority events do not wait for a long queue.
 
     FEATURES
         - first: links to other fleet processes and ticks (WGN_PRIORITY)
@@ -29,13 +29,13 @@
 enum {
     /* Priority of requests in progress. It is higher than that of new requests, so that an
        overloaded host notices a disconnected caller and stops the work for it. */
-    WG_LOOP_UNDER_WAY = 1,
+    WG_LOOP_PRIORITY_IN_PROGRESS = 1,
     /* Number of priorities. libevent gives an event without a priority the middle one, which is
        the third of four: below requests in progress. */
-    WG_LOOP_CLASSES = 4,
+    WG_LOOP_PRIORITIES = 4,
     /* Callbacks of one priority before the loop polls for events of a higher one. Bounds the delay
        of a disconnect behind new requests on a slow host. */
-    WG_LOOP_CALLBACKS = 64
+    WG_LOOP_CALLBACKS_MAX = 64
 };
 
 struct event_base* wg_loop_setup(void);
--- a/lib/net/wg_net.c
+++ b/lib/net/wg_net.c
@@ -23,7 +23,7 @@
     bool closing;
     bool slow; /* the peer does not read fast enough; the next tick closes the link */
     wg_time opened_at;
-    wg_time heard_at;
+    wg_time received_at;
     wg_time sent_at;
     wg_time silence_deadline;
     wg_time ping_interval;
@@ -49,7 +49,7 @@
     _WGN_SHARED_MIN = 1024,
     _WGN_TICK = 250 * WG_USEC_PER_MSEC,
     /* Delay of a tick from which this process counts as stalled. */
-    _WGN_LATE = 100 * WG_USEC_PER_MSEC
+    _WGN_STALL_MIN = 100 * WG_USEC_PER_MSEC
 };
 
 /* ---- helpers ------------------------------------------------------------------------------ */
@@ -61,7 +61,7 @@
     d.unsent_max = d.unsent_max ? d.unsent_max : WGN_UNSENT_MAX_DEFAULT;
     d.waiting_max = d.waiting_max ? d.waiting_max : WGN_WAITING_MAX_DEFAULT;
     d.proof_deadline = d.proof_deadline ? d.proof_deadline : WGN_PROOF_DEADLINE_DEFAULT;
-    d.silence_deadline = d.silence_deadline ? d.silence_deadline : WGN_SILENCE_DEADLINE_DEFAULT;
+    d.silence_deadline = d.silence_deadline ? d.silence_deadline : WGN_RECEIVE_DEADLINE_DEFAULT;
     d.ping_interval = d.ping_interval ? d.ping_interval : WGN_PING_INTERVAL_DEFAULT;
     return d;
 }
@@ -94,7 +94,7 @@
 
 /* Discards unsent output. The bufferevent can outlive the net by one iteration of the loop, and its
    output may refer to the budget of the net. */
-static void _wgn_forget_unsent(_wgn_link_t* l) {
+static void _wgn_discard_unsent(_wgn_link_t* l) {
     struct evbuffer* out = bufferevent_get_output(l->bev);
     evbuffer_unfreeze(out, 1); /* a bufferevent freezes the front of its output */
     evbuffer_drain(out, evbuffer_get_length(out));
@@ -107,7 +107,7 @@
     l->closing = true;
     wgn_net* net = l->net;
     net->desc.on_down(_wgn_id(l), l->up ? &l->peer : NULL, net->desc.user_data);
-    _wgn_forget_unsent(l);
+    _wgn_discard_unsent(l);
     bufferevent_free(l->bev);
     g_byte_array_unref(l->own_hello);
     if (l->peer_hello) {
@@ -119,14 +119,14 @@
 
 /* True if the peer is in another data centre. False before the peer's hello, and if one of the ends
    has no data centre set. */
-static bool _wgn_is_far(const _wgn_link_t* l) {
+static bool _wgn_is_remote(const _wgn_link_t* l) {
     const char* own = l->net->desc.self.data_centre;
     const char* other = l->peer.data_centre;
     return own[0] && other[0] && strcmp(own, other) != 0;
 }
 
 /* Writes the header of a frame and updates the counters. Returns the output buffer. */
-static struct evbuffer* _wgn_write_head(_wgn_link_t* l, wgw_type type, size_t size) {
+static struct evbuffer* _wgn_write_header(_wgn_link_t* l, wgw_type type, size_t size) {
     uint8_t head[WGW_HEAD_SIZE];
     wgn_stats* stats = &l->net->stats;
     wgw_frame_head_pack(head, type, size);
@@ -136,13 +136,13 @@
     stats->bytes_sent += sizeof head + size;
     stats->frames_sent++;
     stats->sent[type].bytes += sizeof head + size;
-    stats->sent[type].far_bytes += _wgn_is_far(l) ? sizeof head + size : 0;
+    stats->sent[type].far_bytes += _wgn_is_remote(l) ? sizeof head + size : 0;
     stats->sent[type].frames++;
     return out;
 }
 
 static void _wgn_write(_wgn_link_t* l, wgw_type type, const uint8_t* payload, size_t size) {
-    evbuffer_add(_wgn_write_head(l, type, size), payload, size);
+    evbuffer_add(_wgn_write_header(l, type, size), payload, size);
 }
 
 /* True if `size` more bytes may be queued on the link. Otherwise marks the link as slow, which
@@ -150,8 +150,8 @@
 static bool _wgn_has_room(_wgn_link_t* l, size_t size) {
     wgn_net* net = l->net;
     size_t unsent = evbuffer_get_length(bufferevent_get_output(l->bev));
-    bool beyond_all = net->budget.waiting + size > net->desc.waiting_max && unsent > 0;
-    if (!beyond_all && unsent + size <= net->desc.unsent_max) {
+    bool over_total = net->budget.waiting + size > net->desc.waiting_max && unsent > 0;
+    if (!over_total && unsent + size <= net->desc.unsent_max) {
         return true;
     }
     l->slow = true;
@@ -189,7 +189,7 @@
               dialer->len, acceptor->data, acceptor->len, out);
 }
 
-static bool _wgn_take_hello(_wgn_link_t* l, const wgw_frame* frame) {
+static bool _wgn_receive_hello(_wgn_link_t* l, const wgw_frame* frame) {
     Wgpb__Hello* hello = wgpb__hello__unpack(NULL, frame->size, frame->payload);
     if (!hello) {
         return false;
@@ -221,11 +221,11 @@
 
 /* Flushes the output before the link is closed, so that the peer still gets our proof and can
    report the wrong key itself. */
-static void _wgn_send_rest(const _wgn_link_t* l) {
+static void _wgn_flush(const _wgn_link_t* l) {
     evbuffer_write(bufferevent_get_output(l->bev), bufferevent_getfd(l->bev));
 }
 
-static bool _wgn_take_proof(_wgn_link_t* l, const wgw_frame* frame) {
+static bool _wgn_receive_proof(_wgn_link_t* l, const wgw_frame* frame) {
     Wgpb__Proof* proof = wgpb__proof__unpack(NULL, frame->size, frame->payload);
     if (!proof) {
         return false;
@@ -236,7 +236,7 @@
     wgpb__proof__free_unpacked(proof, NULL);
     if (!good) {
         l->net->stats.proofs_bad++;
-        _wgn_send_rest(l);
+        _wgn_flush(l);
         wg_log(WG_EVENT_LINK_REFUSED, "peer=%s", l->peer.name);
         return false;
     }
@@ -246,7 +246,7 @@
 }
 
 /* Handles one frame. False if the link has to be closed. */
-static bool _wgn_take_frame(_wgn_link_t* l, const wgw_frame* frame) {
+static bool _wgn_handle_frame(_wgn_link_t* l, const wgw_frame* frame) {
     l->net->stats.frames_received++;
     if (l->up) {
         bool early = frame->type == WGW_TYPE_HELLO || frame->type == WGW_TYPE_PROOF;
@@ -256,10 +256,10 @@
         return !early;
     }
     if (frame->type == WGW_TYPE_HELLO && !l->peer_hello) {
-        return _wgn_take_hello(l, frame);
+        return _wgn_receive_hello(l, frame);
     }
     if (frame->type == WGW_TYPE_PROOF && l->peer_hello) {
-        return _wgn_take_proof(l, frame);
+        return _wgn_receive_proof(l, frame);
     }
     return false;
 }
@@ -269,7 +269,7 @@
     wgn_net* net = l->net;
     wg_handle handle = l->handle;
     struct evbuffer* in = bufferevent_get_input(bev);
-    l->heard_at = wg_now();
+    l->received_at = wg_now();
     for (;;) {
         size_t size = evbuffer_get_length(in);
         uint8_t head[WGW_HEAD_SIZE];
@@ -281,12 +281,13 @@
         /* Limits the memory that an unauthenticated peer can use. */
         size_t max = l->up ? net->desc.frame_max : 1024;
         wgw_parse parse = wgw_frame_parse(head, sizeof head, max, &frame);
-        size_t whole = WGW_HEAD_SIZE + frame.size;
-        if (parse == WGW_PARSE_MORE && size < whole) {
+        size_t frame_size = WGW_HEAD_SIZE + frame.size;
+        if (parse == WGW_PARSE_MORE && size < frame_size) {
             return;
         }
         if (parse != WGW_PARSE_BAD) {
-            parse = wgw_frame_parse(evbuffer_pullup(in, (ev_ssize_t)whole), whole, max, &frame);
+            parse = wgw_frame_parse(evbuffer_pullup(in, (ev_ssize_t)frame_size), frame_size, max,
+                                    &frame);
         }
         if (parse == WGW_PARSE_BAD) {
             net->stats.frames_bad++;
@@ -294,8 +295,8 @@
             _wgn_drop(l);
             return;
         }
-        net->stats.bytes_received += whole;
-        bool keep = _wgn_take_frame(l, &frame);
+        net->stats.bytes_received += frame_size;
+        bool keep = _wgn_handle_frame(l, &frame);
         if (wg_pool_slot(&net->pool, handle) < 0) {
             return; /* a callback closed the link */
         }
@@ -304,7 +305,7 @@
             _wgn_drop(l);
             return;
         }
-        evbuffer_drain(in, whole);
+        evbuffer_drain(in, frame_size);
     }
 }
 
@@ -326,7 +327,7 @@
                        .dialer = dialer,
                        .silence_deadline = net->desc.silence_deadline,
                        .ping_interval = net->desc.ping_interval};
-    l->opened_at = l->heard_at = l->sent_at = wg_now();
+    l->opened_at = l->received_at = l->sent_at = wg_now();
     l->bev =
         bufferevent_socket_new(net->desc.base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_priority_set(l->bev, WGN_PRIORITY);
@@ -354,10 +355,10 @@
 }
 
 /* Time for which this process was stalled before this tick, 0 if it was not. */
-static wg_time _wgn_stood_still(wgn_net* net, wg_time now) {
+static wg_time _wgn_stall_time(wgn_net* net, wg_time now) {
     wg_time over = now - net->ticked_at - _WGN_TICK;
     net->ticked_at = now;
-    return over > _WGN_LATE ? over : 0;
+    return over > _WGN_STALL_MIN ? over : 0;
 }
 
 /* Closes links past a deadline and sends pings. The tick runs before pending input is read, so the
@@ -368,17 +369,17 @@
     (void)what;
     wgn_net* net = user_data;
     wg_time now = wg_now();
-    wg_time stood_still = _wgn_stood_still(net, now);
+    wg_time stall = _wgn_stall_time(net, now);
     for (int i = 0; i < net->pool.capacity; i++) {
         if (!net->pool.taken[i]) {
             continue;
         }
         _wgn_link_t* l = &net->links[i];
-        l->opened_at = MIN(l->opened_at + stood_still, now);
-        l->heard_at = MIN(l->heard_at + stood_still, now);
-        bool late = !l->up && now - l->opened_at > net->desc.proof_deadline;
-        bool silent = now - l->heard_at > l->silence_deadline;
-        if (late || silent || l->slow) {
+        l->opened_at = MIN(l->opened_at + stall, now);
+        l->received_at = MIN(l->received_at + stall, now);
+        bool proof_overdue = !l->up && now - l->opened_at > net->desc.proof_deadline;
+        bool unresponsive = now - l->received_at > l->silence_deadline;
+        if (proof_overdue || unresponsive || l->slow) {
             _wgn_drop(l);
         } else if (l->up && now - l->sent_at >= l->ping_interval) {
             _wgn_write(l, WGW_TYPE_PING, NULL, 0);
@@ -486,10 +487,10 @@
 }
 
 /* Returns the link if a payload of `size` bytes can be sent on it now, else NULL. */
-static _wgn_link_t* _wgn_to_send(const wgn_net* net, wgn_link link, size_t size) {
+static _wgn_link_t* _wgn_sendable_link(const wgn_net* net, wgn_link link, size_t size) {
     _wgn_link_t* l = _wgn_find(net, link);
-    bool takes = l && l->up && !l->closing && !l->slow;
-    return takes && _wgn_has_room(l, size) ? l : NULL;
+    bool accepts = l && l->up && !l->closing && !l->slow;
+    return accepts && _wgn_has_room(l, size) ? l : NULL;
 }
 
 bool wgn_send(wgn_net* net, wgn_link link, wgw_type type, const ProtobufCMessage* message) {
@@ -500,14 +501,14 @@
 }
 
 bool wgn_send_frame(wgn_net* net, wgn_link link, wgn_frame* frame) {
-    _wgn_link_t* l = _wgn_to_send(net, link, frame->size);
+    _wgn_link_t* l = _wgn_sendable_link(net, link, frame->size);
     if (!l) {
         return false;
     }
     if (frame->size < _WGN_SHARED_MIN) {
         _wgn_write(l, frame->type, frame->payload, frame->size);
     } else {
-        _wgn_frame_append(frame, _wgn_write_head(l, frame->type, frame->size), &net->budget);
+        _wgn_frame_append(frame, _wgn_write_header(l, frame->type, frame->size), &net->budget);
     }
     return true;
 }
--- a/lib/net/wg_net.h
+++ b/lib/net/wg_net.h
@@ -38,13 +38,13 @@
     WGN_PRIORITIES = 2, /* for event_base_priority_init(); other events get the last */
     WGN_LINKS_DEFAULT = 1024,
     WGN_PROOF_DEADLINE_DEFAULT = 2 * WG_USEC_PER_SEC,
-    WGN_SILENCE_DEADLINE_DEFAULT = 4 * WG_USEC_PER_SEC,
+    WGN_RECEIVE_DEADLINE_DEFAULT = 4 * WG_USEC_PER_SEC,
     WGN_PING_INTERVAL_DEFAULT = 1 * WG_USEC_PER_SEC,
     WGN_UNSENT_MAX_DEFAULT = 32 << 20,
     WGN_WAITING_MAX_DEFAULT = 64 << 20,
     /* Share of the memory limit of a process that queued frames may use, as a divisor. The rest is
        for log entries, their copies in flight to replicas, and documents. */
-    WGN_WAITING_PART = 4
+    WGN_WAITING_MEMORY_DIVISOR = 4
 };
 
 /* Handle of a link; id 0 is invalid. */
@@ -77,7 +77,7 @@
     size_t waiting_max;       /* unsent bytes of shared frames on all links together, each frame
                                  counted once; default WGN_WAITING_MAX_DEFAULT */
     wg_time proof_deadline;   /* default WGN_PROOF_DEADLINE_DEFAULT */
-    wg_time silence_deadline; /* default WGN_SILENCE_DEADLINE_DEFAULT */
+    wg_time silence_deadline; /* default WGN_RECEIVE_DEADLINE_DEFAULT */
     wg_time ping_interval;    /* default WGN_PING_INTERVAL_DEFAULT */
     /* The peer's proof was valid; frames can be sent from now on. */
     void (*on_up)(wgn_link link, const wgn_peer* peer, void* user_data);
@@ -110,7 +110,7 @@
 /* Value of wgn_desc.waiting_max for a process with this memory limit in MB; 0 (the default) for an
    unknown limit. */
 static inline size_t wgn_waiting_max(int64_t memory_mb) {
-    return (size_t)memory_mb * (1 << 20) / WGN_WAITING_PART;
+    return (size_t)memory_mb * (1 << 20) / WGN_WAITING_MEMORY_DIVISOR;
 }
 /* Returns NULL with an error if the desc is invalid. */
 wgn_net* wgn_setup(const wgn_desc* desc, GError** error);
--- a/lib/net/wg_net_frame.c
+++ b/lib/net/wg_net_frame.c
@@ -5,11 +5,11 @@
 
 /* ---- helpers ------------------------------------------------------------------------------- */
 
-static void _wgn_frame_written(const void* data, size_t size, void* user_data) {
+static void _wgn_frame_on_written(const void* data, size_t size, void* user_data) {
     (void)data;
     (void)size;
     wgn_frame* frame = user_data;
-    if (--frame->waits == 0) {
+    if (--frame->links_pending == 0) {
         WG_ASSERT(frame->budget->waiting >= frame->size);
         frame->budget->waiting -= frame->size;
         frame->budget = NULL;
@@ -21,12 +21,12 @@
 
 void _wgn_frame_append(wgn_frame* frame, struct evbuffer* out, _wgn_budget* budget) {
     WG_ASSERT(!frame->budget || frame->budget == budget);
-    if (frame->waits++ == 0) {
+    if (frame->links_pending++ == 0) {
         frame->budget = budget;
         budget->waiting += frame->size;
     }
     wgn_frame_ref(frame);
-    evbuffer_add_reference(out, frame->payload, frame->size, _wgn_frame_written, frame);
+    evbuffer_add_reference(out, frame->payload, frame->size, _wgn_frame_on_written, frame);
 }
 
 /* ---- public functions ---------------------------------------------------------------------- */
@@ -34,7 +34,7 @@
 wgn_frame* wgn_frame_pack(wgw_type type, const ProtobufCMessage* message) {
     wgn_frame* frame = g_new0(wgn_frame, 1);
     GByteArray* packed = wgw_pack(message);
-    frame->references = 1;
+    frame->ref_count = 1;
     frame->type = type;
     frame->size = packed->len;
     frame->payload = g_byte_array_free(packed, FALSE);
@@ -42,13 +42,13 @@
 }
 
 wgn_frame* wgn_frame_ref(wgn_frame* frame) {
-    frame->references++;
+    frame->ref_count++;
     return frame;
 }
 
 void wgn_frame_unref(wgn_frame* frame) {
-    if (frame && --frame->references == 0) {
-        WG_ASSERT(frame->waits == 0);
+    if (frame && --frame->ref_count == 0) {
+        WG_ASSERT(frame->links_pending == 0);
         g_free(frame->payload);
         g_free(frame);
     }
--- a/lib/net/wg_net_internal.h
+++ b/lib/net/wg_net_internal.h
@@ -10,9 +10,9 @@
 } _wgn_budget;
 
 struct wgn_frame {
-    int references;
-    int waits;           /* links that have not written the frame yet */
-    _wgn_budget* budget; /* set while `waits` is not 0 */
+    int ref_count;
+    int links_pending;   /* links that have not written the frame yet */
+    _wgn_budget* budget; /* set while `links_pending` is not 0 */
     wgw_type type;
     size_t size; /* bytes of payload */
     uint8_t* payload;
