--- a/lib/base/wg_base.c
+++ b/lib/base/wg_base.c
@@ -127,7 +127,7 @@
         return false;
     }
     if (strcmp(target, "stdout") == 0) {
-        /* Whoever reads the log never holds the process up: what does not fit is left out. */
+        /* A slow reader of a pipe must not block the process: lines that do not fit are dropped. */
         fcntl(STDOUT_FILENO, F_SETFL, fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
         setvbuf(stdout, NULL, _IOLBF, 0);
         _wg_log_file = stdout;
@@ -189,8 +189,6 @@
     abort();
 }
 
-/* pool: free_slots is a stack; a handle is (generation << 16) | (slot + 1). */
-
 bool wg_desc_check(const wg_desc_field* fields, int num, GError** error) {
     for (int i = 0; i < num; i++) {
         int64_t max = fields[i].max ? fields[i].max : INT64_MAX;
@@ -204,6 +202,8 @@
     return true;
 }
 
+/* In a pool free_slots is a stack; a handle is (generation << 16) | (slot + 1). */
+
 void wg_pool_setup(wg_pool* pool, const wg_pool_desc* desc) {
     int capacity = desc->capacity ? desc->capacity : 256;
     WG_ASSERT(capacity > 0 && capacity < 65535);
--- a/lib/base/wg_events.h
+++ b/lib/base/wg_events.h
@@ -1,9 +1,9 @@
 #pragma once
 /*
-    wg_events.h -- the numbered log events of walnutgate, as one X-macro list
+    wg_events.h -- numbered log events of walnutgate, as an X-macro list
 
     Each row is: number, name, level, text. Numbers are never reused. Levels are DEBUG, INFO, WARN
-    and ERROR. docs/EVENTS.md is generated from this list (`make events`) and checked in CI.
+    and ERROR. docs/EVENTS.md is generated from this list (`make docs`) and checked in CI.
 
     Ranges: 1000 process, 2000 requests and targets, 3000 control links, 4000 replication and
     storage, 5000 table and membership, 6000 capacity leases.
--- a/lib/base/wg_hist.c
+++ b/lib/base/wg_hist.c
@@ -1,9 +1,9 @@
-/* wg_hist.c -- log-bucket histogram; see wg_base.h */
+/* wg_hist.c -- histogram with logarithmic buckets; see wg_base.h */
 #include "wg_base.h"
 
 /* ---- helpers ------------------------------------------------------------------------------ */
 
-/* Bucket of a value: its highest bit and the two bits below. */
+/* Bucket of a value, from its highest set bit and the two bits below it. */
 static int _wg_hist_bucket(uint64_t value) {
     if (value < 4) {
         return (int)value;
@@ -13,7 +13,7 @@
     return MIN(bucket, WG_HIST_BUCKETS - 1);
 }
 
-/* Middle of a bucket. */
+/* Midpoint of the range of a bucket. */
 static uint64_t _wg_hist_value(int bucket) {
     if (bucket < 4) {
         return (uint64_t)bucket;
--- a/lib/base/wg_watch.h
+++ b/lib/base/wg_watch.h
@@ -1,54 +1,54 @@
 #pragma once
 /*
-    wg_watch.h -- what a process watches of itself: how late its loop turns, how long something that
-    it needs is missing
+    wg_watch.h -- self-monitoring of a process: event-loop lag and outages of what it depends on
 
     WHAT IT DOES
-        Tells when a line is worth writing, so that trouble that lasts is told again and again but
-        never floods the log. Pure.
+        Decides when to log a condition, so that a lasting one is logged repeatedly without flooding
+        the log. Pure.
 
     FEATURES
-        - wg_pulse: lateness of a timer that should fire once a period, as a histogram and a worst
-          value; at most one line a second
-        - wg_absence: a line after one second without, then after two, four, eight and so on
+        - wg_pulse: lag of a periodic timer, as a histogram and a maximum; at most one log line a
+          second
+        - wg_absence: a log line after WG_ABSENCE_FIRST of outage, then each time its length has
+          doubled
 
     USE
         1. if (wg_pulse_beat(&pulse, now, period, &late)) { log(late); }
         2. if (wg_absence_note(&absence, have_it, now)) { log(now - absence.since); }
 
     THE CALLER OWNS
-        both structs; zero-initialised they are ready for use.
+        both structs; zero-initialise them.
 */
 #include "wg_base.h"
 
 enum {
-    /* Lateness that is told, microseconds: a third of the shortest election wait in use (300 ms);
-       less harms nobody. */
+    /* Lag that is logged, microseconds: a third of the shortest election timeout. */
     WG_PULSE_LATE = 100 * WG_USEC_PER_MSEC,
-    /* First line about something that is missing, microseconds: longer than an election. */
+    /* Outage until the first log line, microseconds. Longer than an election. */
     WG_ABSENCE_FIRST = WG_USEC_PER_SEC
 };
 
 typedef struct {
-    wg_time beat_at; /* 0: none yet */
-    wg_time told_at;
-    wg_time last;  /* lateness of the last beat */
-    wg_time worst; /* since the last line */
-    wg_hist late;  /* microseconds */
+    wg_time beat_at; /* time of the last tick; 0: none yet */
+    wg_time told_at; /* time of the last log line */
+    wg_time last;    /* lag of the last tick */
+    wg_time worst;   /* maximum lag since the last log line */
+    wg_hist late;    /* lag, microseconds */
 } wg_pulse;
 
-/* The timer fired. True at most once a second: it was late by more than WG_PULSE_LATE since the
-   last line, at worst by `*late` microseconds. */
+/* Records a tick of a timer with this period. True if a log line is due: at most once a second, if
+   the lag reached WG_PULSE_LATE since the last line. `*late` is then the maximum lag. */
 bool wg_pulse_beat(wg_pulse* pulse, wg_time now, wg_time period, wg_time* late);
-/* The same for something that was late by `over` microseconds and has no period. */
+/* Records a lag of `over` microseconds of something that is not periodic. Returns as
+   wg_pulse_beat(). */
 bool wg_pulse_note(wg_pulse* pulse, wg_time now, wg_time over, wg_time* late);
 
 typedef struct {
-    wg_time since;  /* missing since; 0: it is there */
-    wg_time say_at; /* next line */
+    wg_time since;  /* start of the outage; 0: none */
+    wg_time say_at; /* time of the next log line */
 } wg_absence;
 
-/* Is it there now? True when a line about its absence is due. */
+/* Records whether the dependency is present. True if a log line about the outage is due. */
 bool wg_absence_note(wg_absence* absence, bool present, wg_time now);
-/* Microseconds for which it has been missing; 0 when it is there. */
+/* Length of the outage in microseconds; 0 if there is none. */
 wg_time wg_absence_length(const wg_absence* absence, wg_time now);
--- a/lib/message/wg_message.c
+++ b/lib/message/wg_message.c
@@ -43,7 +43,7 @@
     return text;
 }
 
-/* Next item of a comma-separated list; false at its end. */
+/* Takes the next item off a comma-separated list. False at its end. */
 static bool wg_text_next_item(wg_text* list, wg_text* item) {
     if (list->size == 0) {
         return false;
@@ -59,7 +59,7 @@
 
 /* ---- characters ---------------------------------------------------------------------------- */
 
-/* Characters of a token (RFC 9110, 5.6.2). */
+/* tchar of RFC 9110, 5.6.2 */
 static bool wg_is_token_char(char c) {
     return g_ascii_isalnum(c) || (c && strchr("!#$%&'*+-.^_`|~", c));
 }
@@ -107,7 +107,7 @@
     return num;
 }
 
-/* One line up to its CR LF; false when there is none or a bare CR or LF stands in it. */
+/* Reads one line that ends with CR LF. False if there is none, or if it has a bare CR or LF. */
 static bool wg_next_line(const char** at, const char* end, wg_text* line) {
     const char* stop = memchr(*at, '\n', (size_t)(end - *at));
     if (!stop || stop == *at || stop[-1] != '\r') {
@@ -118,7 +118,7 @@
     return memchr(line->text, '\r', line->size) == NULL;
 }
 
-/* 0 when good, else the status that refuses the head. */
+/* Returns 0, or the HTTP status to refuse the head with. */
 static int wg_parse_fields(const char* at, const char* end, wg_message_head* head) {
     for (;;) {
         wg_text line;
@@ -176,7 +176,7 @@
     }
 }
 
-/* Lengths and codings of a message; false when they contradict each other. */
+/* Sets the framing from Content-Length and Transfer-Encoding. False if they are ambiguous. */
 static bool wg_parse_framing(wg_message_head* head) {
     int lengths = wg_message_field_num(head, "Content-Length");
     int codings = wg_message_field_num(head, "Transfer-Encoding");
@@ -334,7 +334,7 @@
     }
 }
 
-/* Size of the chunk that a line opens, -1 when malformed. */
+/* Size in a chunk size line, -1 if malformed. */
 static int64_t wg_chunk_size(const char* line, size_t size) {
     enum {
         HEX_DIGITS_MAX = 8
@@ -351,7 +351,8 @@
     return i > 0 && ends ? value : -1;
 }
 
-/* Read one line of a chunked body; 1 a line, 0 more bytes needed, -1 malformed. */
+/* Reads one line of a chunked body. Returns 1 for a line, 0 if more bytes are needed, -1 if it is
+   malformed. */
 static int wg_chunk_line(struct evbuffer* in, char* line, size_t* size) {
     struct evbuffer_ptr end = evbuffer_search_eol(in, NULL, size, EVBUFFER_EOL_CRLF_STRICT);
     if (end.pos < 0) {
--- a/lib/message/wg_message.h
+++ b/lib/message/wg_message.h
@@ -1,24 +1,24 @@
 #pragma once
 /*
-    wg_message.h -- HTTP/1.1 message heads and bodies, read strictly, as pure functions
+    wg_message.h -- strict parser for HTTP/1.1 message heads and bodies; pure functions
 
     WHAT IT DOES
-        Reads the head of a request or an answer out of plain bytes (RFC 9112) and takes a body
-        apart by its framing. Whatever two readers could understand differently is an error: two
-        lengths, a signed length, a blank before a colon, a length beside chunks, a folded line.
+        Parses the head of a request or a response (RFC 9112) and decodes a body by its framing.
+        Anything that two parsers could interpret differently is an error: two lengths, a signed
+        length, whitespace before a colon, a length together with chunks, a folded line.
 
     FEATURES
         - heads point into the caller's bytes; nothing is copied
-        - the framing is decided in one place for requests and answers
-        - a body decoder that says when the body is whole, and what is left belongs to nobody yet
+        - one function decides the framing of requests and responses
+        - the body decoder reports the end of the body; bytes after it stay in the input buffer
 
     USE
-        1. wg_message_parse_request(bytes, size, &head, &error_status)
+        1. wg_message_parse_request(bytes, size, &head)
         2. wg_message_field(&head, "Host")
         3. wg_body_begin(&body, &head); wg_body_read(&body, input, output)
 
     THE CALLER OWNS
-        the bytes, for as long as the head is used, and the buffers of a body.
+        the bytes, which have to outlive the head, and the buffers of a body.
 */
 #include "wg_base.h"
 
@@ -26,10 +26,10 @@
 
 enum {
     WG_MESSAGE_FIELDS_MAX = 64,
-    WG_CHUNK_LINE_MAX = 256 /* bytes of a chunk's size line, and of a trailer line */
+    WG_CHUNK_LINE_MAX = 256 /* bytes of a chunk size line or a trailer line */
 };
 
-/* A piece of the caller's bytes. */
+/* Slice of the caller's bytes, not zero-terminated. */
 typedef struct {
     const char* text;
     size_t size;
@@ -44,37 +44,37 @@
     WG_FRAMING_NONE = 0, /* no body */
     WG_FRAMING_LENGTH,
     WG_FRAMING_CHUNKED,
-    WG_FRAMING_CLOSE /* an answer that ends with its connection: its end proves nothing */
+    WG_FRAMING_CLOSE /* response until the connection closes; a truncation cannot be detected */
 } wg_framing;
 
 typedef struct {
-    wg_text method; /* requests */
-    wg_text target; /* requests: path with its query */
-    int status;     /* answers */
+    wg_text method; /* of a request */
+    wg_text target; /* of a request: path with query */
+    int status;     /* of a response */
     int minor;      /* HTTP/1.minor */
     wg_message_pair fields[WG_MESSAGE_FIELDS_MAX];
     int fields_num;
     wg_framing framing;
-    int64_t length;    /* bytes, for WG_FRAMING_LENGTH */
-    bool keep_alive;   /* the connection may be used again */
-    int64_t keep_time; /* seconds told by Keep-Alive, -1 when none */
+    int64_t length;    /* bytes of body for WG_FRAMING_LENGTH */
+    bool keep_alive;   /* the connection can be reused */
+    int64_t keep_time; /* seconds of the Keep-Alive timeout, -1 if none */
 } wg_message_head;
 
-/* Bytes of a head with its empty line at the start of `bytes`, or 0 while it is not whole. */
+/* Size of the head at the start of `bytes`, including its empty line; 0 if it is incomplete. */
 size_t wg_message_head_size(const char* bytes, size_t size);
-/* Read a whole head. 0 when good, else the status that refuses it (400, 431, 501 or 505). */
+/* Parses a complete request head. Returns 0, or the HTTP status to refuse the request with. */
 int wg_message_parse_request(const char* bytes, size_t size, wg_message_head* head);
-/* Read the head of an answer to a request with or without a body in its answer (`bodiless`: the
-   request was a HEAD). False when it is malformed. */
+/* Parses a complete response head. `bodiless` means that the request was a HEAD. False if the head
+   is malformed. */
 bool wg_message_parse_answer(const char* bytes, size_t size, bool bodiless, wg_message_head* head);
-/* First field of a name, in any case; text NULL when there is none. */
+/* Value of the first field with this name, case-insensitive; its text is NULL if there is none. */
 wg_text wg_message_field(const wg_message_head* head, const char* name);
-/* Number of fields of a name. */
+/* Number of fields with this name, case-insensitive. */
 int wg_message_field_num(const wg_message_head* head, const char* name);
-/* True for fields that concern one connection only (RFC 9110, 7.6.1), those that `Connection`
-   names included, and for the lengths. */
+/* True for hop-by-hop fields (RFC 9110, 7.6.1), including those that `Connection` lists, and for
+   fields that the framing sets anew: lengths, codings, Expect. */
 bool wg_message_is_hop_field(const wg_message_head* head, wg_text name);
-bool wg_text_is(wg_text text, const char* word);    /* the same, in any case of letters */
+bool wg_text_is(wg_text text, const char* word);    /* case-insensitive comparison */
 bool wg_text_number(wg_text text, int64_t* number); /* decimal digits only */
 char* wg_text_dup(wg_text text);                    /* freed with g_free() */
 
@@ -84,14 +84,14 @@
     WG_BODY_BAD
 } wg_body_state;
 
-/* Takes a body apart; zero-initialised, then wg_body_begin(). */
+/* State of a body decoder; initialised by wg_body_begin(). */
 typedef struct {
     wg_framing framing;
-    int64_t left; /* bytes of the body or of the present chunk */
-    int step;     /* within a chunked body */
-    int64_t taken;
+    int64_t left;  /* bytes left of the body or of the current chunk */
+    int step;      /* position within a chunked body */
+    int64_t taken; /* bytes of body decoded so far */
 } wg_body;
 
 void wg_body_begin(wg_body* body, const wg_message_head* head);
-/* Move what belongs to the body from `in` to `out`. */
+/* Moves body bytes from `in` to `out`, without chunk headers and trailers. */
 wg_body_state wg_body_read(wg_body* body, struct evbuffer* in, struct evbuffer* out);
