--- a/lib/base/wg_base.h
+++ b/lib/base/wg_base.h
@@ -21,7 +21,7 @@
 
     THE CALLER OWNS
         all structs passed in; a pool owns only its slot arrays. Only wg_now() reads a clock, and
-   only daemons call it.
+        only daemons call it.
 */
 #include <glib.h>
 #include <stdbool.h>
--- a/lib/http/wg_http.c
+++ b/lib/http/wg_http.c
@@ -69,7 +69,8 @@
 }
 
 void wgh_guard(wgh_server* server, int64_t files_max) {
-    /* The kernel gives the lowest free number, so a new one tells about how many are open. */
+    /* The kernel assigns the lowest free descriptor, so it approximates the number of open files.
+     */
     int lowest_free = dup(STDERR_FILENO);
     if (lowest_free >= 0) {
         close(lowest_free);
--- a/lib/wire/wg_wire.h
+++ b/lib/wire/wg_wire.h
@@ -3,17 +3,17 @@
     wg_wire.h -- frames and messages between walnutgate's own processes
 
     WHAT IT DOES
-        Cuts a byte stream into frames and names the message types that travel in them. Payloads are
-        protobuf-c messages from proto/walnutgate.proto (generated code beside this file).
+        Splits a byte stream into frames and defines their message types. Payloads are protobuf-c
+        messages of proto/walnutgate.proto; the generated code is in this directory.
 
     FEATURES
-        - 8-byte head: payload length (big endian u32), magic byte, version, type, zero
-        - a length over the limit, a wrong magic, version or type is an error, never a guess
-        - the proof of the fleet key: HMAC-SHA256 over both hellos, one label per direction
+        - 8-byte header: payload length (big-endian u32), magic byte, version, type, zero
+        - a length over the limit or a wrong magic, version or type is an error
+        - proof of the fleet key: HMAC-SHA256 over both hellos, with one label for each direction
 
     USE
         1. wgw_frame_head_pack(head, type, payload_size);
-        2. switch (wgw_frame_parse(bytes, size, max, &frame)) { WGW_PARSE_WHOLE: ... }
+        2. switch (wgw_frame_parse(bytes, size, max, &frame)) { case WGW_PARSE_WHOLE: ... }
 
     THE CALLER OWNS
         all buffers. wgw_frame.payload points into the caller's bytes.
@@ -30,12 +30,12 @@
     WGW_NONCE_SIZE = 16
 };
 
-/* What a frame carries. */
+/* Message type of a frame; the numbers are part of the wire format. */
 typedef enum {
     WGW_TYPE_DEFAULT = 0, /* never on the wire */
     WGW_TYPE_HELLO,
     WGW_TYPE_PROOF,
-    WGW_TYPE_PING, /* empty; keeps a quiet link alive */
+    WGW_TYPE_PING, /* without payload; keeps an idle link alive */
     WGW_TYPE_QUORUM,
     WGW_TYPE_REPORT,
     WGW_TYPE_REPLY,
@@ -50,41 +50,41 @@
     WGW_TYPE_ADMIT_ASK,
     WGW_TYPE_ADMIT_ANSWER,
     WGW_TYPE_ADMIT_NOTE,
-    WGW_TYPE_CONFIGURATION, /* of the leader, whole or as what changed */
+    WGW_TYPE_CONFIGURATION, /* from the leader, in full or as a difference */
     WGW_TYPE_NUM
 } wgw_type;
 
-/* Name of a frame's type, as metrics show it. */
+/* Name of a message type in metrics. */
 const char* wgw_type_name(wgw_type type);
 
-/* What became of an order. */
+/* Outcome of an order; the numbers are part of the wire format. */
 typedef enum {
     WG_ORDER_DEFAULT = 0,
     WG_ORDER_DONE,
-    WG_ORDER_NOT_LEADER, /* ask another control; nothing was done */
-    WG_ORDER_UNKNOWN,    /* may or may not be agreed on */
+    WG_ORDER_NOT_LEADER, /* try another control; nothing was changed */
+    WG_ORDER_UNKNOWN,    /* may or may not have been committed */
     WG_ORDER_INVALID,
-    WG_ORDER_NOTHING, /* there is no configuration yet */
+    WG_ORDER_NOTHING, /* no configuration exists yet */
     WG_ORDER_NUM
 } wg_order_outcome;
 
-/* Name of an outcome, as logs show it. */
+/* Name of an outcome in logs. */
 const char* wgw_outcome_name(wg_order_outcome outcome);
 
-/* Who is at the other end of a link. */
+/* Role of a process on a link; the numbers are part of the wire format. */
 typedef enum {
     WGW_ROLE_DEFAULT = 0,
     WGW_ROLE_CONTROL,
     WGW_ROLE_ROUTER,
-    WGW_ROLE_ENTRY, /* an entry host that serves routes */
+    WGW_ROLE_ENTRY, /* entry host */
     WGW_ROLE_NUM
 } wgw_role;
 
 typedef enum {
     WGW_PARSE_DEFAULT = 0,
-    WGW_PARSE_MORE,  /* not a whole frame yet */
-    WGW_PARSE_WHOLE, /* frame filled in; frame.size bytes of payload follow the head */
-    WGW_PARSE_BAD,   /* close the link; frame.reason says why */
+    WGW_PARSE_MORE,  /* incomplete; more bytes are needed */
+    WGW_PARSE_WHOLE, /* complete; frame.size bytes of payload follow the header */
+    WGW_PARSE_BAD,   /* invalid, close the link; frame.reason is set */
     WGW_PARSE_NUM
 } wgw_parse;
 
@@ -95,17 +95,18 @@
     const char* reason;
 } wgw_frame;
 
-/* Fill the head of a frame. */
+/* Writes the header of a frame. */
 void wgw_frame_head_pack(uint8_t head[WGW_HEAD_SIZE], wgw_type type, size_t payload_size);
-/* Look at the first bytes of a stream. `max` limits the payload (0: WGW_FRAME_MAX_DEFAULT). */
+/* Parses the frame at the start of `bytes`. `max` limits the payload; 0 means
+   WGW_FRAME_MAX_DEFAULT. If the header is complete, frame.size is set even for WGW_PARSE_MORE. */
 wgw_parse wgw_frame_parse(const uint8_t* bytes, size_t size, size_t max, wgw_frame* frame);
 
-/* Proof that the sender holds the fleet key. `label` is "dialer" or "acceptor". */
+/* Computes the proof that the sender holds the fleet key. `label` is "dialer" or "acceptor". */
 void wgw_proof(const char* fleet_key, const char* label, const uint8_t* dialer_hello,
                size_t dialer_size, const uint8_t* acceptor_hello, size_t acceptor_size,
                uint8_t out[WGW_MAC_SIZE]);
-/* Compare two proofs in constant time. */
+/* Compares two proofs in constant time. */
 bool wgw_proof_equal(const uint8_t* a, const uint8_t* b);
 
-/* Pack any protobuf-c message into a fresh GByteArray; the caller unrefs it. */
+/* Packs a protobuf-c message into a new GByteArray, which the caller unrefs. */
 GByteArray* wgw_pack(const ProtobufCMessage* message);
