--- a/daemons/controld.c
+++ b/daemons/controld.c
@@ -1,4 +1,4 @@
-/* controld.c -- walnutgate-controld: a thin main over lib/control */
+/* controld.c -- walnutgate-controld: main program of lib/control */
 #include "wg_control.h"
 #include "wg_daemon.h"
 
--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -1,4 +1,4 @@
-/* ctl.c -- walnutgatectl: the table as a spreadsheet, replicas, status and dumps */
+/* ctl.c -- walnutgatectl: edits the table, manages replicas, prints status and state dumps */
 #include <argtable2.h>
 #include <event2/buffer.h>
 #include <event2/event.h>
@@ -15,16 +15,16 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    EXIT_REFUSED = 1, /* the system said no: conflict, invalid, not found */
-    EXIT_USAGE = 2,   /* nothing was asked: bad command line or unreadable file */
+    EXIT_REFUSED = 1, /* a control refused the command: conflict, invalid, not found */
+    EXIT_USAGE = 2,   /* nothing was sent: bad command line or unreadable file */
     EXIT_NO_ANSWER = 3,
     ANSWER_SECONDS = 5,
-    TRIES = 40, /* rounds over all controls until one leads */
+    TRIES = 40, /* rounds over all controls until the leader answers */
     TRY_GAP_MS = 250
 };
 
 typedef struct {
-    char** controls; /* ip:port of operators' pages */
+    char** controls; /* ip:port of operator endpoints */
     char* key;
     bool csv;
 } options_t;
@@ -50,7 +50,7 @@
     event_base_loopbreak(answer->base);
 }
 
-/* One request to one address; the answer's body is released by the caller. */
+/* Sends one request to one address. The caller frees the body of the answer. */
 static answer_t ask(const char* address, const char* key, const char* path, const char* body) {
     answer_t answer = {.base = event_base_new(), .body = g_string_new(NULL)};
     char ip[WG_ADDRESS_MAX];
@@ -79,7 +79,8 @@
     return answer;
 }
 
-/* Ask the controls in turn until one that leads answers. Safe to repeat: edits carry an id. */
+/* Sends the request to each control in turn until the leader answers. Retries are safe because
+   edits have an id. */
 static answer_t ask_leader(const options_t* options, const char* path, const char* body) {
     answer_t answer = {0};
     for (int i = 0; i < TRIES; i++) {
@@ -98,7 +99,7 @@
     return answer;
 }
 
-/* Print the answer as it came and turn its status into ours. */
+/* Prints the body of the answer and returns the exit status for it. Frees the body. */
 static int print_answer(answer_t* answer) {
     int result = answer->status == 200 ? EXIT_SUCCESS
                  : answer->status == 0 ? EXIT_NO_ANSWER
@@ -128,7 +129,8 @@
     return print_answer(&answer);
 }
 
-/* Present rows by name; NULL (and the reason printed) when they cannot be had. */
+/* Fetches the current rows, by name. On failure prints the reason, sets `result` and returns NULL.
+ */
 static json_t* present_rows(const options_t* options, const char* kind, int* result) {
     char* path = g_strdup_printf("/v1/table/%s?format=json", kind);
     answer_t answer = ask_leader(options, path, NULL);
@@ -198,7 +200,7 @@
     for (guint i = 0; i < rows->len; i++) {
         const wgt_row* row = &g_array_index(rows, wgt_row, i);
         json_t* json = wgt_row_to_json(row);
-        /* Rows that the editor left as they are do not count as edited. */
+        /* Unchanged rows are not sent, so they cannot conflict with concurrent edits. */
         if (json_equal(json, json_object_get(present, row->name))) {
             json_decref(json);
         } else {
@@ -242,7 +244,7 @@
     return known;
 }
 
-/* Change columns of one row (made if it is not there), or delete it. */
+/* Changes columns of one row, which is created if it does not exist, or deletes it. */
 static int table_change(const options_t* options, const char* kind_name, const char* name,
                         const char** assignments, int num, bool delete) {
     wgt_kind kind = wgt_kind_parse(kind_name);
@@ -352,7 +354,7 @@
     }
 }
 
-/* What each workspace took, as the leader's accounts have it. */
+/* Prints the usage of each workspace from the leader's accounts. */
 static int fairness(const options_t* options) {
     for (int c = 0; options->controls[c]; c++) {
         answer_t answer = ask(options->controls[c], options->key, "/debug/state", NULL);
@@ -380,7 +382,7 @@
     return print_answer(&answer);
 }
 
-/* How far the log of a control goes; by term first, as elections have it. */
+/* Last entry of a control's log; compared by term first, as in elections. */
 typedef struct {
     const char* control;
     json_int_t term;
@@ -402,7 +404,8 @@
     return good;
 }
 
-/* The survivor with the newest log goes on alone; the others have to start empty. */
+/* Recovers the set from the remaining control with the newest log. It continues alone; the others
+   have to join with empty data folders. */
 static int form_anew(const options_t* options, const char* gone) {
     log_end_t best = {0};
     for (int c = 0; options->controls[c]; c++) {
--- a/daemons/entryd.c
+++ b/daemons/entryd.c
@@ -1,4 +1,4 @@
-/* entryd.c -- walnutgate-entryd, with this project's own header names */
+/* entryd.c -- walnutgate-entryd with the default header names */
 #include "entryd.h"
 
 int main(int argc, char** argv) {
--- a/daemons/entryd.h
+++ b/daemons/entryd.h
@@ -1,12 +1,12 @@
 #pragma once
 /*
-    entryd.h -- walnutgate-entryd: a thin main over lib/entry
+    entryd.h -- walnutgate-entryd: main program of lib/entry
 
     USE
         return wg_entryd_main("walnutgate-entryd", NULL, argc, argv);
 
     THE CALLER OWNS
-        the names of header fields, NULL for those of this project.
+        the names of header fields; NULL means the default names.
 */
 #include "wg_entry.h"
 
--- a/daemons/routerd.c
+++ b/daemons/routerd.c
@@ -1,4 +1,4 @@
-/* routerd.c -- walnutgate-routerd: a thin main over lib/router */
+/* routerd.c -- walnutgate-routerd: main program of lib/router */
 #include "wg_daemon.h"
 #include "wg_router.h"
 
--- a/daemons/wg_daemon.c
+++ b/daemons/wg_daemon.c
@@ -22,7 +22,7 @@
     bool check;
     bool print;
     bool init;
-    int status; /* >= 0: leave with it at once */
+    int status; /* >= 0: exit status to exit with at once */
 } _wgd_options_t;
 
 static const char* _wgd_settings_path;
@@ -94,7 +94,7 @@
     json_decref(json);
 }
 
-/* The settings as they stand in the file now; a wrong file changes nothing. */
+/* Reloads the settings file. An invalid file changes nothing. */
 static void _wgd_on_reload(evutil_socket_t signal, short what, void* user_data) {
     (void)signal;
     (void)what;
@@ -114,7 +114,7 @@
     g_free(settings);
 }
 
-/* As many open files as the system lets us have: each caller and target connection is one. */
+/* Raises the limit of open files to the hard limit: each caller and target connection needs one. */
 static void _wgd_raise_file_limit(void) {
     struct rlimit limit;
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -157,8 +157,9 @@
 
 int wgd_main(const wgd_desc* desc, int argc, char** argv) {
     signal(SIGPIPE, SIG_IGN);
-    signal(SIGHUP, SIG_IGN);  /* until the loop runs */
-    signal(SIGXFSZ, SIG_IGN); /* a write beyond a file size limit fails like one on a full disk */
+    signal(SIGHUP, SIG_IGN); /* until the event loop handles it */
+    signal(SIGXFSZ,
+           SIG_IGN); /* a write beyond a file size limit fails with an error, as on a full disk */
     _wgd_options_t options = _wgd_parse(desc, argc, argv);
     if (options.status >= 0) {
         return options.status;
--- a/lib/net/wg_loop.h
+++ b/lib/net/wg_loop.h
@@ -3,9 +3,9 @@
     wg_loop.h -- the event loop of a fleet process and the priorities of its events
 
     WHAT IT DOES
-        Creates a libevent loop with four priorities. Ready events of a higher priority run first;
-        after every WG_LOOP_CALLBACKS_MAX callbacks of a lower priority the loop polls again, so
-   that new high-priority events do not wait for a long queue.
+        Creates a libevent loop with four priorities. Ready events of a higher priority run
+        first; after every WG_LOOP_CALLBACKS_MAX callbacks of a lower priority the loop polls again,
+        so that new high-priority events do not wait for a long queue.
 
     FEATURES
         - first: links to other fleet processes and ticks (WGN_PRIORITY)
--- a/lib/net/wg_net.h
+++ b/lib/net/wg_net.h
@@ -27,7 +27,7 @@
 
     THE CALLER OWNS
         the event base and whatever user_data points at. Peers returned by wgn_query_peer() are
-   valid until the link closes. Callbacks may call wgn_close() and wgn_send().
+        valid until the link closes. Callbacks may call wgn_close() and wgn_send().
 */
 #include "wg_wire.h"
 
