--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 	cmake -S . -B $(BUILD) -G Ninja -DCMAKE_INSTALL_PREFIX=$(PREFIX) >/dev/null
 	ninja -C $(BUILD) --quiet
 
-# Installs only what is missing; needs root then.
+# Installs missing packages; needs root if there are any.
 deps:
 	@missing=$$(for p in $(PACKAGES); do dpkg -s $$p >/dev/null 2>&1 || echo $$p; done); \
 	if [ -n "$$missing" ]; then \
@@ -35,7 +35,7 @@
 soak: all
 	$(BUILD)/soak --seed $(or $(SEED),1) --steps $(or $(STEPS),100000)
 
-# The fault soak: real processes, faults from outside; SEEDS=50 or more by hand.
+# Soak test with real processes and injected faults; SEEDS sets the number of runs.
 soak-hosts: all
 	$(BUILD)/soak_hosts --seeds $(or $(SEEDS),10) $(if $(SEED),--seed $(SEED))
 
@@ -45,11 +45,11 @@
 bench-fair: all
 	$(BUILD)/bench_fair samples/traces bench-fair.csv
 
-# Times and losses for each kind of fault, with real processes; some minutes.
+# Recovery times and lost requests for each kind of fault, with real processes; takes minutes.
 bench-faults: all
 	$(BUILD)/bench_faults
 
-# Break one rule at a time in a scratch copy: the proofs have to notice.
+# Mutation tests: each mutant in tests/mutants.txt has to fail its test.
 mutants: all
 	tools/mutants.sh
 
@@ -64,7 +64,7 @@
 format:
 	clang-format -i $(SOURCES)
 
-# Pages that are made from the code; CI checks that they are up to date.
+# Pages generated from the code; CI checks that they are up to date.
 docs: all
 	tools/make-docs.sh $(BUILD)
 
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The speed figures: one line each, name, value, unit. Not run in CI.
+# Runs the performance benchmarks. Prints one line for each result: name, value, unit. Not run in CI.
 set -eu
 build=${1:-build}
 "$build/bench_queue"
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The sample fleet on loopback addresses: 3 controls, 3 routers, 3 target stand-ins.
-#   demo.sh run    start it, try everything, stop it in the planned way
+# Sample fleet on loopback addresses: 3 controls, 3 routers, 3 fake targets.
+#   demo.sh run    start it, run all checks, stop it as planned
 #   demo.sh up     start it and leave it running; `demo.sh down` stops it
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
@@ -12,7 +12,7 @@
 fail() { echo "demo: FAILED: $*" >&2; exit 1; }
 say() { printf '\n== %s\n' "$*"; }
 
-# Wait until a command succeeds, at most 20 s.
+# Waits until a command succeeds, at most 20 s.
 wait_for() {
     local what=$1
     shift
@@ -30,7 +30,7 @@
     echo $! >"$run/$name.pid"
 }
 
-# Ask a process to stop, wait for it, and check that it left with status 0.
+# Stops a process with SIGTERM, waits for it, and checks that its log shows a planned stop.
 stop() {
     local name=$1 pid
     pid=$(cat "$run/$name.pid")
@@ -94,7 +94,8 @@
     for i in 1 2 3; do [[ $(version_at $i) -ge $1 ]] || return 1; done
 }
 
-# All workspaces busy at once, through all routers; what each got in 3 s, over its weight.
+# Loads all routers from all workspaces at once and prints the tokens that each got in 3 s, over its
+# weight.
 fairness() {
     local name i load=()
     "${ctl[@]}" fairness | grep logbook-assistant >"$run/before.txt" || true
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Run each fuzzer for a while (SECONDS_EACH, default 30); new cases stay in tests/fuzz/cases.
+# Runs each fuzzer for SECONDS_EACH seconds (default 30); new cases are kept in tests/fuzz/cases.
 set -eu
 build=${1:-build-fuzz}
 for program in "$build"/fuzz_*; do
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# clang-tidy over our own sources; generated code is left out.
+# Runs clang-tidy on all sources but generated code.
 set -eu
 build=${1:-build}
 git ls-files 'lib/*.c' 'daemons/*.c' | grep -v pb-c |
--- a/tools/make-docs.sh
+++ b/tools/make-docs.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Make the pages that come out of the code. With --check: fail when they are not up to date, or when
-# a table in any page has rows of unequal length.
+# Generates pages from the code. With --check: fails if they are out of date, or if a table in any
+# page has rows of unequal length.
 set -eu
 build=${1:-build}
 check=${2:-}
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Break one rule at a time in a scratch copy and check that the proofs notice.
-# Each mutant: name | file | sed expression | command that has to fail.
+# Mutation tests: applies one mutant of tests/mutants.txt at a time to a scratch copy and checks that
+# its test fails. Each mutant: name | file | sed expression | command that has to fail.
 set -u
 top=$(cd "$(dirname "$0")/.." && pwd)
 scratch=$(mktemp -d)
--- a/tools/recovery-legs.sh
+++ b/tools/recovery-legs.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# The legs of a recovery, from the first line that a process writes to the first request served.
+# Durations of the phases of a recovery, from the first log line of a process to its first served
+# request.
 # usage: tools/recovery-legs.sh LOG [FROM]
-# LOG: lines "SECONDS PROCESS DATE LEVEL EVENT NAME: text", of all processes of the fleet.
-# FROM: seconds; starts of processes before are passed over (default 0).
-# Prints, for each leg, how many processes had it and the least, middle and longest time since the
-# process's own start, in milliseconds.
+# LOG: lines "SECONDS PROCESS DATE LEVEL EVENT NAME: text" of all processes of the fleet.
+# FROM: seconds; earlier lines are ignored (default 0).
+# Prints for each phase the number of processes that reached it and the minimum, median and maximum
+# time since the start of the process, in milliseconds.
 set -euo pipefail
 log=${1:?usage: $0 LOG [FROM]}
 from=${2:-0}
--- a/tools/run-tests.sh
+++ b/tools/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Run every test program, all at once; print their output in order; the last line counts the tests.
-# Failures of tests that KNOWN-RED.txt lists are printed and passed over; each line there reads
+# Runs all test programs concurrently, prints their output in order, and the totals in the last line.
+# Failures of tests listed in KNOWN-RED.txt are printed but do not fail the run. Each line there reads
 # "program:test | cause | issue".
 set -u
 build=${1:-build}
@@ -17,7 +17,8 @@
 done
 wait
 passed=0 failed=0
-# How many of a program's failures are listed; a failure's line reads file:line:F or E:case:test:...
+# Prints the number of a program's failures that are listed. A failure reads
+# file:line:F:case:test:... or file:line:E:case:test:...
 known_in() {
     local name=$1 count=0 test
     [[ -s $red ]] || { echo 0; return; }
@@ -43,7 +44,7 @@
     failed=$((failed + failures + errors - known))
     passed=$((passed + checks - failures - errors))
 done
-# Failures once more, whole and at the end: what keeps only an output's last lines still names them.
+# Repeats the failures at the end, so that a truncated output still names them.
 for program in "${programs[@]}"; do
     name=$(basename "$program")
     grep -E '^[^ ]+:[0-9]+:[FE]:' "$out/$name" | sed "s/^/failed: $name: /"
