--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -17,10 +17,10 @@
 enum {
     EXIT_REFUSED = 1, /* a control refused the command: conflict, invalid, not found */
     EXIT_USAGE = 2,   /* nothing was sent: bad command line or unreadable file */
-    EXIT_NO_ANSWER = 3,
-    ANSWER_SECONDS = 5,
-    TRIES = 40, /* rounds over all controls until the leader answers */
-    TRY_GAP_MS = 250
+    EXIT_NO_RESPONSE = 3,
+    RESPONSE_TIMEOUT_S = 5,
+    ROUNDS_MAX = 40, /* rounds over all controls until the leader answers */
+    ROUND_DELAY_MS = 250
 };
 
 typedef struct {
@@ -31,35 +31,37 @@
 
 typedef struct {
     struct event_base* base;
-    int status; /* 0: no answer */
+    int status; /* 0: no response */
     GString* body;
-} answer_t;
+} response_t;
 
 /* ---- HTTP ---------------------------------------------------------------------------------- */
 
 static void on_done(struct evhttp_request* request, void* user_data) {
-    answer_t* answer = user_data;
+    response_t* response = user_data;
     if (request) {
-        answer->status = evhttp_request_get_response_code(request);
+        response->status = evhttp_request_get_response_code(request);
         struct evbuffer* body = evhttp_request_get_input_buffer(request);
         size_t size = evbuffer_get_length(body);
         if (size > 0) {
-            g_string_append_len(answer->body, (const char*)evbuffer_pullup(body, -1), (gssize)size);
+            g_string_append_len(response->body, (const char*)evbuffer_pullup(body, -1),
+                                (gssize)size);
         }
     }
-    event_base_loopbreak(answer->base);
+    event_base_loopbreak(response->base);
 }
 
-/* Sends one request to one address. The caller frees the body of the answer. */
-static answer_t ask(const char* address, const char* key, const char* path, const char* body) {
-    answer_t answer = {.base = event_base_new(), .body = g_string_new(NULL)};
+/* Sends one request to one address. The caller frees the body of the response. */
+static response_t send_request(const char* address, const char* key, const char* path,
+                               const char* body) {
+    response_t response = {.base = event_base_new(), .body = g_string_new(NULL)};
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
     if (wgn_split_address(address, ip, &port)) {
         struct evhttp_connection* connection =
-            evhttp_connection_base_new(answer.base, NULL, ip, port);
-        evhttp_connection_set_timeout(connection, ANSWER_SECONDS);
-        struct evhttp_request* request = evhttp_request_new(on_done, &answer);
+            evhttp_connection_base_new(response.base, NULL, ip, port);
+        evhttp_connection_set_timeout(connection, RESPONSE_TIMEOUT_S);
+        struct evhttp_request* request = evhttp_request_new(on_done, &response);
         struct evkeyvalq* headers = evhttp_request_get_output_headers(request);
         char* bearer = g_strdup_printf("Bearer %s", key);
         evhttp_add_header(headers, "Authorization", bearer);
@@ -70,48 +72,49 @@
         }
         enum evhttp_cmd_type method = body ? EVHTTP_REQ_POST : EVHTTP_REQ_GET;
         if (evhttp_make_request(connection, request, method, path) == 0) {
-            event_base_dispatch(answer.base);
+            event_base_dispatch(response.base);
         }
         evhttp_connection_free(connection);
     }
-    event_base_free(answer.base);
-    answer.base = NULL;
-    return answer;
+    event_base_free(response.base);
+    response.base = NULL;
+    return response;
 }
 
 /* Sends the request to each control in turn until the leader answers. Retries are safe because
    edits have an id. */
-static answer_t ask_leader(const options_t* options, const char* path, const char* body) {
-    answer_t answer = {0};
-    for (int i = 0; i < TRIES; i++) {
+static response_t send_to_leader(const options_t* options, const char* path, const char* body) {
+    response_t response = {0};
+    for (int i = 0; i < ROUNDS_MAX; i++) {
         for (int c = 0; options->controls[c]; c++) {
-            answer = ask(options->controls[c], options->key, path, body);
-            bool try_others = answer.status == 0 || answer.status == 421 || answer.status == 503;
-            if (!try_others) {
-                return answer;
+            response = send_request(options->controls[c], options->key, path, body);
+            bool try_next =
+                response.status == 0 || response.status == 421 || response.status == 503;
+            if (!try_next) {
+                return response;
             }
-            g_string_free(answer.body, TRUE);
+            g_string_free(response.body, TRUE);
         }
-        g_usleep(TRY_GAP_MS * 1000);
+        g_usleep(ROUND_DELAY_MS * 1000);
     }
-    answer.status = 0;
-    answer.body = g_string_new(NULL);
-    return answer;
+    response.status = 0;
+    response.body = g_string_new(NULL);
+    return response;
 }
 
-/* Prints the body of the answer and returns the exit status for it. Frees the body. */
-static int print_answer(answer_t* answer) {
-    int result = answer->status == 200 ? EXIT_SUCCESS
-                 : answer->status == 0 ? EXIT_NO_ANSWER
-                                       : EXIT_REFUSED;
-    if (answer->status == 0) {
+/* Prints the body of the response and returns the exit status for it. Frees the body. */
+static int print_response(response_t* response) {
+    int result = response->status == 200 ? EXIT_SUCCESS
+                 : response->status == 0 ? EXIT_NO_RESPONSE
+                                         : EXIT_REFUSED;
+    if (response->status == 0) {
         fprintf(stderr, "walnutgatectl: no control that leads has answered\n");
     } else {
         FILE* out = result == EXIT_SUCCESS ? stdout : stderr;
-        fprintf(out, "%s%s", answer->body->str,
-                g_str_has_suffix(answer->body->str, "\n") ? "" : "\n");
+        fprintf(out, "%s%s", response->body->str,
+                g_str_has_suffix(response->body->str, "\n") ? "" : "\n");
     }
-    g_string_free(answer->body, TRUE);
+    g_string_free(response->body, TRUE);
     return result;
 }
 
@@ -124,23 +127,23 @@
 
 static int table_get(const options_t* options, const char* kind) {
     char* path = g_strdup_printf("/v1/table/%s?format=%s", kind, options->csv ? "csv" : "json");
-    answer_t answer = ask_leader(options, path, NULL);
+    response_t response = send_to_leader(options, path, NULL);
     g_free(path);
-    return print_answer(&answer);
+    return print_response(&response);
 }
 
 /* Fetches the current rows, by name. On failure prints the reason, sets `result` and returns NULL.
  */
-static json_t* present_rows(const options_t* options, const char* kind, int* result) {
+static json_t* fetch_rows(const options_t* options, const char* kind, int* result) {
     char* path = g_strdup_printf("/v1/table/%s?format=json", kind);
-    answer_t answer = ask_leader(options, path, NULL);
+    response_t response = send_to_leader(options, path, NULL);
     g_free(path);
-    if (answer.status != 200) {
-        *result = print_answer(&answer);
+    if (response.status != 200) {
+        *result = print_response(&response);
         return NULL;
     }
-    json_t* json = json_loads(answer.body->str, 0, NULL);
-    g_string_free(answer.body, TRUE);
+    json_t* json = json_loads(response.body->str, 0, NULL);
+    g_string_free(response.body, TRUE);
     json_t* rows = json_object();
     size_t i;
     json_t* row;
@@ -165,10 +168,10 @@
     json_t* edit =
         json_pack("{s:s,s:s,s:o}", "edit_id", hex, "editor", user ? user : "", "rows", rows);
     char* text = json_dumps(edit, JSON_COMPACT);
-    answer_t answer = ask_leader(options, "/v1/table/edit", text);
+    response_t response = send_to_leader(options, "/v1/table/edit", text);
     free(text);
     json_decref(edit);
-    return print_answer(&answer);
+    return print_response(&response);
 }
 
 static void add_edit_row(json_t* rows, const char* kind, json_t* row) {
@@ -191,8 +194,8 @@
     }
     g_free(text);
     int result = EXIT_SUCCESS;
-    json_t* present = present_rows(options, kind_name, &result);
-    if (!present) {
+    json_t* current = fetch_rows(options, kind_name, &result);
+    if (!current) {
         g_array_unref(rows);
         return result;
     }
@@ -201,13 +204,13 @@
         const wgt_row* row = &g_array_index(rows, wgt_row, i);
         json_t* json = wgt_row_to_json(row);
         /* Unchanged rows are not sent, so they cannot conflict with concurrent edits. */
-        if (json_equal(json, json_object_get(present, row->name))) {
+        if (json_equal(json, json_object_get(current, row->name))) {
             json_decref(json);
         } else {
             add_edit_row(changed, wgt_kind_name(kind), json);
         }
     }
-    json_decref(present);
+    json_decref(current);
     g_array_unref(rows);
     if (json_array_size(changed) == 0) {
         json_decref(changed);
@@ -249,16 +252,16 @@
                         const char** assignments, int num, bool delete) {
     wgt_kind kind = wgt_kind_parse(kind_name);
     int result = EXIT_SUCCESS;
-    json_t* present = present_rows(options, kind_name, &result);
-    if (!present) {
+    json_t* current = fetch_rows(options, kind_name, &result);
+    if (!current) {
         return result;
     }
-    json_t* row = json_copy(json_object_get(present, name));
-    json_decref(present);
+    json_t* row = json_copy(json_object_get(current, name));
+    json_decref(current);
     if (!row) {
-        wgt_row fresh;
-        wgt_row_init(&fresh, kind, name);
-        row = wgt_row_to_json(&fresh);
+        wgt_row new_row;
+        wgt_row_init(&new_row, kind, name);
+        row = wgt_row_to_json(&new_row);
     }
     for (int i = 0; i < num; i++) {
         if (!set_column(row, kind, assignments[i])) {
@@ -275,22 +278,22 @@
     return send_edit(options, rows);
 }
 
-static int table_command(const options_t* options, const char** words, int num) {
-    const char* verb = num > 0 ? words[0] : "";
-    if (num < 2 || wgt_kind_parse(words[1]) == WGT_KIND_DEFAULT) {
+static int table_command(const options_t* options, const char** args, int num) {
+    const char* verb = num > 0 ? args[0] : "";
+    if (num < 2 || wgt_kind_parse(args[1]) == WGT_KIND_DEFAULT) {
         return usage("table get|put|set|delete workspaces|services|targets ...");
     }
     if (strcmp(verb, "get") == 0 && num == 2) {
-        return table_get(options, words[1]);
+        return table_get(options, args[1]);
     }
     if (strcmp(verb, "put") == 0 && num == 3) {
-        return table_put(options, words[1], words[2]);
+        return table_put(options, args[1], args[2]);
     }
     if (strcmp(verb, "set") == 0 && num >= 3) {
-        return table_change(options, words[1], words[2], words + 3, num - 3, false);
+        return table_change(options, args[1], args[2], args + 3, num - 3, false);
     }
     if (strcmp(verb, "delete") == 0 && num == 3) {
-        return table_change(options, words[1], words[2], NULL, 0, true);
+        return table_change(options, args[1], args[2], NULL, 0, true);
     }
     return usage("table get <kind> | put <kind> <file.csv> | set <kind> <name> column=value ... | "
                  "delete <kind> <name>");
@@ -299,14 +302,14 @@
 /* ---- other commands ------------------------------------------------------------------------- */
 
 static int dump_one(const options_t* options, const char* address) {
-    answer_t answer = ask(address, options->key, "/debug/state", NULL);
-    if (answer.status != 200) {
-        fprintf(stderr, "walnutgatectl: %s: no state (status %d)\n", address, answer.status);
-        g_string_free(answer.body, TRUE);
-        return EXIT_NO_ANSWER;
-    }
-    json_t* json = json_loads(answer.body->str, 0, NULL);
-    g_string_free(answer.body, TRUE);
+    response_t response = send_request(address, options->key, "/debug/state", NULL);
+    if (response.status != 200) {
+        fprintf(stderr, "walnutgatectl: %s: no state (status %d)\n", address, response.status);
+        g_string_free(response.body, TRUE);
+        return EXIT_NO_RESPONSE;
+    }
+    json_t* json = json_loads(response.body->str, 0, NULL);
+    g_string_free(response.body, TRUE);
     json_dumpf(json, stdout, JSON_INDENT(2));
     printf("\n");
     json_decref(json);
@@ -316,11 +319,12 @@
 static int status(const options_t* options) {
     int result = EXIT_SUCCESS;
     for (int c = 0; options->controls[c]; c++) {
-        answer_t answer = ask(options->controls[c], options->key, "/debug/state", NULL);
-        json_t* json = json_loads(answer.body->str, 0, NULL);
-        if (answer.status != 200 || !json) {
+        response_t response =
+            send_request(options->controls[c], options->key, "/debug/state", NULL);
+        json_t* json = json_loads(response.body->str, 0, NULL);
+        if (response.status != 200 || !json) {
             printf("%-22s no answer\n", options->controls[c]);
-            result = EXIT_NO_ANSWER;
+            result = EXIT_NO_RESPONSE;
         } else {
             json_t* log = json_object_get(json, "log");
             json_t* table = json_object_get(json, "table");
@@ -335,7 +339,7 @@
                    json_array_size(json_object_get(json, "routers")));
         }
         json_decref(json);
-        g_string_free(answer.body, TRUE);
+        g_string_free(response.body, TRUE);
     }
     return result;
 }
@@ -357,29 +361,30 @@
 /* Prints the usage of each workspace from the leader's accounts. */
 static int fairness(const options_t* options) {
     for (int c = 0; options->controls[c]; c++) {
-        answer_t answer = ask(options->controls[c], options->key, "/debug/state", NULL);
-        json_t* json = json_loads(answer.body->str, 0, NULL);
+        response_t response =
+            send_request(options->controls[c], options->key, "/debug/state", NULL);
+        json_t* json = json_loads(response.body->str, 0, NULL);
         bool leads = json_is_true(json_object_get(json, "leads"));
         if (leads) {
             print_shares(json);
         }
         json_decref(json);
-        g_string_free(answer.body, TRUE);
+        g_string_free(response.body, TRUE);
         if (leads) {
             return EXIT_SUCCESS;
         }
     }
     fprintf(stderr, "walnutgatectl: no control that leads has answered\n");
-    return EXIT_NO_ANSWER;
+    return EXIT_NO_RESPONSE;
 }
 
 static int replica_command(const options_t* options, const char* action, const char* name) {
     json_t* json = json_pack("{s:s,s:s}", "action", action, "name", name);
     char* text = json_dumps(json, JSON_COMPACT);
-    answer_t answer = ask_leader(options, "/v1/replicas", text);
+    response_t response = send_to_leader(options, "/v1/replicas", text);
     free(text);
     json_decref(json);
-    return print_answer(&answer);
+    return print_response(&response);
 }
 
 /* Last entry of a control's log; compared by term first, as in elections. */
@@ -391,29 +396,29 @@
 } log_end_t;
 
 static bool read_log_end(const options_t* options, const char* control, log_end_t* end) {
-    answer_t answer = ask(control, options->key, "/debug/state", NULL);
-    json_t* json = json_loads(answer.body->str, 0, NULL);
+    response_t response = send_request(control, options->key, "/debug/state", NULL);
+    json_t* json = json_loads(response.body->str, 0, NULL);
     json_t* log = json_object_get(json, "log");
-    bool good = answer.status == 200 && log;
+    bool good = response.status == 200 && log;
     *end = (log_end_t){.control = control,
                        .term = json_integer_value(json_object_get(log, "last_term")),
                        .last = json_integer_value(json_object_get(log, "last")),
                        .leads = json_is_true(json_object_get(json, "leads"))};
     json_decref(json);
-    g_string_free(answer.body, TRUE);
+    g_string_free(response.body, TRUE);
     return good;
 }
 
 /* Recovers the set from the remaining control with the newest log. It continues alone; the others
    have to join with empty data folders. */
-static int form_anew(const options_t* options, const char* gone) {
+static int recover_set(const options_t* options, const char* removed) {
     log_end_t best = {0};
     for (int c = 0; options->controls[c]; c++) {
         log_end_t end;
         if (!read_log_end(options, options->controls[c], &end)) {
             fprintf(stderr, "walnutgatectl: %s: no state; name only controls that are up\n",
                     options->controls[c]);
-            return EXIT_NO_ANSWER;
+            return EXIT_NO_RESPONSE;
         }
         if (end.leads) {
             fprintf(stderr, "walnutgatectl: %s leads\n", end.control);
@@ -422,15 +427,15 @@
         bool newer = end.term > best.term || (end.term == best.term && end.last > best.last);
         best = !best.control || newer ? end : best;
     }
-    json_t* json = json_pack("{s:s,s:s}", "action", "form-anew", "gone", gone);
+    json_t* json = json_pack("{s:s,s:s}", "action", "form-anew", "gone", removed);
     char* text = json_dumps(json, JSON_COMPACT);
     printf("from %s, which holds the newest log (term %" JSON_INTEGER_FORMAT
            ", entry %" JSON_INTEGER_FORMAT ")\n",
            best.control, best.term, best.last);
-    answer_t answer = ask(best.control, options->key, "/v1/replicas", text);
+    response_t response = send_request(best.control, options->key, "/v1/replicas", text);
     free(text);
     json_decref(json);
-    return print_answer(&answer);
+    return print_response(&response);
 }
 
 static int key_hash(const char* key) {
@@ -443,16 +448,16 @@
     return EXIT_SUCCESS;
 }
 
-static int run(const options_t* options, const char** words, int num) {
-    const char* command = num > 0 ? words[0] : "";
+static int run(const options_t* options, const char** args, int num) {
+    const char* command = num > 0 ? args[0] : "";
     if (strcmp(command, "key-hash") == 0 && num == 2) {
-        return key_hash(words[1]);
+        return key_hash(args[1]);
     }
     if (!options->key) {
         return usage("--key-file is needed, and must name a readable file");
     }
     if (strcmp(command, "table") == 0) {
-        return table_command(options, words + 1, num - 1);
+        return table_command(options, args + 1, num - 1);
     }
     if ((strcmp(command, "services") == 0 || strcmp(command, "targets") == 0) && num == 1) {
         return table_get(options, command);
@@ -464,13 +469,13 @@
         return fairness(options);
     }
     if (strcmp(command, "dump") == 0 && num == 2) {
-        return dump_one(options, words[1]);
+        return dump_one(options, args[1]);
     }
-    if (strcmp(command, "replica") == 0 && num == 3 && strcmp(words[1], "form-anew") == 0) {
-        return form_anew(options, words[2]);
+    if (strcmp(command, "replica") == 0 && num == 3 && strcmp(args[1], "form-anew") == 0) {
+        return recover_set(options, args[2]);
     }
     if (strcmp(command, "replica") == 0 && num == 3) {
-        return replica_command(options, words[1], words[2]);
+        return replica_command(options, args[1], args[2]);
     }
     return usage("unknown command; see --help");
 }
@@ -504,9 +509,9 @@
     struct arg_lit* csv = arg_lit0(NULL, "csv", "print tables as CSV");
     struct arg_lit* help = arg_lit0("h", "help", "print this help");
     struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
-    struct arg_str* words = arg_strn(NULL, NULL, "<command>", 0, 32, "see below");
+    struct arg_str* args = arg_strn(NULL, NULL, "<command>", 0, 32, "see below");
     struct arg_end* end = arg_end(8);
-    void* table[] = {controls, key, csv, help, version, words, end};
+    void* table[] = {controls, key, csv, help, version, args, end};
     int errors = arg_parse(argc, argv, table);
     int result = EXIT_SUCCESS;
     if (help->count) {
@@ -522,7 +527,7 @@
         if (key->count && g_file_get_contents(key->filename[0], &options.key, NULL, NULL)) {
             options.key[strcspn(options.key, "\r\n")] = 0;
         }
-        result = run(&options, words->sval, words->count);
+        result = run(&options, args->sval, args->count);
         g_strfreev(options.controls);
         g_free(options.key);
     }
--- a/daemons/wg_daemon.c
+++ b/daemons/wg_daemon.c
@@ -67,12 +67,12 @@
         options.print = print->count > 0;
         options.init = desc->can_init && init->count > 0;
     }
-    void* to_free[] = {settings, check, print, keys, help, version, init, end};
-    arg_freetable(to_free, G_N_ELEMENTS(to_free));
+    void* to_release[] = {settings, check, print, keys, help, version, init, end};
+    arg_freetable(to_release, G_N_ELEMENTS(to_release));
     return options;
 }
 
-static int _wgd_not_started(const wgd_desc* desc, GError* error) {
+static int _wgd_start_failed(const wgd_desc* desc, GError* error) {
     fprintf(stderr, "%s: %s\n", desc->name, error ? error->message : "cannot start");
     g_clear_error(&error);
     return _WGD_EXIT_NOT_STARTED;
@@ -128,7 +128,7 @@
     struct event_base* base = wg_loop_setup();
     if (!desc->start(base, &error)) {
         event_base_free(base);
-        return _wgd_not_started(desc, error);
+        return _wgd_start_failed(desc, error);
     }
     const struct {
         int signal;
@@ -167,7 +167,7 @@
     GError* error = NULL;
     _wgd_settings_path = options.settings;
     if (!wgi_load(options.settings, desc->keys, desc->keys_num, desc->settings, &error)) {
-        return _wgd_not_started(desc, error);
+        return _wgd_start_failed(desc, error);
     }
     int status = EXIT_SUCCESS;
     if (options.print) {
@@ -175,9 +175,9 @@
     } else if (options.check) {
         printf("%s: settings are good\n", options.settings);
     } else if (!wg_log_setup(*desc->log_level, *desc->log_target, &error)) {
-        status = _wgd_not_started(desc, error);
+        status = _wgd_start_failed(desc, error);
     } else if (options.init) {
-        status = desc->init(&error) ? EXIT_SUCCESS : _wgd_not_started(desc, error);
+        status = desc->init(&error) ? EXIT_SUCCESS : _wgd_start_failed(desc, error);
     } else {
         _wgd_raise_file_limit();
         status = _wgd_run(desc);
--- a/lib/base/wg_base.c
+++ b/lib/base/wg_base.c
@@ -29,7 +29,7 @@
 #define _WG_EVENT_ROW(number, name, level, text) {number, #name, _WG_LEVEL_##level, text},
 static const _wg_event_row_t _wg_events[] = {WG_EVENT_LIST(_WG_EVENT_ROW)};
 
-static wg_time _wg_skipped;
+static wg_time _wg_clock_offset;
 static GLogLevelFlags _wg_level_limit = G_LOG_LEVEL_INFO;
 static FILE* _wg_log_file;
 
@@ -60,8 +60,8 @@
 static GLogWriterOutput _wg_log_writer(GLogLevelFlags level, const GLogField* fields, gsize count,
                                        gpointer user_data) {
     (void)user_data;
-    GLogLevelFlags plain = level & G_LOG_LEVEL_MASK;
-    if (plain > _wg_level_limit) {
+    GLogLevelFlags severity = level & G_LOG_LEVEL_MASK;
+    if (severity > _wg_level_limit) {
         return G_LOG_WRITER_HANDLED;
     }
     const char* message = "";
@@ -73,7 +73,7 @@
     GDateTime* now = g_date_time_new_now_utc();
     char* stamp = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
     FILE* out = _wg_log_file ? _wg_log_file : stderr;
-    fprintf(out, "%s %c %s\n", stamp, _wg_level_letter(plain), message);
+    fprintf(out, "%s %c %s\n", stamp, _wg_level_letter(severity), message);
     fflush(out);
     g_free(stamp);
     g_date_time_unref(now);
@@ -145,11 +145,11 @@
 wg_time wg_now(void) {
     struct timespec ts;
     clock_gettime(CLOCK_BOOTTIME, &ts);
-    return (wg_time)ts.tv_sec * WG_USEC_PER_SEC + ts.tv_nsec / 1000 + _wg_skipped;
+    return (wg_time)ts.tv_sec * WG_USEC_PER_SEC + ts.tv_nsec / 1000 + _wg_clock_offset;
 }
 
 void wg_now_skip(wg_time time) {
-    _wg_skipped += time;
+    _wg_clock_offset += time;
 }
 
 uint64_t wg_jitter(uint64_t seed, uint64_t counter) {
--- a/lib/base/wg_watch.c
+++ b/lib/base/wg_watch.c
@@ -2,25 +2,25 @@
 #include "wg_watch.h"
 
 bool wg_pulse_beat(wg_pulse* p, wg_time now, wg_time period, wg_time* late) {
-    wg_time before = p->beat_at;
-    p->beat_at = now;
-    if (before == 0) {
+    wg_time last_tick_at = p->ticked_at;
+    p->ticked_at = now;
+    if (last_tick_at == 0) {
         return false;
     }
-    wg_time over = MAX(now - before - period, 0);
-    return wg_pulse_note(p, now, over, late);
+    wg_time lag = MAX(now - last_tick_at - period, 0);
+    return wg_pulse_note(p, now, lag, late);
 }
 
-bool wg_pulse_note(wg_pulse* p, wg_time now, wg_time over, wg_time* late) {
-    p->last = over;
-    wg_hist_add(&p->late, over);
-    p->worst = MAX(p->worst, over);
-    if (p->worst < WG_PULSE_LATE || now - p->told_at < WG_USEC_PER_SEC) {
+bool wg_pulse_note(wg_pulse* p, wg_time now, wg_time lag, wg_time* late) {
+    p->last = lag;
+    wg_hist_add(&p->late, lag);
+    p->lag_max = MAX(p->lag_max, lag);
+    if (p->lag_max < WG_PULSE_LATE || now - p->logged_at < WG_USEC_PER_SEC) {
         return false;
     }
-    *late = p->worst;
-    p->worst = 0;
-    p->told_at = now;
+    *late = p->lag_max;
+    p->lag_max = 0;
+    p->logged_at = now;
     return true;
 }
 
@@ -30,12 +30,12 @@
         return false;
     }
     if (a->since == 0) {
-        *a = (wg_absence){.since = now, .say_at = now + WG_ABSENCE_FIRST};
+        *a = (wg_absence){.since = now, .log_at = now + WG_OUTAGE_LOG_DELAY};
     }
-    if (now < a->say_at) {
+    if (now < a->log_at) {
         return false;
     }
-    a->say_at = now + wg_absence_length(a, now);
+    a->log_at = now + wg_absence_length(a, now);
     return true;
 }
 
--- a/lib/http/wg_http.c
+++ b/lib/http/wg_http.c
@@ -10,7 +10,7 @@
 
 /* ---- helpers ------------------------------------------------------------------------------ */
 
-static bool _wgh_split(const char* address, char* ip, size_t size, uint16_t* port) {
+static bool _wgh_split_address(const char* address, char* ip, size_t size, uint16_t* port) {
     const char* colon = strrchr(address, ':');
     guint64 number;
     if (!colon || (size_t)(colon - address) >= size ||
@@ -40,7 +40,7 @@
     uint16_t port;
     struct evhttp* http = evhttp_new(base);
     struct evhttp_bound_socket* bound = NULL;
-    if (_wgh_split(address, ip, sizeof ip, &port)) {
+    if (_wgh_split_address(address, ip, sizeof ip, &port)) {
         bound = evhttp_bind_socket_with_handle(http, ip, port);
     }
     if (!bound) {
@@ -109,8 +109,8 @@
         json_object_set_new(json, "retry_after_ms",
                             json_integer((error->retry_after + 999) / WG_USEC_PER_MSEC));
         char seconds[24];
-        wg_time whole = (error->retry_after + WG_USEC_PER_SEC - 1) / WG_USEC_PER_SEC;
-        g_snprintf(seconds, sizeof seconds, "%" G_GINT64_FORMAT, whole);
+        wg_time whole_seconds = (error->retry_after + WG_USEC_PER_SEC - 1) / WG_USEC_PER_SEC;
+        g_snprintf(seconds, sizeof seconds, "%" G_GINT64_FORMAT, whole_seconds);
         evhttp_add_header(headers, "Retry-After", seconds);
     }
     json_t* outer = json_object();
--- a/lib/message/wg_event_stream.c
+++ b/lib/message/wg_event_stream.c
@@ -22,17 +22,17 @@
     if (*at >= end) {
         return false;
     }
-    const char* stop = memchr(*at, '\n', (size_t)(end - *at));
+    const char* newline = memchr(*at, '\n', (size_t)(end - *at));
     *line = *at;
-    *size = (size_t)((stop ? stop : end) - *at);
-    *at = stop ? stop + 1 : end;
+    *size = (size_t)((newline ? newline : end) - *at);
+    *at = newline ? newline + 1 : end;
     if (*size > 0 && (*line)[*size - 1] == '\r') {
         (*size)--;
     }
     return true;
 }
 
-static void wg_event_find_id(const char* bytes, size_t size, char* id, size_t id_size) {
+static void wg_event_copy_id(const char* bytes, size_t size, char* id, size_t id_size) {
     const char* at = bytes;
     const char* line;
     size_t length;
@@ -50,16 +50,16 @@
 
 wg_event_stream_result wg_event_stream_next(struct evbuffer* in, struct evbuffer* out, char* id,
                                             size_t id_size) {
-    size_t have = evbuffer_get_length(in);
-    if (have == 0) {
+    size_t available = evbuffer_get_length(in);
+    if (available == 0) {
         return WG_EVENT_STREAM_MORE;
     }
     const char* bytes = (const char*)evbuffer_pullup(in, -1);
-    size_t size = wg_event_size(bytes, have);
+    size_t size = wg_event_size(bytes, available);
     if (size == 0) {
-        return have > WG_EVENT_BYTES_MAX ? WG_EVENT_STREAM_BAD : WG_EVENT_STREAM_MORE;
+        return available > WG_EVENT_BYTES_MAX ? WG_EVENT_STREAM_BAD : WG_EVENT_STREAM_MORE;
     }
-    wg_event_find_id(bytes, size, id, id_size);
+    wg_event_copy_id(bytes, size, id, id_size);
     evbuffer_remove_buffer(in, out, size);
     return WG_EVENT_STREAM_EVENT;
 }
--- a/lib/message/wg_message.c
+++ b/lib/message/wg_message.c
@@ -73,7 +73,7 @@
     return text.size > 0;
 }
 
-static bool wg_is_value(wg_text text) {
+static bool wg_is_field_value(wg_text text) {
     for (size_t i = 0; i < text.size; i++) {
         unsigned char c = (unsigned char)text.text[i];
         if ((c < 0x20 && c != '\t') || c == 0x7f) {
@@ -109,12 +109,12 @@
 
 /* Reads one line that ends with CR LF. False if there is none, or if it has a bare CR or LF. */
 static bool wg_next_line(const char** at, const char* end, wg_text* line) {
-    const char* stop = memchr(*at, '\n', (size_t)(end - *at));
-    if (!stop || stop == *at || stop[-1] != '\r') {
+    const char* newline = memchr(*at, '\n', (size_t)(end - *at));
+    if (!newline || newline == *at || newline[-1] != '\r') {
         return false;
     }
-    *line = (wg_text){*at, (size_t)(stop - 1 - *at)};
-    *at = stop + 1;
+    *line = (wg_text){*at, (size_t)(newline - 1 - *at)};
+    *at = newline + 1;
     return memchr(line->text, '\r', line->size) == NULL;
 }
 
@@ -135,7 +135,7 @@
         wg_text name = {line.text, (size_t)(colon - line.text)};
         wg_text value = {colon + 1, line.size - name.size - 1};
         value = wg_text_trim(value);
-        if (!wg_is_token(name) || !wg_is_value(value)) {
+        if (!wg_is_token(name) || !wg_is_field_value(value)) {
             return 400;
         }
         if (head->fields_num == WG_MESSAGE_FIELDS_MAX) {
@@ -145,7 +145,7 @@
     }
 }
 
-static bool wg_has_item(const wg_message_head* head, const char* field, const char* word) {
+static bool wg_field_has_item(const wg_message_head* head, const char* field, const char* word) {
     for (int i = 0; i < head->fields_num; i++) {
         if (!wg_text_is(head->fields[i].name, field)) {
             continue;
@@ -162,8 +162,8 @@
 }
 
 static void wg_parse_keep_alive(wg_message_head* head) {
-    head->keep_alive = head->minor >= 1 ? !wg_has_item(head, "Connection", "close")
-                                        : wg_has_item(head, "Connection", "keep-alive");
+    head->keep_alive = head->minor >= 1 ? !wg_field_has_item(head, "Connection", "close")
+                                        : wg_field_has_item(head, "Connection", "keep-alive");
     head->keep_time = -1;
     wg_text list = wg_message_field(head, "Keep-Alive");
     wg_text item;
@@ -304,7 +304,7 @@
     }
     memcpy(word, name.text, name.size);
     word[name.size] = 0;
-    return wg_has_item(head, "Connection", word);
+    return wg_field_has_item(head, "Connection", word);
 }
 
 /* ---- bodies -------------------------------------------------------------------------------- */
@@ -317,20 +317,22 @@
 };
 
 void wg_body_begin(wg_body* body, const wg_message_head* head) {
-    *body = (wg_body){.framing = head->framing, .left = head->length};
+    *body = (wg_body){.framing = head->framing, .remaining = head->length};
 }
 
 static void wg_body_move(wg_body* body, struct evbuffer* in, struct evbuffer* out) {
-    size_t have = evbuffer_get_length(in);
-    size_t take = body->framing == WG_FRAMING_CLOSE ? have : (size_t)MIN((int64_t)have, body->left);
-    if (take == have && evbuffer_get_length(out) == 0) {
+    size_t available = evbuffer_get_length(in);
+    size_t moved = body->framing == WG_FRAMING_CLOSE
+                       ? available
+                       : (size_t)MIN((int64_t)available, body->remaining);
+    if (moved == available && evbuffer_get_length(out) == 0) {
         evbuffer_add_buffer(out, in);
     } else {
-        evbuffer_remove_buffer(in, out, take);
+        evbuffer_remove_buffer(in, out, moved);
     }
-    body->taken += (int64_t)take;
+    body->taken += (int64_t)moved;
     if (body->framing != WG_FRAMING_CLOSE) {
-        body->left -= (int64_t)take;
+        body->remaining -= (int64_t)moved;
     }
 }
 
@@ -347,8 +349,8 @@
         }
         value = value * 16 + g_ascii_xdigit_value(line[i]);
     }
-    bool ends = i == size || line[i] == ';';
-    return i > 0 && ends ? value : -1;
+    bool terminated = i == size || line[i] == ';';
+    return i > 0 && terminated ? value : -1;
 }
 
 /* Reads one line of a chunked body. Returns 1 for a line, 0 if more bytes are needed, -1 if it is
@@ -374,14 +376,14 @@
     for (;;) {
         if (body->step == WG_CHUNK_DATA) {
             wg_body_move(body, in, out);
-            if (body->left > 0) {
+            if (body->remaining > 0) {
                 return WG_BODY_MORE;
             }
             body->step = WG_CHUNK_DATA_END;
         }
-        int got = wg_chunk_line(in, line, &size);
-        if (got <= 0) {
-            return got < 0 ? WG_BODY_BAD : WG_BODY_MORE;
+        int result = wg_chunk_line(in, line, &size);
+        if (result <= 0) {
+            return result < 0 ? WG_BODY_BAD : WG_BODY_MORE;
         }
         if (body->step == WG_CHUNK_DATA_END) {
             if (size != 0) {
@@ -393,11 +395,11 @@
                 return WG_BODY_WHOLE;
             }
         } else {
-            body->left = wg_chunk_size(line, size);
-            if (body->left < 0) {
+            body->remaining = wg_chunk_size(line, size);
+            if (body->remaining < 0) {
                 return WG_BODY_BAD;
             }
-            body->step = body->left == 0 ? WG_CHUNK_TRAILER : WG_CHUNK_DATA;
+            body->step = body->remaining == 0 ? WG_CHUNK_TRAILER : WG_CHUNK_DATA;
         }
     }
 }
@@ -408,7 +410,7 @@
         return WG_BODY_WHOLE;
     case WG_FRAMING_LENGTH:
         wg_body_move(body, in, out);
-        return body->left == 0 ? WG_BODY_WHOLE : WG_BODY_MORE;
+        return body->remaining == 0 ? WG_BODY_WHOLE : WG_BODY_MORE;
     case WG_FRAMING_CHUNKED:
         return wg_body_read_chunked(body, in, out);
     case WG_FRAMING_CLOSE:
--- a/lib/message/wg_message.h
+++ b/lib/message/wg_message.h
@@ -87,9 +87,9 @@
 /* State of a body decoder; initialised by wg_body_begin(). */
 typedef struct {
     wg_framing framing;
-    int64_t left;  /* bytes left of the body or of the current chunk */
-    int step;      /* position within a chunked body */
-    int64_t taken; /* bytes of body decoded so far */
+    int64_t remaining; /* bytes left of the body or of the current chunk */
+    int step;          /* position within a chunked body */
+    int64_t taken;     /* bytes of body decoded so far */
 } wg_body;
 
 void wg_body_begin(wg_body* body, const wg_message_head* head);
