--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -108,7 +108,7 @@
                  : response->status == 0 ? EXIT_NO_RESPONSE
                                          : EXIT_REFUSED;
     if (response->status == 0) {
-        fprintf(stderr, "walnutgatectl: no control that leads has answered\n");
+        fprintf(stderr, "walnutgatectl: no response from a leading control\n");
     } else {
         FILE* out = result == EXIT_SUCCESS ? stdout : stderr;
         fprintf(out, "%s%s", response->body->str,
@@ -158,7 +158,7 @@
     uint8_t id[WGT_EDIT_ID_SIZE];
     if (getrandom(id, sizeof id, 0) != (ssize_t)sizeof id) {
         json_decref(rows);
-        return usage("no random bytes");
+        return usage("cannot get random bytes for the edit id");
     }
     char hex[2 * WGT_EDIT_ID_SIZE + 1];
     for (size_t i = 0; i < sizeof id; i++) {
@@ -374,7 +374,7 @@
             return EXIT_SUCCESS;
         }
     }
-    fprintf(stderr, "walnutgatectl: no control that leads has answered\n");
+    fprintf(stderr, "walnutgatectl: no response from a leading control\n");
     return EXIT_NO_RESPONSE;
 }
 
@@ -416,12 +416,12 @@
     for (int c = 0; options->controls[c]; c++) {
         log_end_t end;
         if (!read_log_end(options, options->controls[c], &end)) {
-            fprintf(stderr, "walnutgatectl: %s: no state; name only controls that are up\n",
+            fprintf(stderr, "walnutgatectl: %s: no state; list only controls that are up\n",
                     options->controls[c]);
             return EXIT_NO_RESPONSE;
         }
         if (end.leads) {
-            fprintf(stderr, "walnutgatectl: %s leads\n", end.control);
+            fprintf(stderr, "walnutgatectl: %s leads; forced recovery refused\n", end.control);
             return EXIT_REFUSED;
         }
         bool newer = end.term > best.term || (end.term == best.term && end.last > best.last);
@@ -429,7 +429,7 @@
     }
     json_t* json = json_pack("{s:s,s:s}", "action", "form-anew", "gone", removed);
     char* text = json_dumps(json, JSON_COMPACT);
-    printf("from %s, which holds the newest log (term %" JSON_INTEGER_FORMAT
+    printf("recovering from %s, which has the newest log (term %" JSON_INTEGER_FORMAT
            ", entry %" JSON_INTEGER_FORMAT ")\n",
            best.control, best.term, best.last);
     response_t response = send_request(best.control, options->key, "/v1/replicas", text);
@@ -454,7 +454,7 @@
         return key_hash(args[1]);
     }
     if (!options->key) {
-        return usage("--key-file is needed, and must name a readable file");
+        return usage("--key-file is required and must name a readable file");
     }
     if (strcmp(command, "table") == 0) {
         return table_command(options, args + 1, num - 1);
@@ -486,26 +486,27 @@
     arg_print_glossary(stdout, table, "  %-26s %s\n");
     printf("\nCommands:\n"
            "  table get <kind>                    rows of workspaces, services or targets\n"
-           "  table put <kind> <file.csv>         send the rows of a CSV file that differ\n"
-           "  table set <kind> <name> col=value   change columns of one row, or make it\n"
+           "  table put <kind> <file.csv>         send the changed rows of a CSV file\n"
+           "  table set <kind> <name> col=value   change columns of one row, or create it\n"
            "  table delete <kind> <name>          delete one row\n"
            "  services | targets                  the same as table get\n"
-           "  status                              a line for each control\n"
-           "  fairness                            what each workspace took, over its weight\n"
-           "  dump <ip:port>                      state of any daemon by its operators' address\n"
-           "  replica replace <name>              a control with a new data folder joins\n"
-           "  replica remove <name>               take a control out of the set\n"
-           "  replica form-anew <name,name,...>   with a majority lost for good: go on from the\n"
-           "                                      newest log of the controls that are left (all\n"
-           "                                      of them with -c), without the ones named here\n"
-           "  key-hash <key>                      hash of a workspace key, as the table holds it\n"
-           "\nExit status: 0 done, 1 refused, 2 bad usage, 3 no answer.\n");
+           "  status                              one line for each control\n"
+           "  fairness                            usage of each workspace relative to its weight\n"
+           "  dump <ip:port>                      state dump of a daemon, by its operator address\n"
+           "  replica replace <name>              let a control with a new data folder join\n"
+           "  replica remove <name>               remove a control from the set\n"
+           "  replica form-anew <name,name,...>   forced recovery after the permanent loss of a\n"
+           "                                      majority: continue from the newest log of the\n"
+           "                                      remaining controls (list all of them with -c),\n"
+           "                                      without the controls named here\n"
+           "  key-hash <key>                      hash of a workspace key, as the table stores it\n"
+           "\nExit status: 0 done, 1 refused, 2 bad usage, 3 no response.\n");
 }
 
 int main(int argc, char** argv) {
     struct arg_str* controls =
-        arg_str0("c", "controls", "<ip:port,...>", "operators' addresses of the controls");
-    struct arg_file* key = arg_file0("k", "key-file", "<file>", "file with the operators' key");
+        arg_str0("c", "controls", "<ip:port,...>", "operator addresses of the controls");
+    struct arg_file* key = arg_file0("k", "key-file", "<file>", "file with the operator key");
     struct arg_lit* csv = arg_lit0(NULL, "csv", "print tables as CSV");
     struct arg_lit* help = arg_lit0("h", "help", "print this help");
     struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
--- a/daemons/wg_daemon.c
+++ b/daemons/wg_daemon.c
@@ -30,12 +30,13 @@
 /* ---- helpers ------------------------------------------------------------------------------ */
 
 static _wgd_options_t _wgd_parse(const wgd_desc* desc, int argc, char** argv) {
-    struct arg_file* settings = arg_file0("s", "settings", "<file>", "settings in INI form");
-    struct arg_lit* check = arg_lit0(NULL, "check-settings", "check the settings and leave");
+    struct arg_file* settings = arg_file0("s", "settings", "<file>", "settings file in INI format");
+    struct arg_lit* check = arg_lit0(NULL, "check-settings", "check the settings and exit");
     struct arg_lit* print =
-        arg_lit0(NULL, "print-settings", "print the settings in force and leave");
+        arg_lit0(NULL, "print-settings", "print the settings in force and exit");
     struct arg_lit* keys = arg_lit0(NULL, "list-settings", "print all keys as a Markdown table");
-    struct arg_lit* init = arg_lit0(NULL, "init", "begin a new cluster in the empty data folder");
+    struct arg_lit* init =
+        arg_lit0(NULL, "init", "initialise a new cluster in an empty data folder");
     struct arg_lit* help = arg_lit0("h", "help", "print this help");
     struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
     struct arg_end* end = arg_end(8);
@@ -58,7 +59,7 @@
         options.status = EXIT_SUCCESS;
     } else if (errors > 0 || settings->count == 0) {
         arg_print_errors(stderr, end, desc->name);
-        fprintf(stderr, "%s: --settings <file> is needed; see --help\n", desc->name);
+        fprintf(stderr, "%s: --settings <file> is required; see --help\n", desc->name);
         options.status = _WGD_EXIT_NOT_STARTED;
     }
     if (options.status < 0) {
@@ -173,7 +174,7 @@
     if (options.print) {
         wgi_print(desc->keys, desc->keys_num, desc->settings);
     } else if (options.check) {
-        printf("%s: settings are good\n", options.settings);
+        printf("%s: settings are valid\n", options.settings);
     } else if (!wg_log_setup(*desc->log_level, *desc->log_target, &error)) {
         status = _wgd_start_failed(desc, error);
     } else if (options.init) {
--- a/lib/base/wg_base.c
+++ b/lib/base/wg_base.c
@@ -194,7 +194,7 @@
         int64_t max = fields[i].max ? fields[i].max : INT64_MAX;
         if (fields[i].value < 0 || fields[i].value > max) {
             g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
-                        "%s is %" G_GINT64_FORMAT ", not from 0 to %" G_GINT64_FORMAT,
+                        "%s is %" G_GINT64_FORMAT ", must be between 0 and %" G_GINT64_FORMAT,
                         fields[i].name, fields[i].value, max);
             return false;
         }
--- a/lib/net/wg_net.c
+++ b/lib/net/wg_net.c
@@ -78,7 +78,7 @@
         field = "self.role";
     }
     if (field) {
-        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "wgn_desc.%s is missing or wrong", field);
+        g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "wgn_desc.%s is missing or invalid", field);
     }
     return field == NULL;
 }
