--- a/lib/http/wg_http.c
+++ b/lib/http/wg_http.c
@@ -69,8 +69,7 @@
 }
 
 void wgh_guard(wgh_server* server, int64_t files_max) {
-    /* The kernel assigns the lowest free descriptor, so it approximates the number of open files.
-     */
+    /* The lowest free descriptor, which the kernel assigns, approximates the open files. */
     int lowest_free = dup(STDERR_FILENO);
     if (lowest_free >= 0) {
         close(lowest_free);
