--- a/daemons/wg_daemon.c
+++ b/daemons/wg_daemon.c
@@ -22,7 +22,7 @@
     bool check;
     bool print;
     bool init;
-    int status; /* >= 0: leave with it at once */
+    int status; /* >= 0: exit status to exit with at once */
 } _wgd_options_t;
 
 static const char* _wgd_settings_path;
@@ -30,12 +30,13 @@
 /* ---- helpers ------------------------------------------------------------------------------ */
 
 static _wgd_options_t _wgd_parse(const wgd_desc* desc, int argc, char** argv) {
-    struct arg_file* settings = arg_file0("s", "settings", "<file>", "settings in INI form");
-    struct arg_lit* check = arg_lit0(NULL, "check-settings", "check the settings and leave");
+    struct arg_file* settings = arg_file0("s", "settings", "<file>", "settings file in INI format");
+    struct arg_lit* check = arg_lit0(NULL, "check-settings", "check the settings and exit");
     struct arg_lit* print =
-        arg_lit0(NULL, "print-settings", "print the settings in force and leave");
+        arg_lit0(NULL, "print-settings", "print the settings in force and exit");
     struct arg_lit* keys = arg_lit0(NULL, "list-settings", "print all keys as a Markdown table");
-    struct arg_lit* init = arg_lit0(NULL, "init", "begin a new cluster in the empty data folder");
+    struct arg_lit* init =
+        arg_lit0(NULL, "init", "initialise a new cluster in an empty data folder");
     struct arg_lit* help = arg_lit0("h", "help", "print this help");
     struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
     struct arg_end* end = arg_end(8);
@@ -58,7 +59,7 @@
         options.status = EXIT_SUCCESS;
     } else if (errors > 0 || settings->count == 0) {
         arg_print_errors(stderr, end, desc->name);
-        fprintf(stderr, "%s: --settings <file> is needed; see --help\n", desc->name);
+        fprintf(stderr, "%s: --settings <file> is required; see --help\n", desc->name);
         options.status = _WGD_EXIT_NOT_STARTED;
     }
     if (options.status < 0) {
@@ -67,12 +68,12 @@
         options.print = print->count > 0;
         options.init = desc->can_init && init->count > 0;
     }
-    void* to_free[] = {settings, check, print, keys, help, version, init, end};
-    arg_freetable(to_free, G_N_ELEMENTS(to_free));
+    void* to_release[] = {settings, check, print, keys, help, version, init, end};
+    arg_freetable(to_release, G_N_ELEMENTS(to_release));
     return options;
 }
 
-static int _wgd_not_started(const wgd_desc* desc, GError* error) {
+static int _wgd_start_failed(const wgd_desc* desc, GError* error) {
     fprintf(stderr, "%s: %s\n", desc->name, error ? error->message : "cannot start");
     g_clear_error(&error);
     return _WGD_EXIT_NOT_STARTED;
@@ -94,7 +95,7 @@
     json_decref(json);
 }
 
-/* The settings as they stand in the file now; a wrong file changes nothing. */
+/* Reloads the settings file. An invalid file changes nothing. */
 static void _wgd_on_reload(evutil_socket_t signal, short what, void* user_data) {
     (void)signal;
     (void)what;
@@ -114,7 +115,7 @@
     g_free(settings);
 }
 
-/* As many open files as the system lets us have: each caller and target connection is one. */
+/* Raises the limit of open files to the hard limit: each caller and target connection needs one. */
 static void _wgd_raise_file_limit(void) {
     struct rlimit limit;
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -128,7 +129,7 @@
     struct event_base* base = wg_loop_setup();
     if (!desc->start(base, &error)) {
         event_base_free(base);
-        return _wgd_not_started(desc, error);
+        return _wgd_start_failed(desc, error);
     }
     const struct {
         int signal;
@@ -157,8 +158,9 @@
 
 int wgd_main(const wgd_desc* desc, int argc, char** argv) {
     signal(SIGPIPE, SIG_IGN);
-    signal(SIGHUP, SIG_IGN);  /* until the loop runs */
-    signal(SIGXFSZ, SIG_IGN); /* a write beyond a file size limit fails like one on a full disk */
+    signal(SIGHUP, SIG_IGN); /* until the event loop handles it */
+    signal(SIGXFSZ,
+           SIG_IGN); /* a write beyond a file size limit fails with an error, as on a full disk */
     _wgd_options_t options = _wgd_parse(desc, argc, argv);
     if (options.status >= 0) {
         return options.status;
@@ -166,17 +168,17 @@
     GError* error = NULL;
     _wgd_settings_path = options.settings;
     if (!wgi_load(options.settings, desc->keys, desc->keys_num, desc->settings, &error)) {
-        return _wgd_not_started(desc, error);
+        return _wgd_start_failed(desc, error);
     }
     int status = EXIT_SUCCESS;
     if (options.print) {
         wgi_print(desc->keys, desc->keys_num, desc->settings);
     } else if (options.check) {
-        printf("%s: settings are good\n", options.settings);
+        printf("%s: settings are valid\n", options.settings);
     } else if (!wg_log_setup(*desc->log_level, *desc->log_target, &error)) {
-        status = _wgd_not_started(desc, error);
+        status = _wgd_start_failed(desc, error);
     } else if (options.init) {
-        status = desc->init(&error) ? EXIT_SUCCESS : _wgd_not_started(desc, error);
+        status = desc->init(&error) ? EXIT_SUCCESS : _wgd_start_failed(desc, error);
     } else {
         _wgd_raise_file_limit();
         status = _wgd_run(desc);
--- a/lib/base/wg_base.c
+++ b/lib/base/wg_base.c
@@ -29,7 +29,7 @@
 #define _WG_EVENT_ROW(number, name, level, text) {number, #name, _WG_LEVEL_##level, text},
 static const _wg_event_row_t _wg_events[] = {WG_EVENT_LIST(_WG_EVENT_ROW)};
 
-static wg_time _wg_skipped;
+static wg_time _wg_clock_offset;
 static GLogLevelFlags _wg_level_limit = G_LOG_LEVEL_INFO;
 static FILE* _wg_log_file;
 
@@ -60,8 +60,8 @@
 static GLogWriterOutput _wg_log_writer(GLogLevelFlags level, const GLogField* fields, gsize count,
                                        gpointer user_data) {
     (void)user_data;
-    GLogLevelFlags plain = level & G_LOG_LEVEL_MASK;
-    if (plain > _wg_level_limit) {
+    GLogLevelFlags severity = level & G_LOG_LEVEL_MASK;
+    if (severity > _wg_level_limit) {
         return G_LOG_WRITER_HANDLED;
     }
     const char* message = "";
@@ -73,7 +73,7 @@
     GDateTime* now = g_date_time_new_now_utc();
     char* stamp = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
     FILE* out = _wg_log_file ? _wg_log_file : stderr;
-    fprintf(out, "%s %c %s\n", stamp, _wg_level_letter(plain), message);
+    fprintf(out, "%s %c %s\n", stamp, _wg_level_letter(severity), message);
     fflush(out);
     g_free(stamp);
     g_date_time_unref(now);
@@ -127,7 +127,7 @@
         return false;
     }
     if (strcmp(target, "stdout") == 0) {
-        /* Whoever reads the log never holds the process up: what does not fit is left out. */
+        /* A slow reader of a pipe must not block the process: lines that do not fit are dropped. */
         fcntl(STDOUT_FILENO, F_SETFL, fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
         setvbuf(stdout, NULL, _IOLBF, 0);
         _wg_log_file = stdout;
@@ -145,11 +145,11 @@
 wg_time wg_now(void) {
     struct timespec ts;
     clock_gettime(CLOCK_BOOTTIME, &ts);
-    return (wg_time)ts.tv_sec * WG_USEC_PER_SEC + ts.tv_nsec / 1000 + _wg_skipped;
+    return (wg_time)ts.tv_sec * WG_USEC_PER_SEC + ts.tv_nsec / 1000 + _wg_clock_offset;
 }
 
 void wg_now_skip(wg_time time) {
-    _wg_skipped += time;
+    _wg_clock_offset += time;
 }
 
 uint64_t wg_jitter(uint64_t seed, uint64_t counter) {
@@ -189,14 +189,12 @@
     abort();
 }
 
-/* pool: free_slots is a stack; a handle is (generation << 16) | (slot + 1). */
-
 bool wg_desc_check(const wg_desc_field* fields, int num, GError** error) {
     for (int i = 0; i < num; i++) {
         int64_t max = fields[i].max ? fields[i].max : INT64_MAX;
         if (fields[i].value < 0 || fields[i].value > max) {
             g_set_error(error, WG_ERROR, WG_ERROR_INVALID,
-                        "%s is %" G_GINT64_FORMAT ", not from 0 to %" G_GINT64_FORMAT,
+                        "%s is %" G_GINT64_FORMAT ", must be between 0 and %" G_GINT64_FORMAT,
                         fields[i].name, fields[i].value, max);
             return false;
         }
@@ -204,6 +202,8 @@
     return true;
 }
 
+/* In a pool free_slots is a stack; a handle is (generation << 16) | (slot + 1). */
+
 void wg_pool_setup(wg_pool* pool, const wg_pool_desc* desc) {
     int capacity = desc->capacity ? desc->capacity : 256;
     WG_ASSERT(capacity > 0 && capacity < 65535);
