--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -173,7 +173,7 @@
     }
     report.accounts = list;
     report.n_accounts = (size_t)accounts;
-    double size = (double)wgpb__report__get_packed_size(&report) + WGW_HEAD_SIZE + 60;
+    double size = (double)wgpb__report__get_packed_size(&report) + WGW_HEADER_SIZE + 60;
     g_free(items);
     g_free(list);
     return size;
@@ -204,7 +204,7 @@
     reply.n_fairs = (size_t)fairs;
     reply.fleet = list + fairs;
     reply.n_fleet = 3;
-    double size = (double)wgpb__reply__get_packed_size(&reply) + WGW_HEAD_SIZE + 60;
+    double size = (double)wgpb__reply__get_packed_size(&reply) + WGW_HEADER_SIZE + 60;
     g_free(items);
     g_free(list);
     return size;
--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -146,12 +146,12 @@
 void wg_backoff_read_field(wg_backoff_hint* hint, const char* draining_field, wg_text name,
                            wg_text value) {
     char text[_WG_FIELD_MAX];
-    if (wg_text_is(name, "Retry-After")) {
+    if (wg_text_equals_nocase(name, "Retry-After")) {
         _wg_read_retry_after(hint, _wg_field_text(value, text) ? text : "");
-    } else if (wg_text_is(name, "Date")) {
+    } else if (wg_text_equals_nocase(name, "Date")) {
         _wg_field_text(value, text);
         _wg_read_date(text, &hint->date);
-    } else if (wg_text_is(name, draining_field)) {
+    } else if (wg_text_equals_nocase(name, draining_field)) {
         _wg_field_text(value, text);
         hint->draining = hint->draining || strcmp(text, "1") == 0;
     }
--- a/lib/control/wg_control_http.c
+++ b/lib/control/wg_control_http.c
@@ -34,7 +34,7 @@
                                           .verdict = WG_VERDICT_NOT_RUN,
                                           .retry_after = 500 * WG_USEC_PER_MSEC,
                                           .message = "this control does not lead; ask another",
-                                          .more = more});
+                                          .extra = more});
 }
 
 static void _wgco_refuse_bad_request(struct evhttp_request* request, const char* message) {
@@ -105,7 +105,7 @@
 static void _wgco_detach_request(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgco_waiter_t* waiter = user_data;
-    wgh_request_lost(waiter->request);
+    wgh_free_unanswered(waiter->request);
     waiter->request = NULL;
 }
 
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -169,8 +169,8 @@
     wg_time planned_at;
 
     /* self-monitoring (wg_control_watch.c) */
-    wg_pulse loop_lag;
-    wg_absence leaderless;
+    wg_lag_monitor loop_lag;
+    wg_outage leaderless;
 
     /* counters */
     uint64_t edits;
--- a/lib/control/wg_control_orders.c
+++ b/lib/control/wg_control_orders.c
@@ -21,7 +21,7 @@
 static void _wgco_answer_configuration(wgco_control* c, wgn_link link, uint64_t ticket) {
     Wgpb__Configuration configuration;
     if (!_wgco_documents_fill(&c->documents, &configuration)) {
-        _wgco_answer_order(c, link, ticket, WG_ORDER_NOTHING);
+        _wgco_answer_order(c, link, ticket, WG_ORDER_NO_CONFIGURATION);
         return;
     }
     Wgpb__OrderAnswer answer = WGPB__ORDER_ANSWER__INIT;
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -120,7 +120,7 @@
                                    .fleet_key = s->fleet_key,
                                    .self = self,
                                    .waiting_max = wgn_waiting_max(s->memory_mb),
-                                   .silence_deadline = s->link_silence_ms * WG_USEC_PER_MSEC,
+                                   .receive_deadline = s->link_silence_ms * WG_USEC_PER_MSEC,
                                    .ping_interval = s->link_silence_ms * WG_USEC_PER_MSEC / 4,
                                    .on_up = _wgco_on_up,
                                    .on_frame = _wgco_on_frame,
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -90,7 +90,7 @@
     wgr_stats stats = wgr_query_stats(c->node, now);
     bool own = stats.role == WGR_ROLE_LEADER;
     bool present = own ? wgr_leads(c->node, now) : stats.leader != 0;
-    if (!wg_absence_note(&c->leaderless, present, now)) {
+    if (!wg_outage_update(&c->leaderless, present, now)) {
         return;
     }
     char* set = _wgco_describe_set(c);
@@ -98,7 +98,7 @@
     wg_log(WG_EVENT_MAJORITY_MISSING,
            "for_ms=%" G_GINT64_FORMAT " role=%s term=%" G_GUINT64_FORMAT " last=%" G_GUINT64_FORMAT
            " commit=%" G_GUINT64_FORMAT " voters_up=%d elections=%" G_GUINT64_FORMAT " %s each=%s",
-           wg_absence_length(&c->leaderless, now) / WG_USEC_PER_MSEC, _wgco_role_name(stats.role),
+           wg_outage_duration(&c->leaderless, now) / WG_USEC_PER_MSEC, _wgco_role_name(stats.role),
            stats.term, stats.last_index, stats.commit, _wgco_voters_up(c), stats.elections, set,
            voters);
     g_free(voters);
@@ -145,7 +145,7 @@
     enum {
         STALL_MIN = 300 * WG_USEC_PER_MSEC /* three report intervals of an entry host */
     };
-    wg_time stalled = c->loop_lag.last;
+    wg_time stalled = c->loop_lag.lag_last;
     if (stalled > STALL_MIN) {
         wg_registry_extend_deadlines(c->registry, now, stalled);
         wg_roster_extend_deadlines(c->roster, now, stalled);
@@ -156,7 +156,7 @@
 void _wgco_watch_tick(wgco_control* c, wg_time now) {
     wg_time lag;
     wg_time period = c->settings->tick_ms * WG_USEC_PER_MSEC;
-    if (wg_pulse_beat(&c->loop_lag, now, period, &lag)) {
+    if (wg_lag_monitor_tick(&c->loop_lag, now, period, &lag)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " leads=%d entries=%u",
                lag / WG_USEC_PER_MSEC, c->leads, g_hash_table_size(c->entries));
     }
@@ -173,6 +173,6 @@
                            "walnutgate_voters %d\nwalnutgate_voters_up %d\nwalnutgate_learners %d\n"
                            "walnutgate_leaderless_seconds %.3f\n",
                            voters, _wgco_voters_up(c), set->num - voters,
-                           (double)wg_absence_length(&c->leaderless, wg_now()) / WG_USEC_PER_SEC);
-    wg_hist_print(&c->loop_lag.late, "walnutgate_loop_late_seconds", "", 1e6, out);
+                           (double)wg_outage_duration(&c->leaderless, wg_now()) / WG_USEC_PER_SEC);
+    wg_hist_print(&c->loop_lag.lag_hist, "walnutgate_loop_late_seconds", "", 1e6, out);
 }
--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -141,7 +141,7 @@
     wg_entry* e = user_data;
     wg_time now = wg_now();
     wg_time waited;
-    if (wg_pulse_note(&e->input_lag, now, now - e->probe_since, &waited)) {
+    if (wg_lag_monitor_record(&e->input_lag, now, now - e->probe_since, &waited)) {
         wg_log(WG_EVENT_LOOP_BEHIND, "waited_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
                waited / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
@@ -150,7 +150,7 @@
 
 wg_time wg_entry_input_delay(const wg_entry* e, wg_time now) {
     wg_time waits = e->probe_since ? now - e->probe_since : 0;
-    return MAX(waits, e->input_lag.last);
+    return MAX(waits, e->input_lag.lag_last);
 }
 
 /* Queues an event of the same priority as callers' input to measure the delay of that input. Ticks
@@ -168,11 +168,11 @@
     wg_entry* e = user_data;
     wg_time now = wg_now();
     wg_time delay;
-    if (wg_pulse_beat(&e->tick_lag, now, WG_TICK, &delay)) {
+    if (wg_lag_monitor_tick(&e->tick_lag, now, WG_TICK, &delay)) {
         wg_log(WG_EVENT_LOOP_LATE, "late_ms=%" G_GINT64_FORMAT " calls=%d callers=%u",
                delay / WG_USEC_PER_MSEC, e->calls_num, e->clients->len);
     }
-    if (e->tick_lag.last > WG_PULSE_LATE) {
+    if (e->tick_lag.lag_last > WG_LAG_LOG_MIN) {
         e->stall_ended_at = now;
         wg_call_reset_timers(e, now);
     }
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -307,14 +307,14 @@
     }
     c->up = true;
     c->timeouts_num = 0;
-    wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
+    wgn_set_timing(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     wg_log(WG_EVENT_LINK_UP, "coordinator=%s", c->name);
     return true;
 }
 
 void wg_entry_admit_on_peer_up(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     if (peer->role == WGW_ROLE_ENTRY) {
-        wgn_set_pace(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
+        wgn_set_timing(e->net, link, WG_COORDINATOR_PING, WG_COORDINATOR_TIMEOUT);
     }
 }
 
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -530,7 +530,7 @@
     call->bytes = bytes;
     call->head = head;
     call->body = body;
-    call->head_only = wg_text_is(head.method, "HEAD");
+    call->head_only = wg_text_equals_nocase(head.method, "HEAD");
     wg_text id = wg_message_field(&head, e->names->request_id);
     g_snprintf(call->id, sizeof call->id, "%.*s", (int)id.size, id.text ? id.text : "");
     call->service = wg_route_pick(route, wg_jitter(e->seed, ++e->counter));
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -192,18 +192,18 @@
         wg_client_reject(client, 400, "body_malformed");
         return false;
     }
-    if (client->body.taken > wg_client_body_max(client->entry)) {
+    if (client->body.decoded > wg_client_body_max(client->entry)) {
         wg_client_reject(client, 413, "body_too_large");
         return false;
     }
-    return state == WG_BODY_WHOLE;
+    return state == WG_BODY_COMPLETE;
 }
 
 static void wg_client_begin_body(wg_client* client, const wg_message_head* head) {
     wg_body_begin(&client->body, head);
     client->body_bytes = evbuffer_new();
     client->keep = head->keep_alive;
-    if (wg_text_is(wg_message_field(head, "Expect"), "100-continue")) {
+    if (wg_text_equals_nocase(wg_message_field(head, "Expect"), "100-continue")) {
         struct evbuffer* out = evbuffer_new();
         evbuffer_add_printf(out, "HTTP/1.1 100 Continue\r\n\r\n");
         wg_socket_write(client->bev, out);
@@ -362,7 +362,7 @@
     bufferevent_setcb(client->bev, wg_client_on_read, wg_client_on_write, wg_client_on_event,
                       client);
     client->watch = event_new(e->base, fd, EV_READ, wg_client_on_watch, client);
-    wg_loop_put_event_first(client->watch);
+    wg_loop_prioritize_event(client->watch);
     client->index = e->clients->len;
     g_ptr_array_add(e->clients, client);
     wg_client_set_state(client, WG_CLIENT_HEAD);
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -274,7 +274,7 @@
     wg_time dial_at;
     wg_time report_at;
     wg_time state_at;      /* last contact with a leader */
-    wg_absence leaderless; /* outage without a leader */
+    wg_outage leaderless;  /* outage without a leader */
     wg_time leaderless_at; /* when the linked control first reported no leader; 0: it knows one */
     wg_time report_interval;
     uint64_t report_seq;
@@ -307,10 +307,10 @@
     wgh_server orders_server;
 
     wg_entry_counters counters;
-    wg_pulse tick_lag;         /* event-loop delay of the tick */
+    wg_lag_monitor tick_lag;   /* event-loop delay of the tick */
     struct event* delay_probe; /* queued behind callers' input to measure its delay */
     wg_time probe_since;       /* 0: the probe is not queued */
-    wg_pulse input_lag;        /* delay of callers' input in the event loop */
+    wg_lag_monitor input_lag;  /* delay of callers' input in the event loop */
     wg_time stall_ended_at;    /* first tick after the last stall of this process; 0: none */
     wg_hist first_byte_time;   /* microseconds to the first byte of the answer */
     wg_hist total_time;
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -274,7 +274,7 @@
 
 bool wg_entry_accepts_standby(const wg_entry* e, wg_time now) {
     wg_time wait = e->settings->standby_ms * WG_USEC_PER_MSEC;
-    return wait > 0 && !e->leader_known && wg_absence_length(&e->leaderless, now) >= wait;
+    return wait > 0 && !e->leader_known && wg_outage_duration(&e->leaderless, now) >= wait;
 }
 
 /* Applies the state of a replica that knows no leader either, unless this host has a newer one. */
@@ -291,7 +291,7 @@
     wg_log(WG_EVENT_STANDBY_TAKEN,
            "control=%s leaderless_ms=%" G_GINT64_FORMAT " version=%" G_GUINT64_FORMAT
            " registry=%" G_GUINT64_FORMAT " since_start=%d",
-           peer ? peer->name : "-", wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC,
+           peer ? peer->name : "-", wg_outage_duration(&e->leaderless, now) / WG_USEC_PER_MSEC,
            e->config ? e->config->version : 0, in->registry_change, e->on_standby);
 }
 
@@ -465,14 +465,14 @@
 }
 
 static void wg_entry_log_missing_leader(wg_entry* e, wg_time now) {
-    if (!wg_absence_note(&e->leaderless, e->leader_known, now)) {
+    if (!wg_outage_update(&e->leaderless, e->leader_known, now)) {
         return;
     }
     const wgn_peer* peer = wgn_query_peer(e->net, e->link);
     wg_log(WG_EVENT_LEADER_MISSING,
            "for_ms=%" G_GINT64_FORMAT " control=%s controls=%d asked=%d version=%" G_GUINT64_FORMAT
            " orders=%u",
-           wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC, peer ? peer->name : "-",
+           wg_outage_duration(&e->leaderless, now) / WG_USEC_PER_MSEC, peer ? peer->name : "-",
            e->controls.num, e->next_control, e->config ? e->config->version : 0, e->orders.length);
 }
 
@@ -523,7 +523,7 @@
                               .links_max = WG_LINKS_MAX,
                               .waiting_max = wgn_waiting_max(e->settings->memory_mb),
                               .proof_deadline = WG_PROOF_TIMEOUT,
-                              .silence_deadline = e->settings->link_silence_ms * WG_USEC_PER_MSEC,
+                              .receive_deadline = e->settings->link_silence_ms * WG_USEC_PER_MSEC,
                               .ping_interval = e->settings->link_silence_ms * WG_USEC_PER_MSEC / 4,
                               .on_up = wg_entry_on_up,
                               .on_frame = wg_entry_on_frame,
--- a/lib/entry/wg_entry_orders.c
+++ b/lib/entry/wg_entry_orders.c
@@ -18,7 +18,7 @@
 static void wg_entry_order_on_sender_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     wg_entry_order* order = user_data;
-    wgh_request_lost(order->request);
+    wgh_free_unanswered(order->request);
     order->request = NULL;
 }
 
@@ -54,7 +54,7 @@
                               : "evacuation",
            order->version, wgw_outcome_name(outcome), (now - order->received_at) / WG_USEC_PER_MSEC,
            peer ? peer->name : "-", e->leader_known,
-           wg_absence_length(&e->leaderless, now) / WG_USEC_PER_MSEC,
+           wg_outage_duration(&e->leaderless, now) / WG_USEC_PER_MSEC,
            order->request ? "waits" : "left");
 }
 
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -36,7 +36,7 @@
         wgh_reply_json(request, 200, json_object());
     } else if (outcome == WG_ORDER_INVALID) {
         wg_endpoint_error(request, 400, "bad_request", "the order is malformed");
-    } else if (outcome == WG_ORDER_NOTHING) {
+    } else if (outcome == WG_ORDER_NO_CONFIGURATION) {
         wg_endpoint_error(request, 503, "no_configuration", "there is no configuration yet");
     } else {
         wg_endpoint_error(request, 503, "no_leader", "no leader answered in time; send it again");
@@ -66,10 +66,10 @@
                            "walnutgate_entry_leaderless_seconds %.3f\n"
                            "walnutgate_entry_configuration_version %" G_GUINT64_FORMAT "\n",
                            e->leader_known, e->on_standby,
-                           (double)wg_absence_length(&e->leaderless, now) / WG_USEC_PER_SEC,
+                           (double)wg_outage_duration(&e->leaderless, now) / WG_USEC_PER_SEC,
                            e->config ? e->config->version : 0);
-    wg_hist_print(&e->tick_lag.late, "walnutgate_loop_late_seconds", "", 1e6, out);
-    wg_hist_print(&e->input_lag.late, "walnutgate_loop_behind_seconds", "", 1e6, out);
+    wg_hist_print(&e->tick_lag.lag_hist, "walnutgate_loop_late_seconds", "", 1e6, out);
+    wg_hist_print(&e->input_lag.lag_hist, "walnutgate_loop_behind_seconds", "", 1e6, out);
 }
 
 static void wg_endpoint_metrics(wg_entry* e, struct evhttp_request* request) {
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -72,8 +72,9 @@
     bool reusable = up->head.keep_alive && evbuffer_get_length(in) == 0 &&
                     evbuffer_get_length(bufferevent_get_output(up->bev)) == 0 &&
                     wg_entry_may_keep(up->entry, target) && !up->entry->stopping;
-    wg_time limit = up->head.keep_time >= 0 ? up->head.keep_time * WG_USEC_PER_SEC - WG_IDLE_MARGIN
-                                            : WG_IDLE_TIMEOUT;
+    wg_time limit = up->head.keep_alive_seconds >= 0
+                        ? up->head.keep_alive_seconds * WG_USEC_PER_SEC - WG_IDLE_MARGIN
+                        : WG_IDLE_TIMEOUT;
     up->call = NULL;
     if (!reusable || limit <= 0) {
         wg_upstream_close(up);
@@ -282,7 +283,7 @@
         wg_upstream_fail(up, "answer-body-malformed");
         return;
     }
-    if (state == WG_BODY_WHOLE) {
+    if (state == WG_BODY_COMPLETE) {
         wg_call_answer_complete(call, up);
         return;
     }
@@ -351,7 +352,7 @@
     up->target = target->number;
     up->content = evbuffer_new();
     up->bev = bufferevent_socket_new(e->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    wg_loop_put_connection_first(up->bev);
+    wg_loop_prioritize_connection(up->bev);
     up->remote = strcmp(target->data_centre, e->settings->data_centre) != 0;
     evbuffer_add_cb(bufferevent_get_input(up->bev), wg_upstream_count_in, up);
     bufferevent_setcb(up->bev, wg_upstream_on_read, NULL, wg_upstream_on_event, up);
@@ -364,6 +365,6 @@
         wg_upstream_close(up);
         return NULL;
     }
-    wg_loop_put_connection_first(up->bev); /* connecting resets the priority */
+    wg_loop_prioritize_connection(up->bev); /* connecting resets the priority */
     return up;
 }
--- a/lib/entry/wg_forward.c
+++ b/lib/entry/wg_forward.c
@@ -3,7 +3,7 @@
 
 static bool _wg_forward_is_reserved(const wg_entry_names* names, wg_text name) {
     for (const char* const* at = names->reserved; at && *at; at++) {
-        if (wg_text_is(name, *at)) {
+        if (wg_text_equals_nocase(name, *at)) {
             return true;
         }
     }
@@ -12,10 +12,13 @@
 
 bool wg_forward_removes_field(const wg_entry_names* names, const wg_message_head* head,
                               wg_text name, bool resumes) {
-    return wg_message_is_hop_field(head, name) || wg_text_is(name, names->key) ||
-           wg_text_is(name, names->deadline) || wg_text_is(name, names->workspace) ||
-           wg_text_is(name, names->expected_target) || wg_text_is(name, names->copy_from) ||
-           (resumes && wg_text_is(name, names->last_event)) || _wg_forward_is_reserved(names, name);
+    return wg_message_is_hop_field(head, name) || wg_text_equals_nocase(name, names->key) ||
+           wg_text_equals_nocase(name, names->deadline) ||
+           wg_text_equals_nocase(name, names->workspace) ||
+           wg_text_equals_nocase(name, names->expected_target) ||
+           wg_text_equals_nocase(name, names->copy_from) ||
+           (resumes && wg_text_equals_nocase(name, names->last_event)) ||
+           _wg_forward_is_reserved(names, name);
 }
 
 static void _wg_forward_fields(const wg_entry_names* names, const wg_forward* f,
--- a/lib/http/wg_http.c
+++ b/lib/http/wg_http.c
@@ -68,7 +68,7 @@
     *server = (wgh_server){0};
 }
 
-void wgh_guard(wgh_server* server, int64_t files_max) {
+void wgh_update_accepting(wgh_server* server, int64_t files_max) {
     /* The lowest free descriptor, which the kernel assigns, approximates the open files. */
     int lowest_free = dup(STDERR_FILENO);
     if (lowest_free >= 0) {
@@ -98,7 +98,7 @@
 }
 
 void wgh_reply_error(struct evhttp_request* request, const wgh_error* error) {
-    json_t* json = error->more ? error->more : json_object();
+    json_t* json = error->extra ? error->extra : json_object();
     json_object_set_new(json, "code", json_string(error->code));
     json_object_set_new(json, "verdict", json_string(wg_verdict_name(error->verdict)));
     json_object_set_new(json, "message", json_string(error->message ? error->message : ""));
@@ -196,7 +196,7 @@
     return json;
 }
 
-void wgh_request_lost(struct evhttp_request* request) {
+void wgh_free_unanswered(struct evhttp_request* request) {
     if (request && !evhttp_request_get_connection(request)) {
         evhttp_request_free(request);
     }
--- a/lib/http/wg_http.h
+++ b/lib/http/wg_http.h
@@ -53,7 +53,7 @@
     wg_verdict verdict;
     wg_time retry_after; /* 0: no Retry-After */
     const char* message;
-    json_t* more; /* additional members; ownership is transferred; may be NULL */
+    json_t* extra; /* additional members; ownership is transferred; may be NULL */
 } wgh_error;
 
 /* False with an error if the address cannot be bound. */
@@ -62,7 +62,7 @@
 void wgh_close(wgh_server* server);
 /* Pauses accepting connections while the process has `files_max` or more files open, and resumes it
    afterwards. New connections wait in the kernel's backlog. Has to be called periodically. */
-void wgh_guard(wgh_server* server, int64_t files_max);
+void wgh_update_accepting(wgh_server* server, int64_t files_max);
 void wgh_reply_json(struct evhttp_request* request, int status, json_t* json);
 void wgh_reply_text(struct evhttp_request* request, int status, const char* type, const char* text);
 void wgh_reply_error(struct evhttp_request* request, const wgh_error* error);
@@ -80,6 +80,6 @@
 json_t* wgh_body_json(struct evhttp_request* request, char* message, size_t size);
 /* Frees a request whose connection was closed before it was answered. For close callbacks: evhttp
    leaves the ownership of such a request to the caller. */
-void wgh_request_lost(struct evhttp_request* request);
+void wgh_free_unanswered(struct evhttp_request* request);
 /* Reason phrase of a status; "Other" if unknown. */
 const char* wgh_reason(int status);
--- a/lib/message/wg_event_stream.c
+++ b/lib/message/wg_event_stream.c
@@ -18,7 +18,7 @@
     return 0;
 }
 
-bool wg_event_line(const char** at, const char* end, const char** line, size_t* size) {
+bool wg_event_next_line(const char** at, const char* end, const char** line, size_t* size) {
     if (*at >= end) {
         return false;
     }
@@ -36,7 +36,7 @@
     const char* at = bytes;
     const char* line;
     size_t length;
-    while (wg_event_line(&at, bytes + size, &line, &length)) {
+    while (wg_event_next_line(&at, bytes + size, &line, &length)) {
         if (length <= 3 || memcmp(line, "id:", 3) != 0) {
             continue;
         }
--- a/lib/message/wg_event_stream.h
+++ b/lib/message/wg_event_stream.h
@@ -26,7 +26,7 @@
 /* Size of the first event, including the blank line that ends it; 0 if it is incomplete. */
 size_t wg_event_size(const char* bytes, size_t size);
 /* Reads the next line of an event, without its line ending, and advances `at`. False at `end`. */
-bool wg_event_line(const char** at, const char* end, const char** line, size_t* size);
+bool wg_event_next_line(const char** at, const char* end, const char** line, size_t* size);
 /* Moves one complete event from `in` to `out`. `id` is set if the event has one that fits. */
 wg_event_stream_result wg_event_stream_next(struct evbuffer* in, struct evbuffer* out, char* id,
                                             size_t id_size);
--- a/lib/message/wg_message.c
+++ b/lib/message/wg_message.c
@@ -5,7 +5,7 @@
 
 /* ---- texts --------------------------------------------------------------------------------- */
 
-bool wg_text_is(wg_text text, const char* word) {
+bool wg_text_equals_nocase(wg_text text, const char* word) {
     return text.text && text.size == strlen(word) &&
            g_ascii_strncasecmp(text.text, word, text.size) == 0;
 }
@@ -92,7 +92,7 @@
 
 wg_text wg_message_field(const wg_message_head* head, const char* name) {
     for (int i = 0; i < head->fields_num; i++) {
-        if (wg_text_is(head->fields[i].name, name)) {
+        if (wg_text_equals_nocase(head->fields[i].name, name)) {
             return head->fields[i].value;
         }
     }
@@ -102,7 +102,7 @@
 int wg_message_field_num(const wg_message_head* head, const char* name) {
     int num = 0;
     for (int i = 0; i < head->fields_num; i++) {
-        num += wg_text_is(head->fields[i].name, name);
+        num += wg_text_equals_nocase(head->fields[i].name, name);
     }
     return num;
 }
@@ -147,13 +147,13 @@
 
 static bool wg_field_has_item(const wg_message_head* head, const char* field, const char* word) {
     for (int i = 0; i < head->fields_num; i++) {
-        if (!wg_text_is(head->fields[i].name, field)) {
+        if (!wg_text_equals_nocase(head->fields[i].name, field)) {
             continue;
         }
         wg_text list = head->fields[i].value;
         wg_text item;
         while (wg_text_next_item(&list, &item)) {
-            if (wg_text_is(item, word)) {
+            if (wg_text_equals_nocase(item, word)) {
                 return true;
             }
         }
@@ -164,14 +164,15 @@
 static void wg_parse_keep_alive(wg_message_head* head) {
     head->keep_alive = head->minor >= 1 ? !wg_field_has_item(head, "Connection", "close")
                                         : wg_field_has_item(head, "Connection", "keep-alive");
-    head->keep_time = -1;
+    head->keep_alive_seconds = -1;
     wg_text list = wg_message_field(head, "Keep-Alive");
     wg_text item;
     while (list.text && wg_text_next_item(&list, &item)) {
         static const char key[] = "timeout=";
         size_t skip = sizeof key - 1;
         if (item.size > skip && g_ascii_strncasecmp(item.text, key, skip) == 0) {
-            wg_text_number((wg_text){item.text + skip, item.size - skip}, &head->keep_time);
+            wg_text_number((wg_text){item.text + skip, item.size - skip},
+                           &head->keep_alive_seconds);
         }
     }
 }
@@ -187,7 +188,7 @@
     if (codings) {
         head->framing = WG_FRAMING_CHUNKED;
         return head->minor >= 1 &&
-               wg_text_is(wg_message_field(head, "Transfer-Encoding"), "chunked");
+               wg_text_equals_nocase(wg_message_field(head, "Transfer-Encoding"), "chunked");
     }
     if (lengths) {
         head->framing = WG_FRAMING_LENGTH;
@@ -225,13 +226,13 @@
             return false;
         }
     }
-    return target.size > 0 && (target.text[0] == '/' || wg_text_is(target, "*"));
+    return target.size > 0 && (target.text[0] == '/' || wg_text_equals_nocase(target, "*"));
 }
 
 int wg_message_parse_request(const char* bytes, size_t size, wg_message_head* head) {
     const char* at = bytes;
     wg_text line;
-    *head = (wg_message_head){.keep_time = -1};
+    *head = (wg_message_head){.keep_alive_seconds = -1};
     if (!wg_next_line(&at, bytes + size, &line) || !wg_split_word(&line, &head->method) ||
         !wg_split_word(&line, &head->target)) {
         return 400;
@@ -259,7 +260,7 @@
     wg_text line;
     wg_text version;
     int64_t status;
-    *head = (wg_message_head){.keep_time = -1};
+    *head = (wg_message_head){.keep_alive_seconds = -1};
     if (!wg_next_line(&at, bytes + size, &line) || !wg_split_word(&line, &version) ||
         !wg_parse_version(version, head) || line.size < 3 ||
         !wg_text_number((wg_text){line.text, 3}, &status) ||
@@ -294,7 +295,7 @@
                                       "Content-Length",
                                       "Expect"};
     for (size_t i = 0; i < G_N_ELEMENTS(hop); i++) {
-        if (wg_text_is(name, hop[i])) {
+        if (wg_text_equals_nocase(name, hop[i])) {
             return true;
         }
     }
@@ -330,7 +331,7 @@
     } else {
         evbuffer_remove_buffer(in, out, moved);
     }
-    body->taken += (int64_t)moved;
+    body->decoded += (int64_t)moved;
     if (body->framing != WG_FRAMING_CLOSE) {
         body->remaining -= (int64_t)moved;
     }
@@ -392,7 +393,7 @@
             body->step = WG_CHUNK_SIZE_LINE;
         } else if (body->step == WG_CHUNK_TRAILER) {
             if (size == 0) {
-                return WG_BODY_WHOLE;
+                return WG_BODY_COMPLETE;
             }
         } else {
             body->remaining = wg_chunk_size(line, size);
@@ -407,10 +408,10 @@
 wg_body_state wg_body_read(wg_body* body, struct evbuffer* in, struct evbuffer* out) {
     switch (body->framing) {
     case WG_FRAMING_NONE:
-        return WG_BODY_WHOLE;
+        return WG_BODY_COMPLETE;
     case WG_FRAMING_LENGTH:
         wg_body_move(body, in, out);
-        return body->remaining == 0 ? WG_BODY_WHOLE : WG_BODY_MORE;
+        return body->remaining == 0 ? WG_BODY_COMPLETE : WG_BODY_MORE;
     case WG_FRAMING_CHUNKED:
         return wg_body_read_chunked(body, in, out);
     case WG_FRAMING_CLOSE:
--- a/lib/message/wg_message.h
+++ b/lib/message/wg_message.h
@@ -55,9 +55,9 @@
     wg_message_pair fields[WG_MESSAGE_FIELDS_MAX];
     int fields_num;
     wg_framing framing;
-    int64_t length;    /* bytes of body for WG_FRAMING_LENGTH */
-    bool keep_alive;   /* the connection can be reused */
-    int64_t keep_time; /* seconds of the Keep-Alive timeout, -1 if none */
+    int64_t length;             /* bytes of body for WG_FRAMING_LENGTH */
+    bool keep_alive;            /* the connection can be reused */
+    int64_t keep_alive_seconds; /* seconds of the Keep-Alive timeout, -1 if none */
 } wg_message_head;
 
 /* Size of the head at the start of `bytes`, including its empty line; 0 if it is incomplete. */
@@ -74,13 +74,13 @@
 /* True for hop-by-hop fields (RFC 9110, 7.6.1), including those that `Connection` lists, and for
    fields that the framing sets anew: lengths, codings, Expect. */
 bool wg_message_is_hop_field(const wg_message_head* head, wg_text name);
-bool wg_text_is(wg_text text, const char* word);    /* case-insensitive comparison */
-bool wg_text_number(wg_text text, int64_t* number); /* decimal digits only */
-char* wg_text_dup(wg_text text);                    /* freed with g_free() */
+bool wg_text_equals_nocase(wg_text text, const char* word); /* case-insensitive comparison */
+bool wg_text_number(wg_text text, int64_t* number);         /* decimal digits only */
+char* wg_text_dup(wg_text text);                            /* freed with g_free() */
 
 typedef enum {
     WG_BODY_MORE = 0,
-    WG_BODY_WHOLE,
+    WG_BODY_COMPLETE,
     WG_BODY_BAD
 } wg_body_state;
 
@@ -89,7 +89,7 @@
     wg_framing framing;
     int64_t remaining; /* bytes left of the body or of the current chunk */
     int step;          /* position within a chunked body */
-    int64_t taken;     /* bytes of body decoded so far */
+    int64_t decoded;   /* bytes of body decoded so far */
 } wg_body;
 
 void wg_body_begin(wg_body* body, const wg_message_head* head);
--- a/lib/net/wg_loop.c
+++ b/lib/net/wg_loop.c
@@ -19,13 +19,13 @@
     return event_base_get_npriorities(base) == WG_LOOP_PRIORITIES;
 }
 
-void wg_loop_put_connection_first(struct bufferevent* bev) {
+void wg_loop_prioritize_connection(struct bufferevent* bev) {
     if (_wg_loop_has_priorities(bufferevent_get_base(bev))) {
         bufferevent_priority_set(bev, WG_LOOP_PRIORITY_IN_PROGRESS);
     }
 }
 
-void wg_loop_put_event_first(struct event* event) {
+void wg_loop_prioritize_event(struct event* event) {
     if (_wg_loop_has_priorities(event_get_base(event))) {
         event_priority_set(event, WG_LOOP_PRIORITY_IN_PROGRESS);
     }
--- a/lib/net/wg_loop.h
+++ b/lib/net/wg_loop.h
@@ -14,8 +14,8 @@
 
     USE
         1. struct event_base* base = wg_loop_setup();
-        2. wg_loop_put_connection_first(bev) before the connection is used, and after connecting;
-           wg_loop_put_event_first(event) before the event is added.
+        2. wg_loop_prioritize_connection(bev) before the connection is used, and after connecting;
+           wg_loop_prioritize_event(event) before the event is added.
 
     THE CALLER OWNS
         the loop; event_base_free() releases it. On a loop that was created in another way the other
@@ -43,6 +43,6 @@
 /* Gives the events of a connection the priority of requests in progress. Call it before the first
    use and again after connecting, which resets the priority. Never change the priority to another
    value while a callback is pending: libevent would remove the callback from the wrong queue. */
-void wg_loop_put_connection_first(struct bufferevent* bev);
+void wg_loop_prioritize_connection(struct bufferevent* bev);
 /* Gives an event the priority of requests in progress. Call it before event_add(). */
-void wg_loop_put_event_first(struct event* event);
+void wg_loop_prioritize_event(struct event* event);
--- a/lib/net/wg_net.c
+++ b/lib/net/wg_net.c
@@ -25,7 +25,7 @@
     wg_time opened_at;
     wg_time received_at;
     wg_time sent_at;
-    wg_time silence_deadline;
+    wg_time receive_deadline;
     wg_time ping_interval;
     wgn_peer peer;
     GByteArray* own_hello;
@@ -61,7 +61,7 @@
     d.unsent_max = d.unsent_max ? d.unsent_max : WGN_UNSENT_MAX_DEFAULT;
     d.waiting_max = d.waiting_max ? d.waiting_max : WGN_WAITING_MAX_DEFAULT;
     d.proof_deadline = d.proof_deadline ? d.proof_deadline : WGN_PROOF_DEADLINE_DEFAULT;
-    d.silence_deadline = d.silence_deadline ? d.silence_deadline : WGN_RECEIVE_DEADLINE_DEFAULT;
+    d.receive_deadline = d.receive_deadline ? d.receive_deadline : WGN_RECEIVE_DEADLINE_DEFAULT;
     d.ping_interval = d.ping_interval ? d.ping_interval : WGN_PING_INTERVAL_DEFAULT;
     return d;
 }
@@ -127,16 +127,16 @@
 
 /* Writes the header of a frame and updates the counters. Returns the output buffer. */
 static struct evbuffer* _wgn_write_header(_wgn_link_t* l, wgw_type type, size_t size) {
-    uint8_t head[WGW_HEAD_SIZE];
+    uint8_t head[WGW_HEADER_SIZE];
     wgn_stats* stats = &l->net->stats;
-    wgw_frame_head_pack(head, type, size);
+    wgw_frame_header_pack(head, type, size);
     struct evbuffer* out = bufferevent_get_output(l->bev);
     evbuffer_add(out, head, sizeof head);
     l->sent_at = wg_now();
     stats->bytes_sent += sizeof head + size;
     stats->frames_sent++;
     stats->sent[type].bytes += sizeof head + size;
-    stats->sent[type].far_bytes += _wgn_is_remote(l) ? sizeof head + size : 0;
+    stats->sent[type].remote_bytes += _wgn_is_remote(l) ? sizeof head + size : 0;
     stats->sent[type].frames++;
     return out;
 }
@@ -272,7 +272,7 @@
     l->received_at = wg_now();
     for (;;) {
         size_t size = evbuffer_get_length(in);
-        uint8_t head[WGW_HEAD_SIZE];
+        uint8_t head[WGW_HEADER_SIZE];
         if (size < sizeof head) {
             return;
         }
@@ -281,7 +281,7 @@
         /* Limits the memory that an unauthenticated peer can use. */
         size_t max = l->up ? net->desc.frame_max : 1024;
         wgw_parse parse = wgw_frame_parse(head, sizeof head, max, &frame);
-        size_t frame_size = WGW_HEAD_SIZE + frame.size;
+        size_t frame_size = WGW_HEADER_SIZE + frame.size;
         if (parse == WGW_PARSE_MORE && size < frame_size) {
             return;
         }
@@ -325,7 +325,7 @@
     *l = (_wgn_link_t){.net = net,
                        .handle = handle,
                        .dialer = dialer,
-                       .silence_deadline = net->desc.silence_deadline,
+                       .receive_deadline = net->desc.receive_deadline,
                        .ping_interval = net->desc.ping_interval};
     l->opened_at = l->received_at = l->sent_at = wg_now();
     l->bev =
@@ -378,7 +378,7 @@
         l->opened_at = MIN(l->opened_at + stall, now);
         l->received_at = MIN(l->received_at + stall, now);
         bool proof_overdue = !l->up && now - l->opened_at > net->desc.proof_deadline;
-        bool unresponsive = now - l->received_at > l->silence_deadline;
+        bool unresponsive = now - l->received_at > l->receive_deadline;
         if (proof_overdue || unresponsive || l->slow) {
             _wgn_drop(l);
         } else if (l->up && now - l->sent_at >= l->ping_interval) {
@@ -513,11 +513,11 @@
     return true;
 }
 
-void wgn_set_pace(wgn_net* net, wgn_link link, wg_time ping_interval, wg_time silence_deadline) {
+void wgn_set_timing(wgn_net* net, wgn_link link, wg_time ping_interval, wg_time receive_deadline) {
     _wgn_link_t* l = _wgn_find(net, link);
     if (l) {
         l->ping_interval = ping_interval;
-        l->silence_deadline = silence_deadline;
+        l->receive_deadline = receive_deadline;
     }
 }
 
@@ -554,7 +554,7 @@
                 "walnutgate_link_frames_total{type=\"%s\"} %" G_GUINT64_FORMAT
                 "\nwalnutgate_link_bytes_total{type=\"%s\"} %" G_GUINT64_FORMAT
                 "\nwalnutgate_link_far_bytes_total{type=\"%s\"} %" G_GUINT64_FORMAT "\n",
-                name, sent->frames, name, sent->bytes, name, sent->far_bytes);
+                name, sent->frames, name, sent->bytes, name, sent->remote_bytes);
         }
     }
     g_string_append_printf(out,
--- a/lib/net/wg_net.h
+++ b/lib/net/wg_net.h
@@ -77,7 +77,7 @@
     size_t waiting_max;       /* unsent bytes of shared frames on all links together, each frame
                                  counted once; default WGN_WAITING_MAX_DEFAULT */
     wg_time proof_deadline;   /* default WGN_PROOF_DEADLINE_DEFAULT */
-    wg_time silence_deadline; /* default WGN_RECEIVE_DEADLINE_DEFAULT */
+    wg_time receive_deadline; /* default WGN_RECEIVE_DEADLINE_DEFAULT */
     wg_time ping_interval;    /* default WGN_PING_INTERVAL_DEFAULT */
     /* The peer's proof was valid; frames can be sent from now on. */
     void (*on_up)(wgn_link link, const wgn_peer* peer, void* user_data);
@@ -91,7 +91,7 @@
 typedef struct {
     uint64_t frames;
     uint64_t bytes;
-    uint64_t far_bytes; /* bytes sent to other data centres */
+    uint64_t remote_bytes; /* bytes sent to other data centres */
 } wgn_type_stats;
 
 typedef struct {
@@ -132,7 +132,7 @@
 bool wgn_send_frame(wgn_net* net, wgn_link link, wgn_frame* frame);
 /* Overrides the ping interval and the receive deadline of one link. Both ends have to use the same
    values. */
-void wgn_set_pace(wgn_net* net, wgn_link link, wg_time ping_interval, wg_time silence_deadline);
+void wgn_set_timing(wgn_net* net, wgn_link link, wg_time ping_interval, wg_time receive_deadline);
 /* Closes the link at once; on_down is called before this returns. */
 void wgn_close(wgn_net* net, wgn_link link);
 /* The peer of the link, or NULL if the link is not up. */
--- a/lib/router/wg_router.c
+++ b/lib/router/wg_router.c
@@ -173,7 +173,7 @@
     _wgro_fail_backoff_waits(r, now);
     _wgro_parked_tick(r, now);
     _wgro_hosts_tick(r, now);
-    wgh_guard(&r->callers, r->settings->files_max);
+    wgh_update_accepting(&r->callers, r->settings->files_max);
     _wgro_dispatch(r);
     if (r->stopping) {
         _wgro_stop_tick(r, now);
--- a/lib/router/wg_router_accept.c
+++ b/lib/router/wg_router_accept.c
@@ -52,7 +52,7 @@
                                  .retry_after = WG_USEC_PER_SEC,
                                  .message = "this router has lost contact with the leader; "
                                             "use another entry host",
-                                 .more = more});
+                                 .extra = more});
 }
 
 /* ---- helpers: keys ------------------------------------------------------------------------- */
@@ -77,7 +77,7 @@
 static void _wgro_on_parked_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_parked_t* parked = user_data;
-    wgh_request_lost(parked->request);
+    wgh_free_unanswered(parked->request);
     parked->request = NULL;
 }
 
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -355,7 +355,7 @@
 static void _wgro_on_caller_closed(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     _wgro_call_t* call = user_data;
-    wgh_request_lost(call->request);
+    wgh_free_unanswered(call->request);
     call->request = NULL;
     _wgro_call_event(call, &(wgc_event){.type = WGC_EVENT_CALLER_DISCONNECTED});
 }
--- a/lib/router/wg_sse.c
+++ b/lib/router/wg_sse.c
@@ -38,7 +38,7 @@
     const char* line;
     size_t length;
     *event = (wgx_sse_event){.id = -1};
-    while (wg_event_line(&at, text + size, &line, &length)) {
+    while (wg_event_next_line(&at, text + size, &line, &length)) {
         _wgx_parse_line(line, length, event);
     }
 }
--- a/lib/wire/wg_wire.c
+++ b/lib/wire/wg_wire.c
@@ -5,7 +5,7 @@
 
 /* ---- public functions --------------------------------------------------------------------- */
 
-void wgw_frame_head_pack(uint8_t head[WGW_HEAD_SIZE], wgw_type type, size_t payload_size) {
+void wgw_frame_header_pack(uint8_t head[WGW_HEADER_SIZE], wgw_type type, size_t payload_size) {
     head[0] = (uint8_t)(payload_size >> 24);
     head[1] = (uint8_t)(payload_size >> 16);
     head[2] = (uint8_t)(payload_size >> 8);
@@ -48,7 +48,7 @@
 
 wgw_parse wgw_frame_parse(const uint8_t* bytes, size_t size, size_t max, wgw_frame* frame) {
     *frame = (wgw_frame){0};
-    if (size < WGW_HEAD_SIZE) {
+    if (size < WGW_HEADER_SIZE) {
         return WGW_PARSE_MORE;
     }
     size_t length = ((size_t)bytes[0] << 24) | ((size_t)bytes[1] << 16) | ((size_t)bytes[2] << 8) |
@@ -65,14 +65,14 @@
     if (frame->reason) {
         return WGW_PARSE_BAD;
     }
-    if (size - WGW_HEAD_SIZE < length) {
+    if (size - WGW_HEADER_SIZE < length) {
         frame->size = length;
         return WGW_PARSE_MORE;
     }
     frame->type = (wgw_type)bytes[6];
-    frame->payload = bytes + WGW_HEAD_SIZE;
+    frame->payload = bytes + WGW_HEADER_SIZE;
     frame->size = length;
-    return WGW_PARSE_WHOLE;
+    return WGW_PARSE_COMPLETE;
 }
 
 void wgw_proof(const char* fleet_key, const char* label, const uint8_t* dialer_hello,
--- a/lib/wire/wg_wire.h
+++ b/lib/wire/wg_wire.h
@@ -12,8 +12,8 @@
         - proof of the fleet key: HMAC-SHA256 over both hellos, with one label for each direction
 
     USE
-        1. wgw_frame_head_pack(head, type, payload_size);
-        2. switch (wgw_frame_parse(bytes, size, max, &frame)) { case WGW_PARSE_WHOLE: ... }
+        1. wgw_frame_header_pack(head, type, payload_size);
+        2. switch (wgw_frame_parse(bytes, size, max, &frame)) { case WGW_PARSE_COMPLETE: ... }
 
     THE CALLER OWNS
         all buffers. wgw_frame.payload points into the caller's bytes.
@@ -22,7 +22,7 @@
 #include "walnutgate.pb-c.h"
 
 enum {
-    WGW_HEAD_SIZE = 8,
+    WGW_HEADER_SIZE = 8,
     WGW_VERSION = 1,
     WGW_MAGIC = 0xA7,
     WGW_FRAME_MAX_DEFAULT = 4 << 20, /* bytes of payload */
@@ -64,7 +64,7 @@
     WG_ORDER_NOT_LEADER, /* try another control; nothing was changed */
     WG_ORDER_UNKNOWN,    /* may or may not have been committed */
     WG_ORDER_INVALID,
-    WG_ORDER_NOTHING, /* no configuration exists yet */
+    WG_ORDER_NO_CONFIGURATION, /* no configuration exists yet */
     WG_ORDER_NUM
 } wg_order_outcome;
 
@@ -82,9 +82,9 @@
 
 typedef enum {
     WGW_PARSE_DEFAULT = 0,
-    WGW_PARSE_MORE,  /* incomplete; more bytes are needed */
-    WGW_PARSE_WHOLE, /* complete; frame.size bytes of payload follow the header */
-    WGW_PARSE_BAD,   /* invalid, close the link; frame.reason is set */
+    WGW_PARSE_MORE,     /* incomplete; more bytes are needed */
+    WGW_PARSE_COMPLETE, /* complete; frame.size bytes of payload follow the header */
+    WGW_PARSE_BAD,      /* invalid, close the link; frame.reason is set */
     WGW_PARSE_NUM
 } wgw_parse;
 
@@ -96,7 +96,7 @@
 } wgw_frame;
 
 /* Writes the header of a frame. */
-void wgw_frame_head_pack(uint8_t head[WGW_HEAD_SIZE], wgw_type type, size_t payload_size);
+void wgw_frame_header_pack(uint8_t head[WGW_HEADER_SIZE], wgw_type type, size_t payload_size);
 /* Parses the frame at the start of `bytes`. `max` limits the payload; 0 means
    WGW_FRAME_MAX_DEFAULT. If the header is complete, frame.size is set even for WGW_PARSE_MORE. */
 wgw_parse wgw_frame_parse(const uint8_t* bytes, size_t size, size_t max, wgw_frame* frame);
--- a/tests/fakes/fake_engine.c
+++ b/tests/fakes/fake_engine.c
@@ -55,7 +55,7 @@
     (void)connection;
     job_t* job = user_data;
     cancelled++;
-    wgh_request_lost(job->request);
+    wgh_free_unanswered(job->request);
     job->request = NULL;
     end_job(job);
 }
--- a/tests/fakes/fake_service.c
+++ b/tests/fakes/fake_service.c
@@ -25,7 +25,7 @@
 static void on_caller_left(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     job_t* job = user_data;
-    wgh_request_lost(job->request);
+    wgh_free_unanswered(job->request);
     job->request = NULL;
 }
 
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -5,7 +5,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
     wgw_frame frame;
-    if (wgw_frame_parse(data, size, 0, &frame) == WGW_PARSE_WHOLE) {
+    if (wgw_frame_parse(data, size, 0, &frame) == WGW_PARSE_COMPLETE) {
         ProtobufCMessage* messages[] = {
             (ProtobufCMessage*)wgpb__hello__unpack(NULL, frame.size, frame.payload),
             (ProtobufCMessage*)wgpb__quorum__unpack(NULL, frame.size, frame.payload),
--- a/tests/sim/soak_callers.c
+++ b/tests/sim/soak_callers.c
@@ -107,7 +107,7 @@
     if (state == WG_BODY_BAD) {
         soak_broken(c->s, "%s: the body is malformed", c->id);
         caller_fail(c);
-    } else if (state == WG_BODY_WHOLE) {
+    } else if (state == WG_BODY_COMPLETE) {
         check_whole(c);
         caller_done(c, c->head.keep_alive);
     }
--- a/tests/sim/soak_internal.h
+++ b/tests/sim/soak_internal.h
@@ -120,10 +120,10 @@
     GQueue repairs;                 /* repair*, by time */
     bool passed[HOSTS_MAX][PROBES]; /* since the last fault, with the newest version */
     int passed_version;
-    wg_pulse pulse;     /* how late this process is */
-    wg_time lost_until; /* a lost disk counts until then */
-    bool catches_up;    /* a disk is lost, or a host replaced, and counts still */
-    wg_time lose_at;    /* successions: when a disk is lost; 0: nobody was replaced yet */
+    wg_lag_monitor pulse; /* how late this process is */
+    wg_time lost_until;   /* a lost disk counts until then */
+    bool catches_up;      /* a disk is lost, or a host replaced, and counts still */
+    wg_time lose_at;      /* successions: when a disk is lost; 0: nobody was replaced yet */
 };
 
 /* ---- soak_run.c ---- */
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -84,7 +84,7 @@
 /* A run that is broken says how late this process was itself: on a machine that stands still for
    seconds faults are longer than they were drawn. */
 static void tell_lateness(soak* s) {
-    s->result.late_ms = (int)(s->pulse.late.max / WG_USEC_PER_MSEC);
+    s->result.late_ms = (int)(s->pulse.lag_hist.max / WG_USEC_PER_MSEC);
     if (!s->result.good) {
         char text[64];
         g_snprintf(text, sizeof text, "; this process was late by up to %d ms", s->result.late_ms);
@@ -98,7 +98,7 @@
     soak* s = user_data;
     wg_time now = wg_now();
     wg_time late;
-    wg_pulse_beat(&s->pulse, now, TICK, &late);
+    wg_lag_monitor_tick(&s->pulse, now, TICK, &late);
     soak_crash_watch(s);
     soak_repair(s, now);
     soak_operate(s, now);
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -99,7 +99,7 @@
     struct evbuffer* in = evbuffer_new();
     struct evbuffer* out = evbuffer_new();
     evbuffer_add_printf(in, "3\r\nabc\r\n0\r\nKv-From: 1.2.3.4:5/6\r\nHold: x\r\n\r\n");
-    ck_assert_int_eq(wg_body_read(&body, in, out), WG_BODY_WHOLE);
+    ck_assert_int_eq(wg_body_read(&body, in, out), WG_BODY_COMPLETE);
     ck_assert_uint_eq(evbuffer_get_length(in), 0);
     ck_assert_uint_eq(evbuffer_get_length(out), 3);
     evbuffer_free(in);
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -15,12 +15,12 @@
     const char* text = "POST /a/b?c=1 HTTP/1.1\r\nHost: Some.Example:80\r\nContent-Length: 12\r\n"
                        "X-Empty:\r\nKeep-Alive: timeout=7, max=3\r\n\r\n";
     ck_assert_int_eq(request_status(text, &head), 0);
-    ck_assert(wg_text_is(head.method, "POST"));
-    ck_assert(wg_text_is(head.target, "/a/b?c=1"));
+    ck_assert(wg_text_equals_nocase(head.method, "POST"));
+    ck_assert(wg_text_equals_nocase(head.target, "/a/b?c=1"));
     ck_assert_int_eq(head.framing, WG_FRAMING_LENGTH);
     ck_assert_int_eq(head.length, 12);
     ck_assert(head.keep_alive);
-    ck_assert_int_eq(head.keep_time, 7);
+    ck_assert_int_eq(head.keep_alive_seconds, 7);
     ck_assert_uint_eq(wg_message_field(&head, "x-empty").size, 0);
     ck_assert_ptr_null(wg_message_field(&head, "x-none").text);
 }
@@ -144,7 +144,7 @@
                 state = wg_body_read(&body, in, out);
             }
         }
-        ck_assert_int_eq(state, WG_BODY_WHOLE);
+        ck_assert_int_eq(state, WG_BODY_COMPLETE);
         ck_assert_uint_eq(evbuffer_get_length(out), 14);
         ck_assert_int_eq(memcmp(evbuffer_pullup(out, -1), "wallnutgate...", 14), 0);
         ck_assert_uint_eq(evbuffer_get_length(in), 4);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -129,7 +129,7 @@
     return wgn_setup(&(wgn_desc){.base = base,
                                  .fleet_key = "key",
                                  .self = {.name = "n", .role = WGW_ROLE_CONTROL},
-                                 .silence_deadline = 600 * MSEC,
+                                 .receive_deadline = 600 * MSEC,
                                  .ping_interval = 150 * MSEC,
                                  .on_up = on_late_up,
                                  .on_frame = on_frame,
@@ -268,7 +268,7 @@
     ck_assert_uint_lt(wgn_query_stats(near_net).waiting, FRAME_SIZE + 100);
     wgn_type_stats sent = wgn_query_stats(near_net).sent[WGW_TYPE_CONFIGURATION];
     ck_assert_uint_eq(sent.frames, READERS);
-    ck_assert_uint_eq(sent.far_bytes, sent.bytes); /* the readers name another data centre */
+    ck_assert_uint_eq(sent.remote_bytes, sent.bytes); /* the readers name another data centre */
     for (int i = 0; i < 20000 && documents < READERS; i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
         event_base_loop(far_base, EVLOOP_NONBLOCK);
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -40,14 +40,14 @@
 END_TEST
 
 START_TEST(bad_frames_are_refused) {
-    uint8_t head[WGW_HEAD_SIZE];
+    uint8_t head[WGW_HEADER_SIZE];
     wgw_frame frame;
-    wgw_frame_head_pack(head, WGW_TYPE_REPORT, 10);
+    wgw_frame_header_pack(head, WGW_TYPE_REPORT, 10);
     ck_assert_int_eq(wgw_frame_parse(head, 7, 0, &frame), WGW_PARSE_MORE);
     ck_assert_int_eq(wgw_frame_parse(head, 8, 0, &frame), WGW_PARSE_MORE);
     ck_assert_int_eq(wgw_frame_parse(head, 8, 5, &frame), WGW_PARSE_BAD);
-    for (int byte = 0; byte < WGW_HEAD_SIZE; byte++) {
-        uint8_t bad[WGW_HEAD_SIZE];
+    for (int byte = 0; byte < WGW_HEADER_SIZE; byte++) {
+        uint8_t bad[WGW_HEADER_SIZE];
         memcpy(bad, head, sizeof bad);
         bad[byte] = 0xff;
         wgw_parse parse = wgw_frame_parse(bad, 8, 0, &frame);
@@ -55,7 +55,7 @@
     }
     uint8_t whole[18] = {0};
     memcpy(whole, head, sizeof head);
-    ck_assert_int_eq(wgw_frame_parse(whole, sizeof whole, 0, &frame), WGW_PARSE_WHOLE);
+    ck_assert_int_eq(wgw_frame_parse(whole, sizeof whole, 0, &frame), WGW_PARSE_COMPLETE);
     ck_assert_int_eq(frame.type, WGW_TYPE_REPORT);
     ck_assert_uint_eq(frame.size, 10);
 }
