--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -16,11 +16,11 @@
 
 enum {
     _WGS_SYNCED_SLOT = 32,
-    _WGS_SYNCED_SLOTS = 4, /* two written without a sync, then two that are synced */
+    _WGS_SYNCED_SLOTS = 4, /* two slots written without a sync, then two synced slots */
     _WGS_NAME_SIZE = 40
 };
 
-/* A log file; offsets[i] is where the record of entry first + i begins. */
+/* A log file; offsets[i] is the file offset of the record of entry first + i. */
 typedef struct {
     uint64_t first;
     int fd;
@@ -34,13 +34,13 @@
     int lock_fd;
     int synced_fd;
     uint64_t synced_seq;
-    uint64_t synced_syncs; /* of the marker */
+    uint64_t synced_syncs; /* synced writes of the marker; selects the next synced slot */
     uint64_t synced_index;
     uint64_t term;
     uint64_t voted_for;
     uint64_t snapshot_index;
     GPtrArray* segments; /* _wgs_segment_t*, oldest first */
-    GArray* entries;     /* wgr_entry, as read at start */
+    GArray* entries;     /* wgr_entry, read by wgs_open() */
     wgs_content content;
     wgs_stats stats;
 };
@@ -53,7 +53,7 @@
     return left < right ? -1 : left > right ? 1 : 0;
 }
 
-/* Indexes in the names of the files with a prefix, ascending. */
+/* List the indexes in the names of files with a prefix, in ascending order. */
 static GArray* _wgs_list(const char* folder, const char* prefix) {
     GArray* found = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GDir* dir = g_dir_open(folder, 0, NULL);
@@ -141,9 +141,10 @@
     return true;
 }
 
-/* The marker is written after the log is synced, without a sync of its own: a process that is
-   killed leaves it exact; after a power cut it may lag, which only makes the tail count as torn.
-   A power cut may spoil both unsynced slots; of the two synced ones, one is always whole. */
+/* The marker is written after the log is synced, without a sync of its own. After a process crash
+   it is exact. After a power loss it may lag behind the log, and a damaged record beyond it counts
+   as a torn tail. A power loss may corrupt both unsynced slots, but at most one of the two synced
+   slots. */
 static bool _wgs_write_synced(wgs_store* s, uint64_t index, bool sync, GError** error) {
     s->synced_seq++;
     s->synced_index = index;
@@ -152,7 +153,7 @@
     off_t at = (off_t)(sync ? 2 + s->synced_syncs++ % 2 : s->synced_seq % 2) * _WGS_SYNCED_SLOT;
     ssize_t written = _wgs_pwrite(s->synced_fd, slot, sizeof slot, at);
     if (written != (ssize_t)sizeof slot) {
-        errno = written < 0 ? errno : ENOSPC; /* a part only: there is no room */
+        errno = written < 0 ? errno : ENOSPC; /* a short write: the disk is full */
         return _wgs_fail(error, "cannot write", "synced");
     }
     if (sync && _wgs_sync_data(s->synced_fd) != 0) {
@@ -182,7 +183,7 @@
         } else if (GUINT64_FROM_LE(slot[0]) > s->synced_seq) {
             s->synced_seq = GUINT64_FROM_LE(slot[0]);
             s->synced_index = GUINT64_FROM_LE(slot[1]);
-            s->synced_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* the other one is written next */
+            s->synced_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* next: the other synced slot */
         }
     }
     if (damaged > 0 && s->synced_seq == 0) {
@@ -279,7 +280,7 @@
     return good;
 }
 
-/* Read one segment; `last`: only there may the tail be torn. */
+/* Read one segment. Only the last segment may have a torn tail. */
 static bool _wgs_read_segment(wgs_store* s, uint64_t first, bool last, GError** error) {
     char name[_WGS_NAME_SIZE];
     _wgs_segment_name(first, name);
@@ -323,7 +324,7 @@
     return good;
 }
 
-/* ---- helpers: start ------------------------------------------------------------------------ */
+/* ---- helpers: open ------------------------------------------------------------------------- */
 
 static bool _wgs_read_snapshot(wgs_store* s, GError** error) {
     GArray* found = _wgs_list(s->desc.folder, "snapshot-");
@@ -376,7 +377,8 @@
     return _wgs_sync_folder(s->folder_fd, error);
 }
 
-/* Drop a log that does not join the snapshot: left over from before the leader's snapshot came. */
+/* Remove a log that does not continue the snapshot: a crash may have left it behind when a snapshot
+   from the leader replaced it. */
 static bool _wgs_match_log(wgs_store* s, GError** error) {
     const wgr_restored* r = &s->content.restored;
     if (s->entries->len == 0) {
@@ -387,7 +389,6 @@
     if (first->index > r->snapshot_index + 1 && s->synced_index > r->snapshot_index) {
         return _wgs_corrupt(error, "log", "entries between the snapshot and the log are missing");
     }
-    /* Else: left over from a log that the leader's snapshot replaced. */
     bool joins = first->index <= r->snapshot_index + 1 && last >= r->snapshot_index;
     if (joins && r->snapshot_index >= first->index) {
         const wgr_entry* at =
@@ -405,7 +406,7 @@
         const _wgs_segment_t* before = _wgs_last_segment(s);
         bool gap = before && first != _wgs_last_index(before) + 1;
         if (gap && _wgs_last_index(before) <= s->snapshot_index) {
-            good = _wgs_forget_log(s, error); /* removed before, but not for good */
+            good = _wgs_forget_log(s, error); /* a power loss undid their removal */
         } else if (gap) {
             good = _wgs_corrupt(error, "log", "a segment is missing");
         }
@@ -569,8 +570,8 @@
     if (!_wgs_write_synced(s, MIN(s->synced_index, from - 1), true, error)) {
         return false;
     }
-    /* The newest first, each synced before the next step: a removal that power undid would else
-       stand behind a gap, and the folder would not open (2 of 48 combinations of lost steps). */
+    /* Newest first, with a folder sync after each removal: if a power loss undid the removal of a
+       later segment only, the log would have a gap and the folder would not open. */
     while (s->segments->len > 0 && _wgs_last_segment(s)->first >= from) {
         if (!_wgs_remove_segment(s, s->segments->len - 1, error) ||
             !_wgs_sync_folder(s->folder_fd, error)) {
@@ -590,7 +591,8 @@
     return true;
 }
 
-/* Remove log segments that the snapshot covers, but for the entries kept for replicas that lag. */
+/* Remove log segments that the snapshot covers, except for entries retained for lagging replicas.
+ */
 static bool _wgs_drop_covered(wgs_store* s, uint64_t index, bool reset, GError** error) {
     if (reset && !_wgs_write_synced(s, index, true, error)) {
         return false;
@@ -605,7 +607,7 @@
             return false;
         }
     }
-    /* Start a new segment, so that the present one can be dropped later. */
+    /* Start a new segment, so that the current one can be removed after a later snapshot. */
     _wgs_segment_t* segment = _wgs_last_segment(s);
     if (segment && segment->offsets->len > (guint)s->desc.log_keep) {
         return _wgs_open_segment(s, _wgs_last_index(segment) + 1, true, error) != NULL;
--- a/lib/store/wg_store.h
+++ b/lib/store/wg_store.h
@@ -1,26 +1,27 @@
 #pragma once
 /*
-    wg_store.h -- the data folder of a control: log, snapshots and vote, synced before use
+    wg_store.h -- durable storage of a control replica: log, snapshots, term and vote
 
     WHAT IT DOES
-        Keeps what must survive a restart. Files in the folder:
-            state          identity, cluster, term and vote; replaced as a whole
-            log-<index>    segments of entries, each record with its length and checksum
-            snapshot-<i>   state at an index, with a checksum
-            synced         how far the log is known to be synced, two alternating slots
+        Stores the state of a replica that must survive a restart. Every change is synced before the
+        call returns. Files in the data folder:
+            state          identity, cluster, term and vote; replaced atomically
+            log-<index>    segments of log entries; each record has a length and a checksum
+            snapshot-<i>   state at a log index, with a checksum
+            synced         marker: index up to which the log is synced
             lock           held while a process uses the folder
 
     FEATURES
-        - a record that was being written at a crash (a torn tail) is cut off; a record that was
-          synced and is now short or damaged stops the start with the reason
-        - folders are synced after renames and removals
-        - after a failed write or sync the store is only closed: what the folder holds is then the
-          same as after a crash, and opening it again finds all that was synced. WG_ERROR_DISK says
-          that the disk takes no writes now and may later
+        - a record that was being written at a crash (a torn tail) is removed; a synced record that
+          is truncated or corrupt makes wgs_open() fail
+        - the folder is synced after renames and removals
+        - after a failed write or sync, only wgs_close() may be called: the folder is as after a
+          crash, and opening it again restores everything that was synced. WG_ERROR_DISK: the disk
+          accepts no writes now but may later (full, read-only, I/O error)
 
     USE
         1. wgs_store* s = wgs_open(&(wgs_desc){.folder = f, .fresh_identity = random}, &error);
-        2. const wgs_content* c = wgs_query_content(s);     // what was found
+        2. const wgs_content* c = wgs_query_content(s);     // the restored state
         3. wgs_truncate(); wgs_append(); wgs_save_hard_state(); wgs_save_snapshot();
         4. wgs_close(s);
 
@@ -31,55 +32,59 @@
 
 enum {
     WGS_SEGMENT_BYTES_DEFAULT = 4 << 20,
-    WGS_RECORD_MAX = 16 << 20 /* bytes; a longer length in a record is damage */
+    WGS_RECORD_MAX = 16 << 20 /* bytes of payload; a record with a larger length is corrupt */
 };
 
 typedef struct {
     const char* folder;      /* required; created when missing */
-    uint64_t fresh_identity; /* identity given to an empty folder; required */
-    uint64_t fresh_cluster;  /* cluster given to an empty folder; 0: learnt later */
+    uint64_t fresh_identity; /* identity assigned to an empty folder; required */
+    uint64_t fresh_cluster;  /* cluster assigned to an empty folder; 0: set by wgs_save_cluster() */
     size_t segment_bytes;    /* default WGS_SEGMENT_BYTES_DEFAULT */
-    int log_keep;            /* entries kept behind a snapshot, default WGR_LOG_KEEP_DEFAULT */
+    int log_keep; /* log entries retained after a snapshot; default WGR_LOG_KEEP_DEFAULT */
 } wgs_desc;
 
 typedef struct {
     uint64_t identity;
     uint64_t cluster;
-    bool fresh; /* the folder was empty */
-    bool tail_cut;
+    bool fresh;    /* the folder was empty */
+    bool tail_cut; /* a torn record at the end of the log was removed */
     wgr_restored restored;
 } wgs_content;
 
 typedef struct {
-    uint64_t syncs;
-    uint64_t bytes_written;
-    uint64_t log_bytes;
-    int segments;
-    uint64_t snapshots;
+    uint64_t syncs;         /* syncs for appends and state writes since wgs_open() */
+    uint64_t bytes_written; /* log and snapshot bytes written since wgs_open() */
+    uint64_t log_bytes;     /* current size of all log segments */
+    int segments;           /* log segments in the folder */
+    uint64_t snapshots;     /* snapshots written since wgs_open() */
 } wgs_stats;
 
 typedef struct wgs_store wgs_store;
 
-/* Open a folder and read what it holds; NULL with the reason otherwise. */
+/* Open and lock a data folder and read its content. Returns NULL on error: WG_ERROR_INVALID,
+   WG_ERROR_CORRUPT, WG_ERROR_IO or WG_ERROR_DISK. */
 wgs_store* wgs_open(const wgs_desc* desc, GError** error);
 void wgs_close(wgs_store* store);
 const wgs_content* wgs_query_content(const wgs_store* store);
-/* Release the entries and the snapshot read at the start. */
+/* Release the entries and the snapshot that wgs_open() read. */
 void wgs_forget_content(wgs_store* store);
 
+/* Save term and vote. The term must not decrease, and within one term a vote must not change. */
 bool wgs_save_hard_state(wgs_store* store, uint64_t term, uint64_t voted_for, GError** error);
-/* The cluster that this replica belongs to from now on; it has none yet, or holds nothing. */
+/* Save the cluster that this replica joins. It must have no cluster yet, or neither log nor
+   snapshot. */
 bool wgs_save_cluster(wgs_store* store, uint64_t cluster, GError** error);
-/* Go on in another cluster with what is held, from this later term on. */
+/* Switch to another cluster, keeping log and snapshot. `term` must exceed the current term; the
+   vote is cleared. */
 bool wgs_leave_cluster(wgs_store* store, uint64_t cluster, uint64_t term, GError** error);
-/* Neither a log nor a snapshot is held. */
+/* Whether the store has neither a log nor a snapshot. */
 bool wgs_is_blank(const wgs_store* store);
-/* Append entries and sync them. */
+/* Append entries and sync them. Their indexes must continue the log. */
 bool wgs_append(wgs_store* store, const wgr_entry* entries, int num, GError** error);
-/* Remove stored entries from `from` on. */
+/* Remove the entries at index `from` and later. */
 bool wgs_truncate(wgs_store* store, uint64_t from, GError** error);
-/* Store a snapshot and drop what it makes superfluous. `reset`: the log before and behind it does
-   not belong to it (it came from the leader). */
+/* Save a snapshot and remove the log segments and the snapshot that it replaces. `reset`: remove
+   the whole log, for a snapshot from the leader, which the local log may not match. */
 bool wgs_save_snapshot(wgs_store* store, uint64_t index, uint64_t term, const wgr_set* set,
                        GBytes* state, bool reset, GError** error);
 wgs_stats wgs_query_stats(const wgs_store* store);
--- a/lib/store/wg_store_file.h
+++ b/lib/store/wg_store_file.h
@@ -1,10 +1,10 @@
 #pragma once
-/* wg_store_file.h -- whole files and records with checksums; private to lib/store */
+/* wg_store_file.h -- atomic file replacement and checksummed records; private to lib/store */
 #include <sys/types.h>
 
 #include "wg_base.h"
 
-/* Record head: length (4 bytes, little endian) and checksum (8 bytes) of the payload. */
+/* Record header: length (4 bytes, little endian) and checksum (8 bytes) of the payload. */
 enum {
     _WGS_RECORD_HEAD = 12
 };
@@ -12,25 +12,29 @@
 typedef enum {
     _WGS_RECORD_DEFAULT = 0,
     _WGS_RECORD_WHOLE,
-    _WGS_RECORD_SHORT,   /* the bytes end before the record does */
-    _WGS_RECORD_DAMAGED, /* length or checksum is wrong */
+    _WGS_RECORD_SHORT,   /* the record extends beyond the end of the data */
+    _WGS_RECORD_DAMAGED, /* the length exceeds WGS_RECORD_MAX, or the checksum does not match */
     _WGS_RECORD_NUM
 } _wgs_record;
 
+/* Append a record (header and payload) to `out`. */
 void _wgs_record_append(GByteArray* out, const uint8_t* payload, size_t size);
+/* Parse the record at the start of `bytes`. `*payload` points into `bytes` and is set only for
+   _WGS_RECORD_WHOLE. */
 _wgs_record _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
                               size_t* payload_size);
-/* Write `name` in a folder so that after a crash the old or the new content stands there. */
+/* Replace a file atomically: after a crash it has either the old or the new content. */
 bool _wgs_replace_file(int folder_fd, const char* name, const GByteArray* content, GError** error);
-/* NULL without an error when the file does not exist. */
+/* Returns NULL with an error when reading fails, NULL without one when the file does not exist. */
 GByteArray* _wgs_read_file(int folder_fd, const char* name, GError** error);
 bool _wgs_sync_folder(int folder_fd, GError** error);
 bool _wgs_write_all(int fd, const uint8_t* data, size_t size, GError** error);
-/* Set an error from errno: WG_ERROR_DISK when the disk may take writes later, else WG_ERROR_IO. */
+/* Set an error from errno and return false: WG_ERROR_DISK when the disk may accept writes later,
+   else WG_ERROR_IO. */
 bool _wgs_fail(GError** error, const char* what, const char* name);
 
-/* Each call below that changes the disk goes through one of these, so that tests can let any of
-   them fail. They return what the system call of that name returns, with errno. */
+/* Wrappers for the system calls that change the disk, so that tests can inject faults. They return
+   the result of the system call and set errno. */
 ssize_t _wgs_write(int fd, const void* data, size_t size);
 ssize_t _wgs_pwrite(int fd, const void* data, size_t size, off_t at);
 int _wgs_truncate_file(int fd, off_t size);
@@ -40,7 +44,7 @@
 int _wgs_rename(int folder_fd, const char* from, const char* to);
 int _wgs_remove(int folder_fd, const char* name);
 
-/* What is about to change. */
+/* Kinds of disk changes, for fault injection. */
 typedef enum {
     _WGS_CHANGE_DEFAULT = 0,
     _WGS_CHANGE_WRITE,
@@ -53,6 +57,6 @@
     _WGS_CHANGE_NUM
 } _wgs_change;
 
-/* For tests: called before each change; returns 0, or the errno with which it is to fail. NULL:
-   none fails. */
+/* For tests: set a function that is called before each change and returns 0, or the errno with
+   which the change fails. NULL disables fault injection. */
 void _wgs_set_fault(int (*fault)(_wgs_change change, void* user_data), void* user_data);
