--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -15,8 +15,8 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGS_SYNCED_SLOT = 32,
-    _WGS_SYNCED_SLOTS = 4, /* two slots written without a sync, then two synced slots */
+    _WGS_MARKER_SLOT_SIZE = 32,
+    _WGS_MARKER_SLOTS_NUM = 4, /* two slots written without a sync, then two synced slots */
     _WGS_NAME_SIZE = 40
 };
 
@@ -33,8 +33,8 @@
     int folder_fd;
     int lock_fd;
     int synced_fd;
-    uint64_t synced_seq;
-    uint64_t synced_syncs; /* synced writes of the marker; selects the next synced slot */
+    uint64_t marker_seq;
+    uint64_t marker_syncs; /* synced writes of the marker; selects the next synced slot */
     uint64_t synced_index;
     uint64_t term;
     uint64_t voted_for;
@@ -54,7 +54,7 @@
 }
 
 /* List the indexes in the names of files with a prefix, in ascending order. */
-static GArray* _wgs_list(const char* folder, const char* prefix) {
+static GArray* _wgs_list_indexes(const char* folder, const char* prefix) {
     GArray* found = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GDir* dir = g_dir_open(folder, 0, NULL);
     const char* name;
@@ -111,7 +111,7 @@
         return false;
     }
     if (!file) {
-        GArray* logs = _wgs_list(s->desc.folder, "log-");
+        GArray* logs = _wgs_list_indexes(s->desc.folder, "log-");
         guint logs_num = logs->len;
         g_array_unref(logs);
         if (logs_num > 0) {
@@ -125,8 +125,8 @@
     const uint8_t* payload;
     size_t size;
     Wgpb__HardState* state = NULL;
-    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_WHOLE &&
-        size + _WGS_RECORD_HEAD == file->len) {
+    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_COMPLETE &&
+        size + _WGS_RECORD_HEADER_SIZE == file->len) {
         state = wgpb__hard_state__unpack(NULL, size, payload);
     }
     g_byte_array_unref(file);
@@ -145,12 +145,13 @@
    it is exact. After a power loss it may lag behind the log, and a damaged record beyond it counts
    as a torn tail. A power loss may corrupt both unsynced slots, but at most one of the two synced
    slots. */
-static bool _wgs_write_synced(wgs_store* s, uint64_t index, bool sync, GError** error) {
-    s->synced_seq++;
+static bool _wgs_write_marker(wgs_store* s, uint64_t index, bool sync, GError** error) {
+    s->marker_seq++;
     s->synced_index = index;
-    uint64_t slot[4] = {GUINT64_TO_LE(s->synced_seq), GUINT64_TO_LE(index), 0, 0};
+    uint64_t slot[4] = {GUINT64_TO_LE(s->marker_seq), GUINT64_TO_LE(index), 0, 0};
     slot[3] = GUINT64_TO_LE(wg_hash(slot, 24, 1));
-    off_t at = (off_t)(sync ? 2 + s->synced_syncs++ % 2 : s->synced_seq % 2) * _WGS_SYNCED_SLOT;
+    off_t at =
+        (off_t)(sync ? 2 + s->marker_syncs++ % 2 : s->marker_seq % 2) * _WGS_MARKER_SLOT_SIZE;
     ssize_t written = _wgs_pwrite(s->synced_fd, slot, sizeof slot, at);
     if (written != (ssize_t)sizeof slot) {
         errno = written < 0 ? errno : ENOSPC; /* a short write: the disk is full */
@@ -162,16 +163,16 @@
     return true;
 }
 
-static bool _wgs_read_synced(wgs_store* s, GError** error) {
+static bool _wgs_read_marker(wgs_store* s, GError** error) {
     s->synced_fd = _wgs_create(s->folder_fd, "synced", O_RDWR);
     if (s->synced_fd < 0) {
         return _wgs_fail(error, "cannot open", "synced");
     }
     int damaged = 0;
-    for (int i = 0; i < _WGS_SYNCED_SLOTS; i++) {
+    for (int i = 0; i < _WGS_MARKER_SLOTS_NUM; i++) {
         static const uint64_t never_written[4] = {0};
         uint64_t slot[4] = {0};
-        ssize_t got = pread(s->synced_fd, slot, sizeof slot, i * _WGS_SYNCED_SLOT);
+        ssize_t got = pread(s->synced_fd, slot, sizeof slot, i * _WGS_MARKER_SLOT_SIZE);
         if (got < 0) {
             return _wgs_fail(error, "cannot read", "synced");
         }
@@ -180,16 +181,16 @@
         }
         if (GUINT64_FROM_LE(slot[3]) != wg_hash(slot, 24, 1)) {
             damaged++;
-        } else if (GUINT64_FROM_LE(slot[0]) > s->synced_seq) {
-            s->synced_seq = GUINT64_FROM_LE(slot[0]);
+        } else if (GUINT64_FROM_LE(slot[0]) > s->marker_seq) {
+            s->marker_seq = GUINT64_FROM_LE(slot[0]);
             s->synced_index = GUINT64_FROM_LE(slot[1]);
-            s->synced_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* next: the other synced slot */
+            s->marker_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* next: the other synced slot */
         }
     }
-    if (damaged > 0 && s->synced_seq == 0) {
+    if (damaged > 0 && s->marker_seq == 0) {
         return _wgs_corrupt(error, "synced", "no slot is whole");
     }
-    return _wgs_write_synced(s, s->synced_index, true, error) &&
+    return _wgs_write_marker(s, s->synced_index, true, error) &&
            _wgs_sync_folder(s->folder_fd, error);
 }
 
@@ -265,7 +266,7 @@
     }
 }
 
-static bool _wgs_take_record(wgs_store* s, _wgs_segment_t* segment, const uint8_t* payload,
+static bool _wgs_load_record(wgs_store* s, _wgs_segment_t* segment, const uint8_t* payload,
                              size_t size) {
     Wgpb__LogEntry* in = wgpb__log_entry__unpack(NULL, size, payload);
     bool good = in && in->index == segment->first + segment->offsets->len;
@@ -297,9 +298,10 @@
     while (good && at < file->len) {
         const uint8_t* payload;
         size_t size;
-        _wgs_record record = _wgs_record_parse(file->data + at, file->len - at, &payload, &size);
+        _wgs_record_status record =
+            _wgs_record_parse(file->data + at, file->len - at, &payload, &size);
         uint64_t index = segment->first + segment->offsets->len;
-        if (record != _WGS_RECORD_WHOLE) {
+        if (record != _WGS_RECORD_COMPLETE) {
             if (!last || index <= s->synced_index) {
                 good = _wgs_corrupt(error, name, "a synced record is short or damaged");
                 break;
@@ -311,12 +313,12 @@
             }
             break;
         }
-        if (!_wgs_take_record(s, segment, payload, size)) {
+        if (!_wgs_load_record(s, segment, payload, size)) {
             good = _wgs_corrupt(error, name, "a record is out of order");
             break;
         }
         g_array_append_val(segment->offsets, at);
-        at += _WGS_RECORD_HEAD + size;
+        at += _WGS_RECORD_HEADER_SIZE + size;
     }
     segment->size = at;
     s->stats.log_bytes += at;
@@ -327,7 +329,7 @@
 /* ---- helpers: open ------------------------------------------------------------------------- */
 
 static bool _wgs_read_snapshot(wgs_store* s, GError** error) {
-    GArray* found = _wgs_list(s->desc.folder, "snapshot-");
+    GArray* found = _wgs_list_indexes(s->desc.folder, "snapshot-");
     if (found->len == 0) {
         g_array_unref(found);
         return true;
@@ -343,8 +345,8 @@
     const uint8_t* payload;
     size_t size;
     Wgpb__SnapshotFile* in = NULL;
-    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_WHOLE &&
-        size + _WGS_RECORD_HEAD == file->len) {
+    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_COMPLETE &&
+        size + _WGS_RECORD_HEADER_SIZE == file->len) {
         in = wgpb__snapshot_file__unpack(NULL, size, payload);
     }
     g_byte_array_unref(file);
@@ -367,7 +369,7 @@
 }
 
 /* Remove all segments read so far. */
-static bool _wgs_forget_log(wgs_store* s, GError** error) {
+static bool _wgs_remove_log(wgs_store* s, GError** error) {
     g_array_set_size(s->entries, 0);
     while (s->segments->len > 0) {
         if (!_wgs_remove_segment(s, s->segments->len - 1, error)) {
@@ -379,7 +381,7 @@
 
 /* Remove a log that does not continue the snapshot: a crash may have left it behind when a snapshot
    from the leader replaced it. */
-static bool _wgs_match_log(wgs_store* s, GError** error) {
+static bool _wgs_reconcile_log(wgs_store* s, GError** error) {
     const wgr_restored* r = &s->content.restored;
     if (s->entries->len == 0) {
         return true;
@@ -389,42 +391,42 @@
     if (first->index > r->snapshot_index + 1 && s->synced_index > r->snapshot_index) {
         return _wgs_corrupt(error, "log", "entries between the snapshot and the log are missing");
     }
-    bool joins = first->index <= r->snapshot_index + 1 && last >= r->snapshot_index;
-    if (joins && r->snapshot_index >= first->index) {
-        const wgr_entry* at =
+    bool is_contiguous = first->index <= r->snapshot_index + 1 && last >= r->snapshot_index;
+    if (is_contiguous && r->snapshot_index >= first->index) {
+        const wgr_entry* at_snapshot =
             &g_array_index(s->entries, wgr_entry, r->snapshot_index - first->index);
-        joins = at->term == r->snapshot_term;
+        is_contiguous = at_snapshot->term == r->snapshot_term;
     }
-    return joins || _wgs_forget_log(s, error);
+    return is_contiguous || _wgs_remove_log(s, error);
 }
 
 static bool _wgs_read_log(wgs_store* s, GError** error) {
-    GArray* found = _wgs_list(s->desc.folder, "log-");
+    GArray* found = _wgs_list_indexes(s->desc.folder, "log-");
     bool good = true;
     for (guint i = 0; i < found->len && good; i++) {
         uint64_t first = g_array_index(found, uint64_t, i);
-        const _wgs_segment_t* before = _wgs_last_segment(s);
-        bool gap = before && first != _wgs_last_index(before) + 1;
-        if (gap && _wgs_last_index(before) <= s->snapshot_index) {
-            good = _wgs_forget_log(s, error); /* a power loss undid their removal */
+        const _wgs_segment_t* previous = _wgs_last_segment(s);
+        bool gap = previous && first != _wgs_last_index(previous) + 1;
+        if (gap && _wgs_last_index(previous) <= s->snapshot_index) {
+            good = _wgs_remove_log(s, error); /* a power loss undid the removal of these segments */
         } else if (gap) {
             good = _wgs_corrupt(error, "log", "a segment is missing");
         }
         good = good && _wgs_read_segment(s, first, i + 1 == found->len, error);
     }
     g_array_unref(found);
-    if (!good || !_wgs_match_log(s, error)) {
+    if (!good || !_wgs_reconcile_log(s, error)) {
         return false;
     }
     const _wgs_segment_t* last = _wgs_last_segment(s);
-    uint64_t held = last ? _wgs_last_index(last) : 0;
-    if (MAX(held, s->snapshot_index) < s->synced_index) {
+    uint64_t last_index = last ? _wgs_last_index(last) : 0;
+    if (MAX(last_index, s->snapshot_index) < s->synced_index) {
         return _wgs_corrupt(error, "log", "synced entries are missing at its end");
     }
     return true;
 }
 
-static bool _wgs_take_folder(wgs_store* s, GError** error) {
+static bool _wgs_lock_folder(wgs_store* s, GError** error) {
     if (g_mkdir_with_parents(s->desc.folder, 0700) != 0) {
         return _wgs_fail(error, "cannot create", s->desc.folder);
     }
@@ -456,8 +458,8 @@
     s->segments = g_ptr_array_new_with_free_func(_wgs_segment_free);
     s->entries = g_array_new(FALSE, TRUE, sizeof(wgr_entry));
     g_array_set_clear_func(s->entries, _wgs_entry_clear);
-    bool good = _wgs_take_folder(s, error) && _wgs_read_state(s, error) &&
-                _wgs_read_snapshot(s, error) && _wgs_read_synced(s, error) &&
+    bool good = _wgs_lock_folder(s, error) && _wgs_read_state(s, error) &&
+                _wgs_read_snapshot(s, error) && _wgs_read_marker(s, error) &&
                 _wgs_read_log(s, error);
     if (!good) {
         wgs_close(s);
@@ -563,11 +565,11 @@
     s->stats.bytes_written += out->len;
     s->stats.syncs++;
     g_byte_array_unref(out);
-    return good && _wgs_write_synced(s, entries[num - 1].index, false, error);
+    return good && _wgs_write_marker(s, entries[num - 1].index, false, error);
 }
 
 bool wgs_truncate(wgs_store* s, uint64_t from, GError** error) {
-    if (!_wgs_write_synced(s, MIN(s->synced_index, from - 1), true, error)) {
+    if (!_wgs_write_marker(s, MIN(s->synced_index, from - 1), true, error)) {
         return false;
     }
     /* Newest first, with a folder sync after each removal: if a power loss undid the removal of a
@@ -593,8 +595,8 @@
 
 /* Remove log segments that the snapshot covers, except for entries retained for lagging replicas.
  */
-static bool _wgs_drop_covered(wgs_store* s, uint64_t index, bool reset, GError** error) {
-    if (reset && !_wgs_write_synced(s, index, true, error)) {
+static bool _wgs_compact_log(wgs_store* s, uint64_t index, bool reset, GError** error) {
+    if (reset && !_wgs_write_marker(s, index, true, error)) {
         return false;
     }
     while (s->segments->len > (reset ? 0u : 1u)) {
@@ -645,7 +647,7 @@
     }
     uint64_t old = s->snapshot_index;
     s->snapshot_index = index;
-    if (!_wgs_drop_covered(s, index, reset, error)) {
+    if (!_wgs_compact_log(s, index, reset, error)) {
         return false;
     }
     if (old > 0 && old != index) {
--- a/lib/store/wg_store.h
+++ b/lib/store/wg_store.h
@@ -32,7 +32,7 @@
 
 enum {
     WGS_SEGMENT_BYTES_DEFAULT = 4 << 20,
-    WGS_RECORD_MAX = 16 << 20 /* bytes of payload; a record with a larger length is corrupt */
+    WGS_RECORD_SIZE_MAX = 16 << 20 /* bytes of payload; a record with a larger length is corrupt */
 };
 
 typedef struct {
--- a/lib/store/wg_store_file.c
+++ b/lib/store/wg_store_file.c
@@ -18,7 +18,7 @@
     _wgs_fault_data = user_data;
 }
 
-static bool _wgs_is_let_fail(_wgs_change change) {
+static bool _wgs_inject_fault(_wgs_change change) {
     int failure = _wgs_fault ? _wgs_fault(change, _wgs_fault_data) : 0;
     if (failure) {
         errno = failure;
@@ -27,79 +27,79 @@
 }
 
 ssize_t _wgs_write(int fd, const void* data, size_t size) {
-    return _wgs_is_let_fail(_WGS_CHANGE_WRITE) ? -1 : write(fd, data, size);
+    return _wgs_inject_fault(_WGS_CHANGE_WRITE) ? -1 : write(fd, data, size);
 }
 
 ssize_t _wgs_pwrite(int fd, const void* data, size_t size, off_t at) {
-    return _wgs_is_let_fail(_WGS_CHANGE_WRITE) ? -1 : pwrite(fd, data, size, at);
+    return _wgs_inject_fault(_WGS_CHANGE_WRITE) ? -1 : pwrite(fd, data, size, at);
 }
 
 int _wgs_truncate_file(int fd, off_t size) {
-    return _wgs_is_let_fail(_WGS_CHANGE_TRUNCATE) ? -1 : ftruncate(fd, size);
+    return _wgs_inject_fault(_WGS_CHANGE_TRUNCATE) ? -1 : ftruncate(fd, size);
 }
 
 int _wgs_sync_data(int fd) {
-    return _wgs_is_let_fail(_WGS_CHANGE_SYNC_FILE) ? -1 : fdatasync(fd);
+    return _wgs_inject_fault(_WGS_CHANGE_SYNC_FILE) ? -1 : fdatasync(fd);
 }
 
 int _wgs_sync(int fd) {
-    return _wgs_is_let_fail(_WGS_CHANGE_SYNC_FILE) ? -1 : fsync(fd);
+    return _wgs_inject_fault(_WGS_CHANGE_SYNC_FILE) ? -1 : fsync(fd);
 }
 
 int _wgs_create(int folder_fd, const char* name, int flags) {
-    return _wgs_is_let_fail(_WGS_CHANGE_CREATE)
+    return _wgs_inject_fault(_WGS_CHANGE_CREATE)
                ? -1
                : openat(folder_fd, name, flags | O_CREAT | O_CLOEXEC, 0600);
 }
 
 int _wgs_rename(int folder_fd, const char* from, const char* to) {
-    return _wgs_is_let_fail(_WGS_CHANGE_RENAME) ? -1 : renameat(folder_fd, from, folder_fd, to);
+    return _wgs_inject_fault(_WGS_CHANGE_RENAME) ? -1 : renameat(folder_fd, from, folder_fd, to);
 }
 
 int _wgs_remove(int folder_fd, const char* name) {
-    return _wgs_is_let_fail(_WGS_CHANGE_REMOVE) ? -1 : unlinkat(folder_fd, name, 0);
+    return _wgs_inject_fault(_WGS_CHANGE_REMOVE) ? -1 : unlinkat(folder_fd, name, 0);
 }
 
 bool _wgs_fail(GError** error, const char* what, const char* name) {
     int reason = errno;
-    bool passing =
+    bool is_transient =
         reason == ENOSPC || reason == EDQUOT || reason == EFBIG || reason == EIO || reason == EROFS;
-    g_set_error(error, WG_ERROR, passing ? WG_ERROR_DISK : WG_ERROR_IO, "%s %s: %s", what, name,
-                g_strerror(reason));
+    g_set_error(error, WG_ERROR, is_transient ? WG_ERROR_DISK : WG_ERROR_IO, "%s %s: %s", what,
+                name, g_strerror(reason));
     return false;
 }
 
 void _wgs_record_append(GByteArray* out, const uint8_t* payload, size_t size) {
     uint32_t length = GUINT32_TO_LE((uint32_t)size);
-    uint64_t sum = GUINT64_TO_LE(wg_hash(payload, size, size));
+    uint64_t checksum = GUINT64_TO_LE(wg_hash(payload, size, size));
     g_byte_array_append(out, (const guint8*)&length, sizeof length);
-    g_byte_array_append(out, (const guint8*)&sum, sizeof sum);
+    g_byte_array_append(out, (const guint8*)&checksum, sizeof checksum);
     g_byte_array_append(out, payload, (guint)size);
 }
 
-_wgs_record _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
-                              size_t* payload_size) {
-    if (size < _WGS_RECORD_HEAD) {
-        return _WGS_RECORD_SHORT;
+_wgs_record_status _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
+                                     size_t* payload_size) {
+    if (size < _WGS_RECORD_HEADER_SIZE) {
+        return _WGS_RECORD_TRUNCATED;
     }
     uint32_t length;
-    uint64_t sum;
+    uint64_t checksum;
     memcpy(&length, bytes, sizeof length);
-    memcpy(&sum, bytes + sizeof length, sizeof sum);
+    memcpy(&checksum, bytes + sizeof length, sizeof checksum);
     length = GUINT32_FROM_LE(length);
-    sum = GUINT64_FROM_LE(sum);
-    if (length > WGS_RECORD_MAX) {
-        return _WGS_RECORD_DAMAGED;
+    checksum = GUINT64_FROM_LE(checksum);
+    if (length > WGS_RECORD_SIZE_MAX) {
+        return _WGS_RECORD_CORRUPT;
     }
-    if (size - _WGS_RECORD_HEAD < length) {
-        return _WGS_RECORD_SHORT;
+    if (size - _WGS_RECORD_HEADER_SIZE < length) {
+        return _WGS_RECORD_TRUNCATED;
     }
-    if (wg_hash(bytes + _WGS_RECORD_HEAD, length, length) != sum) {
-        return _WGS_RECORD_DAMAGED;
+    if (wg_hash(bytes + _WGS_RECORD_HEADER_SIZE, length, length) != checksum) {
+        return _WGS_RECORD_CORRUPT;
     }
-    *payload = bytes + _WGS_RECORD_HEAD;
+    *payload = bytes + _WGS_RECORD_HEADER_SIZE;
     *payload_size = length;
-    return _WGS_RECORD_WHOLE;
+    return _WGS_RECORD_COMPLETE;
 }
 
 bool _wgs_write_all(int fd, const uint8_t* data, size_t size, GError** error) {
@@ -119,7 +119,7 @@
 }
 
 bool _wgs_sync_folder(int folder_fd, GError** error) {
-    if (_wgs_is_let_fail(_WGS_CHANGE_SYNC_FOLDER) || fsync(folder_fd) != 0) {
+    if (_wgs_inject_fault(_WGS_CHANGE_SYNC_FOLDER) || fsync(folder_fd) != 0) {
         return _wgs_fail(error, "cannot sync", "data folder");
     }
     return true;
--- a/lib/store/wg_store_file.h
+++ b/lib/store/wg_store_file.h
@@ -6,23 +6,24 @@
 
 /* Record header: length (4 bytes, little endian) and checksum (8 bytes) of the payload. */
 enum {
-    _WGS_RECORD_HEAD = 12
+    _WGS_RECORD_HEADER_SIZE = 12
 };
 
 typedef enum {
-    _WGS_RECORD_DEFAULT = 0,
-    _WGS_RECORD_WHOLE,
-    _WGS_RECORD_SHORT,   /* the record extends beyond the end of the data */
-    _WGS_RECORD_DAMAGED, /* the length exceeds WGS_RECORD_MAX, or the checksum does not match */
-    _WGS_RECORD_NUM
-} _wgs_record;
+    _WGS_RECORD_STATUS_DEFAULT = 0,
+    _WGS_RECORD_COMPLETE,
+    _WGS_RECORD_TRUNCATED, /* the record extends beyond the end of the data */
+    _WGS_RECORD_CORRUPT,   /* the length exceeds WGS_RECORD_SIZE_MAX, or the checksum does not match
+                            */
+    _WGS_RECORD_STATUS_NUM
+} _wgs_record_status;
 
 /* Append a record (header and payload) to `out`. */
 void _wgs_record_append(GByteArray* out, const uint8_t* payload, size_t size);
 /* Parse the record at the start of `bytes`. `*payload` points into `bytes` and is set only for
-   _WGS_RECORD_WHOLE. */
-_wgs_record _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
-                              size_t* payload_size);
+   _WGS_RECORD_COMPLETE. */
+_wgs_record_status _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
+                                     size_t* payload_size);
 /* Replace a file atomically: after a crash it has either the old or the new content. */
 bool _wgs_replace_file(int folder_fd, const char* name, const GByteArray* content, GError** error);
 /* Returns NULL with an error when reading fails, NULL without one when the file does not exist. */
