--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -115,7 +115,7 @@
         guint logs_num = logs->len;
         g_array_unref(logs);
         if (logs_num > 0) {
-            return _wgs_corrupt(error, "state", "missing, though there is a log");
+            return _wgs_corrupt(error, "state", "missing although log segments exist");
         }
         s->content.fresh = true;
         s->content.identity = s->desc.fresh_identity;
@@ -131,7 +131,7 @@
     }
     g_byte_array_unref(file);
     if (!state) {
-        return _wgs_corrupt(error, "state", "damaged");
+        return _wgs_corrupt(error, "state", "truncated or corrupt");
     }
     s->content.identity = state->identity;
     s->content.cluster = state->cluster;
@@ -188,7 +188,7 @@
         }
     }
     if (damaged > 0 && s->marker_seq == 0) {
-        return _wgs_corrupt(error, "synced", "no slot is whole");
+        return _wgs_corrupt(error, "synced", "no slot has a valid checksum");
     }
     return _wgs_write_marker(s, s->synced_index, true, error) &&
            _wgs_sync_folder(s->folder_fd, error);
@@ -303,18 +303,18 @@
         uint64_t index = segment->first + segment->offsets->len;
         if (record != _WGS_RECORD_COMPLETE) {
             if (!last || index <= s->synced_index) {
-                good = _wgs_corrupt(error, name, "a synced record is short or damaged");
+                good = _wgs_corrupt(error, name, "a synced record is truncated or corrupt");
                 break;
             }
             s->content.tail_cut = true;
             if (_wgs_truncate_file(segment->fd, (off_t)at) != 0 ||
                 _wgs_sync_data(segment->fd) != 0) {
-                good = _wgs_fail(error, "cannot cut the tail of", name);
+                good = _wgs_fail(error, "cannot truncate the torn tail of", name);
             }
             break;
         }
         if (!_wgs_load_record(s, segment, payload, size)) {
-            good = _wgs_corrupt(error, name, "a record is out of order");
+            good = _wgs_corrupt(error, name, "a record is malformed or out of order");
             break;
         }
         g_array_append_val(segment->offsets, at);
@@ -365,7 +365,7 @@
     if (in) {
         wgpb__snapshot_file__free_unpacked(in, NULL);
     }
-    return good || _wgs_corrupt(error, name, "damaged");
+    return good || _wgs_corrupt(error, name, "truncated or corrupt");
 }
 
 /* Remove all segments read so far. */
@@ -421,7 +421,7 @@
     const _wgs_segment_t* last = _wgs_last_segment(s);
     uint64_t last_index = last ? _wgs_last_index(last) : 0;
     if (MAX(last_index, s->snapshot_index) < s->synced_index) {
-        return _wgs_corrupt(error, "log", "synced entries are missing at its end");
+        return _wgs_corrupt(error, "log", "synced entries are missing at the end");
     }
     return true;
 }
