--- a/lib/table/wg_table.c
+++ b/lib/table/wg_table.c
@@ -1,23 +1,23 @@
-/* wg_table.c -- the rows, their versions, edits and snapshots; see wg_table.h */
+/* wg_table.c -- rows, versions, edits and snapshots; see wg_table.h */
 #include "wg_table.h"
 
 #include <string.h>
 
 /* ---- types -------------------------------------------------------------------------------- */
 
-/* Rows stand in slots; a list links them in the order of their last change. */
+/* A slot holds one row and is linked into a list in the order of the last change. */
 typedef struct {
     wgt_row row;
     bool taken;
-    int newer;
-    int older;
+    int newer; /* slot of the row that changed next; -1 none */
+    int older; /* slot of the row that changed before; -1 none */
 } _wgt_slot_t;
 
 struct wgt_table {
     wgt_desc desc;
     _wgt_slot_t* slots;
-    int slots_used; /* slots below this have been used */
-    int free_slot;  /* head of the chain of freed slots, through .newer; -1 none */
+    int slots_used; /* slots at this index and above were never used */
+    int free_slot;  /* head of the free list, linked by .newer; -1 none */
     int newest;
     int oldest;
     GHashTable* by_name; /* kind and name -> slot + 1 */
@@ -26,7 +26,7 @@
     GHashTable* results; /* edit id -> wgt_result* */
     GQueue results_order;
     uint64_t version;
-    uint64_t tombstone_floor;
+    uint64_t tombstone_floor; /* newest version of a deleted row that is no longer retained */
     uint32_t next_id;
     wgt_stats stats;
 };
@@ -88,7 +88,8 @@
     }
 }
 
-/* Put a slot into the order of changes by its version; it is nearly always the newest. */
+/* Insert a slot into the change order by its version. The search starts at the newest row, since
+   most rows are inserted there. */
 static void _wgt_link(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
     int older = t->newest;
@@ -122,7 +123,7 @@
     return slot;
 }
 
-/* 64 hex digits into bytes; the row check has made sure that they are digits. */
+/* Decode 64 hex digits, which wgt_row_check() has validated. */
 static void _wgt_parse_key(const char* hex, uint8_t out[WG_KEY_HASH_SIZE]) {
     for (int i = 0; i < WG_KEY_HASH_SIZE; i++) {
         int high = g_ascii_xdigit_value(hex[2 * i]);
@@ -131,7 +132,7 @@
     }
 }
 
-/* Walk the key hashes of a workspace row. `visit` gets each as bytes. */
+/* Call `visit` with each key hash of a workspace row. */
 static void _wgt_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
                           wgt_table* t, int slot) {
     if (row->kind != WGT_KIND_WORKSPACE || row->deleted) {
@@ -189,7 +190,7 @@
     t->free_slot = slot;
 }
 
-/* Store a row, new or over the one of the same name; false when the table is full. */
+/* Insert a row or replace the row of that name; false when the table is full. */
 static bool _wgt_store(wgt_table* t, const wgt_row* row) {
     int slot = _wgt_slot_of(t, row->kind, row->name);
     if (slot >= 0) {
@@ -209,7 +210,7 @@
     return true;
 }
 
-/* Forget the oldest deletions beyond the limit. */
+/* Remove the oldest deleted rows beyond the limit. */
 static void _wgt_trim_tombstones(wgt_table* t) {
     int slot = t->oldest;
     while (slot >= 0 && t->stats.deleted > t->desc.tombstones_max) {
@@ -232,7 +233,7 @@
     g_queue_push_tail(&t->results_order, copy);
     while ((int)t->results_order.length > t->desc.results_max) {
         wgt_result* oldest = g_queue_pop_head(&t->results_order);
-        g_hash_table_remove(t->results, oldest->edit_id); /* frees it */
+        g_hash_table_remove(t->results, oldest->edit_id); /* frees `oldest` */
     }
 }
 
@@ -244,7 +245,7 @@
     result->outcome = outcome;
 }
 
-/* The row as it will stand after the edit, looking at the edit's own rows first. */
+/* Look up a row as it will be after the edit; NULL when it will not exist. */
 static const wgt_row* _wgt_after(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
                                  const char* name) {
     for (int i = 0; i < edit->rows_num; i++) {
@@ -267,7 +268,7 @@
     return false;
 }
 
-/* Refuse when one key of `row` also belongs to another workspace after the edit. */
+/* Refuse the edit when a key of `row` would also belong to another workspace. */
 static void _wgt_check_keys(wgt_table* t, const wgt_edit* edit, const wgt_row* row,
                             wgt_result* result) {
     char** keys = g_strsplit(row->workspace.keys, " ", -1);
@@ -482,7 +483,7 @@
     int num = 0;
     for (; slot >= 0; slot = t->slots[slot].newer) {
         if (num == max) {
-            /* Rows of one edit stay together: a copy resumes after a whole version. */
+            /* Do not split the rows of one edit: a copy resumes after a complete version. */
             *more = true;
             uint64_t next_version = t->slots[slot].row.version;
             while (num > 0 && rows[num - 1]->version == next_version) {
@@ -514,7 +515,7 @@
     state->tombstone_floor = t->tombstone_floor;
     state->rows = malloc(sizeof(Wgpb__Row*) * (size_t)(t->stats.rows + 1));
     for (int slot = t->oldest; slot >= 0; slot = t->slots[slot].newer) {
-        /* Through the wire form, so that the result is owned like an unpacked message. */
+        /* Pack and unpack, so that the row is allocated like the rest of the message. */
         Wgpb__Row packed;
         wgt_row_scratch scratch;
         wgt_row_pack(&t->slots[slot].row, &packed, &scratch);
--- a/lib/table/wg_table_csv.c
+++ b/lib/table/wg_table_csv.c
@@ -1,4 +1,4 @@
-/* wg_table_csv.c -- the table as a spreadsheet, over libcsv; see wg_table.h */
+/* wg_table_csv.c -- CSV import and export, over libcsv; see wg_table.h */
 #include "wg_table.h"
 
 #include <csv.h>
@@ -13,9 +13,9 @@
 typedef struct {
     wgt_kind kind;
     GArray* rows;
-    GPtrArray* fields; /* of the present line */
-    char** header;     /* column names, in the order of the file */
-    GHashTable* names; /* names seen, to find duplicate rows */
+    GPtrArray* fields; /* cells of the current line */
+    char** header;     /* column names in the order of the file; NULL before the first line */
+    GHashTable* names; /* row names read so far, to find duplicates */
     int line;
     GError* error;
 } _wgt_csv_t;
@@ -57,7 +57,7 @@
     }
 }
 
-/* A cell as JSON, so that types are checked in one place. Numbers must be whole. */
+/* Convert a cell to JSON, so that wgt_row_from_json() checks its type. Numbers must be integers. */
 static json_t* _wgt_csv_cell(wgt_kind kind, const char* column, const char* text) {
     if (strcmp(column, "deleted") == 0) {
         return json_boolean(strcmp(text, "1") == 0 || strcmp(text, "true") == 0);
--- a/lib/table/wg_table_row.c
+++ b/lib/table/wg_table_row.c
@@ -1,4 +1,4 @@
-/* wg_table_row.c -- one row: its columns, checks, wire and JSON forms; see wg_table.h */
+/* wg_table_row.c -- columns, checks, wire and JSON forms of a row; see wg_table.h */
 #include "wg_table.h"
 
 #include <event2/util.h>
@@ -200,7 +200,7 @@
 void wgt_row_init(wgt_row* row, wgt_kind kind, const char* name) {
     *row = (wgt_row){.kind = kind};
     if (!wg_copy_name(row->name, sizeof row->name, name)) {
-        row->name[0] = 0; /* an empty name fails the check */
+        row->name[0] = 0; /* wgt_row_check() refuses an empty name */
     }
     int num;
     const wgt_column* columns = wgt_columns(kind, &num);
