--- a/lib/table/wg_table.c
+++ b/lib/table/wg_table.c
@@ -66,7 +66,7 @@
     return left->kind == right->kind && strcmp(left->name, right->name) == 0;
 }
 
-static int _wgt_slot_of(const wgt_table* t, wgt_kind kind, const char* name) {
+static int _wgt_find_slot(const wgt_table* t, wgt_kind kind, const char* name) {
     wgt_row probe = {.kind = kind};
     if (!wg_copy_name(probe.name, sizeof probe.name, name)) {
         return -1;
@@ -74,7 +74,7 @@
     return GPOINTER_TO_INT(g_hash_table_lookup(t->by_name, &probe)) - 1;
 }
 
-static void _wgt_unlink(wgt_table* t, int slot) {
+static void _wgt_unlink_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
     if (s->newer >= 0) {
         t->slots[s->newer].older = s->older;
@@ -90,7 +90,7 @@
 
 /* Insert a slot into the change order by its version. The search starts at the newest row, since
    most rows are inserted there. */
-static void _wgt_link(wgt_table* t, int slot) {
+static void _wgt_link_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
     int older = t->newest;
     while (older >= 0 && t->slots[older].row.version > s->row.version) {
@@ -110,7 +110,7 @@
     }
 }
 
-static int _wgt_alloc(wgt_table* t) {
+static int _wgt_alloc_slot(wgt_table* t) {
     int slot = t->free_slot;
     if (slot >= 0) {
         t->free_slot = t->slots[slot].newer;
@@ -133,8 +133,8 @@
 }
 
 /* Call `visit` with each key hash of a workspace row. */
-static void _wgt_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
-                          wgt_table* t, int slot) {
+static void _wgt_for_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
+                              wgt_table* t, int slot) {
     if (row->kind != WGT_KIND_WORKSPACE || row->deleted) {
         return;
     }
@@ -169,7 +169,7 @@
     }
 }
 
-static void _wgt_count(wgt_table* t, const wgt_row* row, int sign) {
+static void _wgt_count_row(wgt_table* t, const wgt_row* row, int sign) {
     t->stats.rows += sign;
     if (row->deleted) {
         t->stats.deleted += sign;
@@ -180,23 +180,23 @@
 
 static void _wgt_remove_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
-    _wgt_count(t, &s->row, -1);
-    _wgt_each_key(&s->row, _wgt_key_remove, t, slot);
+    _wgt_count_row(t, &s->row, -1);
+    _wgt_for_each_key(&s->row, _wgt_key_remove, t, slot);
     g_hash_table_remove(t->by_name, &s->row);
     g_hash_table_remove(t->by_id, GUINT_TO_POINTER(s->row.id));
-    _wgt_unlink(t, slot);
+    _wgt_unlink_slot(t, slot);
     s->taken = false;
     s->newer = t->free_slot;
     t->free_slot = slot;
 }
 
 /* Insert a row or replace the row of that name; false when the table is full. */
-static bool _wgt_store(wgt_table* t, const wgt_row* row) {
-    int slot = _wgt_slot_of(t, row->kind, row->name);
+static bool _wgt_store_row(wgt_table* t, const wgt_row* row) {
+    int slot = _wgt_find_slot(t, row->kind, row->name);
     if (slot >= 0) {
         _wgt_remove_slot(t, slot);
     }
-    slot = _wgt_alloc(t);
+    slot = _wgt_alloc_slot(t);
     if (slot < 0) {
         return false;
     }
@@ -204,9 +204,9 @@
     wgt_row* stored = &t->slots[slot].row;
     g_hash_table_insert(t->by_name, stored, GINT_TO_POINTER(slot + 1));
     g_hash_table_insert(t->by_id, GUINT_TO_POINTER(stored->id), GINT_TO_POINTER(slot + 1));
-    _wgt_each_key(stored, _wgt_key_add, t, slot);
-    _wgt_link(t, slot);
-    _wgt_count(t, stored, 1);
+    _wgt_for_each_key(stored, _wgt_key_add, t, slot);
+    _wgt_link_slot(t, slot);
+    _wgt_count_row(t, stored, 1);
     return true;
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-static void _wgt_remember(wgt_table* t, const wgt_result* result) {
+static void _wgt_store_result(wgt_table* t, const wgt_result* result) {
     wgt_result* copy = g_memdup2(result, sizeof *result);
     if (g_hash_table_lookup(t->results, copy->edit_id)) {
         g_free(copy);
@@ -246,8 +246,8 @@
 }
 
 /* Look up a row as it will be after the edit; NULL when it will not exist. */
-static const wgt_row* _wgt_after(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
-                                 const char* name) {
+static const wgt_row* _wgt_row_after_edit(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
+                                          const char* name) {
     for (int i = 0; i < edit->rows_num; i++) {
         const wgt_row* row = &edit->rows[i].row;
         if (row->kind == kind && strcmp(row->name, name) == 0) {
@@ -260,7 +260,7 @@
 static bool _wgt_service_in_use(const wgt_table* t, const wgt_edit* edit, const char* service) {
     int at = -1;
     for (const wgt_row* row; (row = wgt_next(t, WGT_KIND_TARGET, &at));) {
-        const wgt_row* after = _wgt_after(t, edit, WGT_KIND_TARGET, row->name);
+        const wgt_row* after = _wgt_row_after_edit(t, edit, WGT_KIND_TARGET, row->name);
         if (after && strcmp(after->target.service, service) == 0) {
             return true;
         }
@@ -276,18 +276,20 @@
         uint8_t hash[WG_KEY_HASH_SIZE];
         _wgt_parse_key(keys[i], hash);
         const wgt_row* owner = wgt_find_key(t, hash);
-        const wgt_row* after = owner ? _wgt_after(t, edit, WGT_KIND_WORKSPACE, owner->name) : NULL;
+        const wgt_row* after =
+            owner ? _wgt_row_after_edit(t, edit, WGT_KIND_WORKSPACE, owner->name) : NULL;
         bool other = after && strcmp(after->name, row->name) != 0;
         if (other && strstr(after->workspace.keys, keys[i])) {
             _wgt_refuse(result, WGT_OUTCOME_INVALID, "workspace \"%s\": a key belongs to \"%s\"",
                         row->name, after->name);
         }
         for (int r = 0; r < edit->rows_num; r++) {
-            const wgt_row* also = &edit->rows[r].row;
-            bool skip = also == row || also->kind != WGT_KIND_WORKSPACE || also->deleted;
-            if (!skip && strstr(also->workspace.keys, keys[i])) {
+            const wgt_row* other_row = &edit->rows[r].row;
+            bool skip =
+                other_row == row || other_row->kind != WGT_KIND_WORKSPACE || other_row->deleted;
+            if (!skip && strstr(other_row->workspace.keys, keys[i])) {
                 _wgt_refuse(result, WGT_OUTCOME_INVALID, "workspaces \"%s\" and \"%s\" share a key",
-                            row->name, also->name);
+                            row->name, other_row->name);
             }
         }
     }
@@ -297,7 +299,7 @@
 static void _wgt_check_references(wgt_table* t, const wgt_edit* edit, const wgt_row* row,
                                   wgt_result* result) {
     if (row->kind == WGT_KIND_TARGET && !row->deleted &&
-        !_wgt_after(t, edit, WGT_KIND_SERVICE, row->target.service)) {
+        !_wgt_row_after_edit(t, edit, WGT_KIND_SERVICE, row->target.service)) {
         _wgt_refuse(result, WGT_OUTCOME_INVALID, "target \"%s\": no service \"%s\"", row->name,
                     row->target.service);
     }
@@ -324,8 +326,8 @@
             return;
         }
     }
-    const wgt_row* present = wgt_find(t, row->kind, row->name);
-    uint64_t version = present ? present->version : 0;
+    const wgt_row* current = wgt_find(t, row->kind, row->name);
+    uint64_t version = current ? current->version : 0;
     if (version != edit->rows[at].base_version) {
         _wgt_refuse(result, WGT_OUTCOME_CONFLICT,
                     "%s \"%s\" is at version %" G_GUINT64_FORMAT ", not %" G_GUINT64_FORMAT,
@@ -395,15 +397,15 @@
     if (result->outcome != WGT_OUTCOME_DEFAULT) {
         result->version = t->version;
         t->stats.refused++;
-        _wgt_remember(t, result);
+        _wgt_store_result(t, result);
         return;
     }
     for (int i = 0; i < edit->rows_num; i++) {
         wgt_row row = edit->rows[i].row;
-        const wgt_row* present = wgt_find(t, row.kind, row.name);
-        row.id = present ? present->id : t->next_id++;
+        const wgt_row* current = wgt_find(t, row.kind, row.name);
+        row.id = current ? current->id : t->next_id++;
         row.version = index;
-        bool stored = _wgt_store(t, &row);
+        bool stored = _wgt_store_row(t, &row);
         WG_ASSERT(stored);
     }
     t->version = index;
@@ -411,7 +413,7 @@
     result->outcome = WGT_OUTCOME_ACCEPTED;
     result->version = index;
     t->stats.accepted++;
-    _wgt_remember(t, result);
+    _wgt_store_result(t, result);
 }
 
 bool wgt_result_of(const wgt_table* t, const uint8_t* edit_id, wgt_result* result) {
@@ -423,17 +425,17 @@
 }
 
 bool wgt_put(wgt_table* t, const wgt_row* row) {
-    int slot = _wgt_slot_of(t, row->kind, row->name);
+    int slot = _wgt_find_slot(t, row->kind, row->name);
     if (slot >= 0 && t->slots[slot].row.version >= row->version) {
         return false;
     }
-    bool stored = _wgt_store(t, row);
+    bool stored = _wgt_store_row(t, row);
     _wgt_trim_tombstones(t);
     return stored;
 }
 
 void wgt_forget(wgt_table* t, wgt_kind kind, const char* name) {
-    int slot = _wgt_slot_of(t, kind, name);
+    int slot = _wgt_find_slot(t, kind, name);
     if (slot >= 0) {
         _wgt_remove_slot(t, slot);
     }
@@ -445,7 +447,7 @@
 }
 
 const wgt_row* wgt_find(const wgt_table* t, wgt_kind kind, const char* name) {
-    int slot = _wgt_slot_of(t, kind, name);
+    int slot = _wgt_find_slot(t, kind, name);
     return slot >= 0 && !t->slots[slot].row.deleted ? &t->slots[slot].row : NULL;
 }
 
@@ -547,7 +549,7 @@
     g_hash_table_remove_all(t->results);
     for (size_t i = 0; i < state->n_rows; i++) {
         wgt_row row;
-        if (!wgt_row_unpack(state->rows[i], &row) || !_wgt_store(t, &row)) {
+        if (!wgt_row_unpack(state->rows[i], &row) || !_wgt_store_row(t, &row)) {
             return false;
         }
     }
@@ -559,7 +561,7 @@
         }
         memcpy(result.edit_id, in->edit_id.data, WGT_EDIT_ID_SIZE);
         g_strlcpy(result.reason, in->reason, sizeof result.reason);
-        _wgt_remember(t, &result);
+        _wgt_store_result(t, &result);
     }
     t->version = state->version;
     t->next_id = state->next_id;
--- a/lib/table/wg_table.h
+++ b/lib/table/wg_table.h
@@ -37,9 +37,9 @@
     WGT_TOMBSTONES_DEFAULT = 2048, /* deleted rows retained for lagging copies */
     WGT_EDIT_ID_SIZE = 16,
     WGT_EDIT_ROWS_MAX = 1024,
-    WGT_REASON_MAX = 192,             /* bytes with the final zero */
-    WGT_KEYS_MAX = 4,                 /* API keys of a workspace */
-    WGT_KEYS_TEXT = WGT_KEYS_MAX * 65 /* bytes: 64 hex digits and a separator per key */
+    WGT_REASON_MAX = 192,                  /* bytes with the final zero */
+    WGT_KEYS_MAX = 4,                      /* API keys of a workspace */
+    WGT_KEYS_TEXT_SIZE = WGT_KEYS_MAX * 65 /* bytes: 64 hex digits and a separator per key */
 };
 
 typedef enum {
@@ -52,15 +52,15 @@
 
 /* Columns of a workspace. A limit of 0 means "no limit". */
 typedef struct {
-    int64_t weight;            /* relative share of capacity among workspaces */
-    int64_t rate;              /* requests per second */
-    int64_t burst;             /* requests above the rate that may arrive at once */
-    int64_t in_flight;         /* concurrent requests at targets, per router */
-    int64_t queue;             /* queued requests, per router */
-    int64_t tokens_per_minute; /* token budget, per router */
-    int64_t urgent_percent;    /* part of its share that urgent requests may use first */
-    int64_t entry_hosts;       /* entry hosts that its callers are spread over; 0: automatic */
-    char keys[WGT_KEYS_TEXT];  /* SHA-256 of each API key in hex, separated by spaces */
+    int64_t weight;                /* relative share of capacity among workspaces */
+    int64_t rate;                  /* requests per second */
+    int64_t burst;                 /* requests above the rate that may arrive at once */
+    int64_t in_flight;             /* concurrent requests at targets, per router */
+    int64_t queue;                 /* queued requests, per router */
+    int64_t tokens_per_minute;     /* token budget, per router */
+    int64_t urgent_percent;        /* part of its share that urgent requests may use first */
+    int64_t entry_hosts;           /* entry hosts that its callers are spread over; 0: automatic */
+    char keys[WGT_KEYS_TEXT_SIZE]; /* SHA-256 of each API key in hex, separated by spaces */
 } wgt_workspace;
 
 typedef struct {
--- a/lib/table/wg_table_csv.c
+++ b/lib/table/wg_table_csv.c
@@ -40,7 +40,7 @@
     g_ptr_array_add(csv->fields, g_strndup(data ? data : "", size));
 }
 
-static void _wgt_csv_take_header(_wgt_csv_t* csv) {
+static void _wgt_csv_parse_header(_wgt_csv_t* csv) {
     g_ptr_array_add(csv->fields, NULL);
     csv->header = g_strdupv((char**)csv->fields->pdata);
     bool has_name = false;
@@ -58,7 +58,7 @@
 }
 
 /* Convert a cell to JSON, so that wgt_row_from_json() checks its type. Numbers must be integers. */
-static json_t* _wgt_csv_cell(wgt_kind kind, const char* column, const char* text) {
+static json_t* _wgt_csv_cell_to_json(wgt_kind kind, const char* column, const char* text) {
     if (strcmp(column, "deleted") == 0) {
         return json_boolean(strcmp(text, "1") == 0 || strcmp(text, "true") == 0);
     }
@@ -77,7 +77,7 @@
     return json_string(text); /* NULL when it is not UTF-8 */
 }
 
-static void _wgt_csv_take_row(_wgt_csv_t* csv) {
+static void _wgt_csv_parse_row(_wgt_csv_t* csv) {
     if (csv->fields->len != g_strv_length(csv->header)) {
         _wgt_csv_fail(csv, "number of cells differs from the header's");
         return;
@@ -85,7 +85,7 @@
     json_t* json = json_object();
     for (guint i = 0; i < csv->fields->len; i++) {
         const char* text = g_ptr_array_index(csv->fields, i);
-        json_t* cell = _wgt_csv_cell(csv->kind, csv->header[i], text);
+        json_t* cell = _wgt_csv_cell_to_json(csv->kind, csv->header[i], text);
         if (!cell) {
             _wgt_csv_fail(csv, "text is not UTF-8");
         } else if (json_object_set_new(json, csv->header[i], cell) < 0) {
@@ -117,9 +117,9 @@
         return;
     }
     if (!csv->header) {
-        _wgt_csv_take_header(csv);
+        _wgt_csv_parse_header(csv);
     } else {
-        _wgt_csv_take_row(csv);
+        _wgt_csv_parse_row(csv);
     }
     g_ptr_array_set_size(csv->fields, 0);
 }
--- a/lib/table/wg_table_row.c
+++ b/lib/table/wg_table_row.c
@@ -7,10 +7,10 @@
 
 /* ---- private state ------------------------------------------------------------------------ */
 
-#define _WGT_NUMBER(part, field, low, high, dflt, text)                                            \
+#define _WGT_NUMBER(part, field, low, high, default_value, text)                                   \
     {                                                                                              \
         .name = #field, .type = WGT_COLUMN_NUMBER, .offset = offsetof(wgt_row, part.field),        \
-        .min = low, .max = high, .def = dflt, .help = text                                         \
+        .min = low, .max = high, .def = default_value, .help = text                                \
     }
 #define _WGT_TEXT(part, field, text)                                                               \
     {                                                                                              \
@@ -59,7 +59,7 @@
     return (char*)row + column->offset;
 }
 
-static bool _wgt_name_good(const char* name) {
+static bool _wgt_is_name_valid(const char* name) {
     if (!name[0] || name[0] == '-' || name[0] == '.') {
         return false;
     }
@@ -77,7 +77,7 @@
     return false;
 }
 
-static bool _wgt_keys_good(const char* keys) {
+static bool _wgt_are_keys_valid(const char* keys) {
     char** items = g_strsplit(keys, " ", -1);
     bool good = g_strv_length(items) <= WGT_KEYS_MAX;
     for (int i = 0; items[i] && good; i++) {
@@ -91,7 +91,7 @@
     return good;
 }
 
-static bool _wgt_address_good(const char* text) {
+static bool _wgt_is_address_valid(const char* text) {
     struct sockaddr_storage storage;
     int size = sizeof storage;
     const char* colon = strrchr(text, ':');
@@ -118,7 +118,7 @@
     return true;
 }
 
-static bool _wgt_repeatable_good(const char* text) {
+static bool _wgt_is_repeatable_valid(const char* text) {
     char** items = g_strsplit(text, " ", -1);
     bool good = true;
     for (int i = 0; items[i] && good; i++) {
@@ -135,7 +135,7 @@
 static bool _wgt_check_texts(const wgt_row* row, GError** error) {
     switch (row->kind) {
     case WGT_KIND_WORKSPACE:
-        if (!_wgt_keys_good(row->workspace.keys)) {
+        if (!_wgt_are_keys_valid(row->workspace.keys)) {
             return _wgt_fail(error, row, "keys", "want at most 4 SHA-256 in lower-case hex");
         }
         return true;
@@ -143,15 +143,15 @@
         if (strcmp(row->service.kind, "model") != 0 && strcmp(row->service.kind, "app") != 0) {
             return _wgt_fail(error, row, "kind", "want model or app");
         }
-        if (!_wgt_repeatable_good(row->service.repeatable)) {
+        if (!_wgt_is_repeatable_valid(row->service.repeatable)) {
             return _wgt_fail(error, row, "repeatable", "want METHOD or METHOD:/path items");
         }
         return true;
     case WGT_KIND_TARGET:
-        if (!_wgt_name_good(row->target.service)) {
+        if (!_wgt_is_name_valid(row->target.service)) {
             return _wgt_fail(error, row, "service", "want the name of a service");
         }
-        if (!_wgt_address_good(row->target.address)) {
+        if (!_wgt_is_address_valid(row->target.address)) {
             return _wgt_fail(error, row, "address", "want ip:port");
         }
         return true;
@@ -219,7 +219,7 @@
         g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "unknown kind of row");
         return false;
     }
-    if (!_wgt_name_good(row->name)) {
+    if (!_wgt_is_name_valid(row->name)) {
         return _wgt_fail(error, row, "name", "want 1..63 of letters, digits, - _ .");
     }
     if (row->deleted) {
