--- a/lib/table/wg_table.h
+++ b/lib/table/wg_table.h
@@ -71,7 +71,7 @@
     int64_t cost;          /* initial estimate of the cost of a request, tokens or milliseconds */
     int64_t retry_percent; /* retries allowed per 100 first attempts */
     int64_t resume;        /* 1: an interrupted stream may be resumed at another target */
-    int64_t over_percent;  /* slots leased beyond the slots of a target, for its queue */
+    int64_t over_percent;  /* slots leased for the queue of a target, percent of its slots */
 } wgt_service;
 
 typedef struct {
--- a/lib/table/wg_table_csv.c
+++ b/lib/table/wg_table_csv.c
@@ -35,7 +35,7 @@
         return;
     }
     if (data && memchr(data, 0, size)) {
-        _wgt_csv_fail(csv, "a cell holds a zero byte");
+        _wgt_csv_fail(csv, "a cell contains a zero byte");
     }
     g_ptr_array_add(csv->fields, g_strndup(data ? data : "", size));
 }
@@ -48,7 +48,7 @@
         has_name = has_name || strcmp(csv->header[i], "name") == 0;
         for (int j = 0; j < i; j++) {
             if (strcmp(csv->header[i], csv->header[j]) == 0) {
-                _wgt_csv_fail(csv, "a column stands twice");
+                _wgt_csv_fail(csv, "a column appears twice");
             }
         }
     }
@@ -103,7 +103,7 @@
         return;
     }
     if (!g_hash_table_add(csv->names, g_strdup(row.name))) {
-        _wgt_csv_fail(csv, "a row with this name stands above");
+        _wgt_csv_fail(csv, "a row with this name appears earlier");
         return;
     }
     g_array_append_val(csv->rows, row);
@@ -183,7 +183,7 @@
     if (csv_parse(&parser, text, size, _wgt_csv_on_field, _wgt_csv_on_line, &csv) != size ||
         csv_fini(&parser, _wgt_csv_on_field, _wgt_csv_on_line, &csv) != 0) {
         csv.line++;
-        _wgt_csv_fail(&csv, "a quote is out of place");
+        _wgt_csv_fail(&csv, "a quote is misplaced or not closed");
     }
     csv_free(&parser);
     if (!csv.header) {
--- a/lib/table/wg_table_row.c
+++ b/lib/table/wg_table_row.c
@@ -19,32 +19,36 @@
     }
 
 static const wgt_column _wgt_workspace_columns[] = {
-    _WGT_NUMBER(workspace, weight, 1, 1000000, 100, "share against other workspaces"),
+    _WGT_NUMBER(workspace, weight, 1, 1000000, 100, "relative share of capacity among workspaces"),
     _WGT_NUMBER(workspace, rate, 0, 1000000, 0, "requests per second, 0 no limit"),
-    _WGT_NUMBER(workspace, burst, 0, 1000000, 0, "requests above the rate at once"),
-    _WGT_NUMBER(workspace, in_flight, 0, 100000, 0, "requests at targets per router, 0 no limit"),
-    _WGT_NUMBER(workspace, queue, 1, 100000, 200, "waiting requests per router"),
+    _WGT_NUMBER(workspace, burst, 0, 1000000, 0, "requests above the rate that may arrive at once"),
+    _WGT_NUMBER(workspace, in_flight, 0, 100000, 0,
+                "concurrent requests at targets per router, 0 no limit"),
+    _WGT_NUMBER(workspace, queue, 1, 100000, 200, "queued requests per router"),
     _WGT_NUMBER(workspace, tokens_per_minute, 0, 1000000000, 0, "tokens per minute, 0 no limit"),
-    _WGT_NUMBER(workspace, urgent_percent, 0, 100, 20, "percent of its share for urgent requests"),
+    _WGT_NUMBER(workspace, urgent_percent, 0, 100, 20,
+                "percent of its share that urgent requests may use first"),
     _WGT_NUMBER(workspace, entry_hosts, 0, 64, 0, "entry hosts for its callers, 0 automatic"),
-    _WGT_TEXT(workspace, keys, "SHA-256 of each API key in hex, space between"),
+    _WGT_TEXT(workspace, keys, "SHA-256 of each API key in hex, separated by spaces"),
 };
 static const wgt_column _wgt_service_columns[] = {
     _WGT_TEXT(service, kind, "model or app"),
-    _WGT_TEXT(service, repeatable, "METHOD or METHOD:/path items, space between"),
-    _WGT_NUMBER(service, deadline_ms, 10, 86400000, 60000, "milliseconds for a whole request"),
-    _WGT_NUMBER(service, queue_ms, 1, 86400000, 10000, "milliseconds in the queue at most"),
-    _WGT_NUMBER(service, cost, 1, 1000000, 200, "first cost estimate, tokens or milliseconds"),
-    _WGT_NUMBER(service, retry_percent, 0, 100, 20, "retries per hundred first attempts"),
-    _WGT_NUMBER(service, resume, 0, 1, 0, "1: a broken stream resumes elsewhere"),
-    _WGT_NUMBER(service, over_percent, 0, 100, 0, "slots leased beyond the targets' own"),
+    _WGT_TEXT(service, repeatable, "METHOD or METHOD:/path items, separated by spaces"),
+    _WGT_NUMBER(service, deadline_ms, 10, 86400000, 60000, "milliseconds for a complete request"),
+    _WGT_NUMBER(service, queue_ms, 1, 86400000, 10000, "maximum milliseconds in the queue"),
+    _WGT_NUMBER(service, cost, 1, 1000000, 200, "initial cost estimate, tokens or milliseconds"),
+    _WGT_NUMBER(service, retry_percent, 0, 100, 20, "retries per 100 first attempts"),
+    _WGT_NUMBER(service, resume, 0, 1, 0,
+                "1: an interrupted stream may be resumed at another target"),
+    _WGT_NUMBER(service, over_percent, 0, 100, 0,
+                "slots leased for the queue, percent of the target's slots"),
 };
 static const wgt_column _wgt_target_columns[] = {
-    _WGT_TEXT(target, service, "name of its service"),
+    _WGT_TEXT(target, service, "name of the service"),
     _WGT_TEXT(target, address, "ip:port"),
-    _WGT_TEXT(target, data_centre, "data centre it stands in"),
-    _WGT_NUMBER(target, slots, 1, 4096, 8, "requests it works on at once"),
-    _WGT_NUMBER(target, leaving, 0, 1, 0, "1: no new work"),
+    _WGT_TEXT(target, data_centre, "data centre of the target"),
+    _WGT_NUMBER(target, slots, 1, 4096, 8, "requests that the target runs concurrently"),
+    _WGT_NUMBER(target, leaving, 0, 1, 0, "1: draining, gets no new requests"),
 };
 
 static const char* _wgt_kind_names[WGT_KIND_NUM] = {"", "workspace", "service", "target"};
