--- a/lib/config/wg_config.c
+++ b/lib/config/wg_config.c
@@ -15,7 +15,7 @@
     WG_EVENT_TOKENS_DEFAULT = 1,
     WG_CONNECTIONS_DEFAULT = 256,
     WG_PRIORITY_DEFAULT = 1,
-    WG_COLD_SECONDS_MAX = 300 /* a longer cold time is taken for a mistake */
+    WG_COLD_SECONDS_MAX = 300 /* longer cold times are refused as mistakes */
 };
 
 static bool wg_config_fail(GError** error, const char* where, const char* name, const char* what) {
--- a/lib/config/wg_config.h
+++ b/lib/config/wg_config.h
@@ -1,15 +1,15 @@
 #pragma once
 /*
-    wg_config.h -- a whole configuration: routes, services, workspaces and limits, checked as one
+    wg_config.h -- a validated configuration: routes, services, workspaces and limits
 
     WHAT IT DOES
-        Reads the operator's JSON document into typed structs, refuses it with the reason when any
-        part is wrong, and answers which route and which workspace a request belongs to.
+        Parses the operator's JSON document into typed structs, refuses it with the reason when any
+        part is invalid, and finds the route and the workspace of a request.
 
     FEATURES
-        - routes by host and longest path prefix; weighted splits over services
-        - several keys a workspace; a key that two workspaces hold makes the whole invalid
-        - unknown members are passed over, so that later documents can be read
+        - routes by host and longest path prefix; weighted splits across services
+        - several keys per workspace; a key of two workspaces makes the configuration invalid
+        - unknown members are ignored, so that documents of later versions can be read
 
     USE
         1. wg_config* c = wg_config_parse(bytes, size, &error);
@@ -18,36 +18,36 @@
         4. wg_config_unref(c);
 
     THE CALLER OWNS
-        the bytes. Routes and workspaces belong to the configuration; a request that is under way
-        holds a reference of it.
+        the bytes. Routes, services and workspaces belong to the configuration; a request holds a
+        reference to it while it runs.
 */
 #include "wg_message.h"
 
 enum {
-    WG_SPLIT_MAX = 8,
+    WG_SPLIT_MAX = 8, /* splits of a route */
     WG_ROUTES_MAX = 20000,
     WG_ATTEMPTS_MAX = 16
 };
 
-/* What may be done with a request whose outcome is not known. */
+/* How a request may be retried when it is unknown whether it ran. */
 typedef enum {
     WG_KIND_UNSAFE = 0, /* runs at most once */
     WG_KIND_SAFE,       /* may run more than once */
-    WG_KIND_STREAM      /* server-sent events; runs at most once unless it may be resumed */
+    WG_KIND_STREAM      /* server-sent events; runs at most once unless the route is resumable */
 } wg_route_kind;
 
 typedef struct {
     char* name;
-    int connections; /* most connections to one target, from all callers */
-    bool engine;     /* a model engine, with the members below */
-    int slots;
-    int64_t memory_tokens;
-    bool copies;       /* engines copy what they hold of prompts to each other */
-    wg_time tightest;  /* objective of its routes, WG_TIME_NEVER when it has none */
-    int event_tokens;  /* tokens in one event of a stream */
-    int event_calls;   /* waiting calls for cache events that one engine takes */
-    wg_time cold_time; /* for so long after a start a target is cold; 0: never */
-    double cold_rate;  /* requests a second that a cold target bears; 0: as many as any other */
+    int connections;       /* maximum connections to one target, from all callers */
+    bool engine;           /* the targets are model engines */
+    int slots;             /* requests that an engine runs concurrently */
+    int64_t memory_tokens; /* tokens that fit into the cache of an engine */
+    bool copies;           /* engines can copy cached prompt parts from each other */
+    wg_time tightest;      /* shortest objective of its routes; WG_TIME_NEVER without routes */
+    int event_tokens;      /* tokens in one event of a stream */
+    int event_calls;       /* concurrent waiting calls for cache events per engine */
+    wg_time cold_time;     /* time after a target starts during which it is cold; 0: never */
+    double cold_rate;      /* maximum requests per second to a cold target; 0: no limit */
 } wg_service;
 
 typedef struct {
@@ -58,33 +58,33 @@
 typedef struct {
     char* name;
     char* host;
-    char* prefix; /* of the path; begins and ends with a slash */
+    char* prefix; /* path prefix; begins with a slash */
     wg_route_kind kind;
     bool resumable;
-    bool open;     /* needs no key */
-    bool affinity; /* requests name the parts of their prompt */
-    int attempts;  /* targets that one request may be sent to */
-    int priority;  /* 0 is highest */
-    wg_time timeout;
-    wg_time objective; /* to the answer, or to a stream's first event */
-    wg_time pause;     /* between events of a stream */
+    bool open;         /* needs no key */
+    bool affinity;     /* requests list the parts of their prompt in a header */
+    int attempts;      /* maximum targets that a request is sent to */
+    int priority;      /* 0: highest */
+    wg_time timeout;   /* limit for the complete request */
+    wg_time objective; /* time to the answer, or to the first event of a stream */
+    wg_time pause;     /* objective for the time between events of a stream */
     wg_split splits[WG_SPLIT_MAX];
     int splits_num;
-    int weight_sum;
+    int weight_sum; /* sum of the weights of all splits */
 } wg_route;
 
 typedef struct {
     char* name;
-    uint64_t hash; /* of the name */
-    int priority;  /* -1: that of the route holds */
+    uint64_t hash; /* hash of the name */
+    int priority;  /* -1: the priority of the route applies */
 } wg_workspace;
 
 typedef struct {
-    int64_t head_bytes;
-    int64_t body_bytes;
-    wg_time head_time;
-    wg_time idle_time;
-    int64_t tokens_per_second; /* 0: not told */
+    int64_t head_bytes;        /* maximum size of a request head */
+    int64_t body_bytes;        /* maximum size of a request body */
+    wg_time head_time;         /* maximum time to receive a request head */
+    wg_time idle_time;         /* maximum time between requests and within a body */
+    int64_t tokens_per_second; /* capacity of all targets; 0: unknown */
 } wg_config_limits;
 
 typedef struct {
@@ -97,23 +97,24 @@
     wg_workspace* workspaces;
     int workspaces_num;
     wg_config_limits limits;
-    GHashTable* hosts; /* host -> GArray of wg_route*, longest prefix first */
+    GHashTable* hosts; /* host -> GPtrArray of wg_route*, longest prefix first */
     GHashTable* keys;  /* key -> wg_workspace* */
 } wg_config;
 
-/* NULL with the reason (WG_ERROR_INVALID) when the document is not a whole, valid configuration. */
+/* Parse a document. Returns NULL with WG_ERROR_INVALID when any part of it is invalid. The result
+   has one reference. */
 wg_config* wg_config_parse(const void* bytes, size_t size, GError** error);
 wg_config* wg_config_ref(wg_config* config);
 void wg_config_unref(wg_config* config);
-/* The route of a request, or NULL. `target` may hold a query. A port in `host` is passed over. */
+/* Find the route of a request, or NULL. A query in `target` and a port in `host` are ignored. */
 const wg_route* wg_config_route(const wg_config* config, wg_text host, wg_text target);
-/* The workspace that holds a key, or NULL. */
+/* Find the workspace that has a key, or NULL. */
 const wg_workspace* wg_config_workspace(const wg_config* config, wg_text key);
-/* Index of a service of this name, or -1. */
+/* Find the index of a service by its name, or -1. */
 int wg_config_service(const wg_config* config, const char* name);
-/* The longest cold time of all services. */
+/* Maximum cold time of all services. */
 wg_time wg_config_cold_time(const wg_config* config);
-/* Service of one request, by its route's weights and a random number. */
+/* Select the service of a request, by the weights of the route and a random number. */
 int wg_route_pick(const wg_route* route, uint64_t random);
-/* May a request on the route run again although it may have run before? */
+/* Whether a request on the route may be sent again although it may have run. */
 bool wg_route_is_repeatable(const wg_route* route);
