--- a/lib/config/wg_config.c
+++ b/lib/config/wg_config.c
@@ -34,7 +34,7 @@
 
 /* ---- services ------------------------------------------------------------------------------ */
 
-static bool wg_parse_cold(const json_t* json, wg_service* service, GError** error) {
+static bool wg_parse_cold_start(const json_t* json, wg_service* service, GError** error) {
     double seconds = json_number_value(json_object_get(json, "cold_s"));
     double rate = json_number_value(json_object_get(json, "cold_per_second"));
     if (!(seconds >= 0 && seconds <= WG_COLD_SECONDS_MAX) || !(rate >= 0)) {
@@ -53,7 +53,7 @@
     service->name = g_strdup(name);
     service->tightest = WG_TIME_NEVER;
     service->connections = (int)wg_json_number(json, "connections", WG_CONNECTIONS_DEFAULT);
-    if (!wg_parse_cold(json, service, error)) {
+    if (!wg_parse_cold_start(json, service, error)) {
         return false;
     }
     const json_t* engine = json_object_get(json, "engine");
@@ -98,14 +98,14 @@
     if (index < 0) {
         return wg_config_fail(error, "route", route->name, "names an unknown service");
     }
-    if (weight < 0 || weight > G_MAXINT / WG_SPLIT_MAX || route->splits_num == WG_SPLIT_MAX) {
+    if (weight < 0 || weight > G_MAXINT / WG_SPLITS_MAX || route->splits_num == WG_SPLITS_MAX) {
         return wg_config_fail(error, "route", route->name, "has a wrong weight or too many");
     }
     route->splits[route->splits_num++] = (wg_split){index, (int)weight};
     route->weight_sum += (int)weight;
     if (weight > 0) {
-        wg_service* serves = &c->services[index];
-        serves->tightest = MIN(serves->tightest, route->objective);
+        wg_service* split_service = &c->services[index];
+        split_service->tightest = MIN(split_service->tightest, route->objective);
     }
     return true;
 }
@@ -130,8 +130,9 @@
 }
 
 static bool wg_parse_kind(wg_route* route, const char* kind, GError** error) {
-    static const char* const names[] = {
-        [WG_KIND_UNSAFE] = "unsafe", [WG_KIND_SAFE] = "safe", [WG_KIND_STREAM] = "stream"};
+    static const char* const names[] = {[WG_ROUTE_KIND_UNSAFE] = "unsafe",
+                                        [WG_ROUTE_KIND_SAFE] = "safe",
+                                        [WG_ROUTE_KIND_STREAM] = "stream"};
     for (size_t i = 0; kind && i < G_N_ELEMENTS(names); i++) {
         if (strcmp(kind, names[i]) == 0) {
             route->kind = (wg_route_kind)i;
@@ -200,9 +201,9 @@
         GPtrArray* list = value;
         g_ptr_array_sort(list, wg_compare_prefixes);
         for (guint i = 1; i < list->len; i++) {
-            const wg_route* before = list->pdata[i - 1];
+            const wg_route* previous = list->pdata[i - 1];
             const wg_route* route = list->pdata[i];
-            if (strcmp(before->prefix, route->prefix) == 0) {
+            if (strcmp(previous->prefix, route->prefix) == 0) {
                 return wg_config_fail(error, "route", route->name,
                                       "shares host and prefix with another");
             }
@@ -282,11 +283,11 @@
 /* ---- public functions ---------------------------------------------------------------------- */
 
 wg_config* wg_config_parse(const void* bytes, size_t size, GError** error) {
-    json_error_t problem;
-    json_t* json = json_loadb(bytes, size, JSON_REJECT_DUPLICATES, &problem);
+    json_error_t parse_error;
+    json_t* json = json_loadb(bytes, size, JSON_REJECT_DUPLICATES, &parse_error);
     if (!json_is_object(json)) {
         g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "the document cannot be read: %s",
-                    json ? "not an object" : problem.text);
+                    json ? "not an object" : parse_error.text);
         json_decref(json);
         return NULL;
     }
@@ -383,11 +384,11 @@
 }
 
 wg_time wg_config_cold_time(const wg_config* c) {
-    wg_time longest = 0;
+    wg_time max_cold_time = 0;
     for (int i = 0; i < c->services_num; i++) {
-        longest = MAX(longest, c->services[i].cold_time);
+        max_cold_time = MAX(max_cold_time, c->services[i].cold_time);
     }
-    return longest;
+    return max_cold_time;
 }
 
 int wg_route_pick(const wg_route* route, uint64_t random) {
@@ -402,5 +403,6 @@
 }
 
 bool wg_route_is_repeatable(const wg_route* route) {
-    return route->kind == WG_KIND_SAFE || (route->kind == WG_KIND_STREAM && route->resumable);
+    return route->kind == WG_ROUTE_KIND_SAFE ||
+           (route->kind == WG_ROUTE_KIND_STREAM && route->resumable);
 }
--- a/lib/config/wg_config.h
+++ b/lib/config/wg_config.h
@@ -24,16 +24,16 @@
 #include "wg_message.h"
 
 enum {
-    WG_SPLIT_MAX = 8, /* splits of a route */
+    WG_SPLITS_MAX = 8, /* splits of a route */
     WG_ROUTES_MAX = 20000,
     WG_ATTEMPTS_MAX = 16
 };
 
 /* How a request may be retried when it is unknown whether it ran. */
 typedef enum {
-    WG_KIND_UNSAFE = 0, /* runs at most once */
-    WG_KIND_SAFE,       /* may run more than once */
-    WG_KIND_STREAM      /* server-sent events; runs at most once unless the route is resumable */
+    WG_ROUTE_KIND_UNSAFE = 0, /* runs at most once */
+    WG_ROUTE_KIND_SAFE,       /* may run more than once */
+    WG_ROUTE_KIND_STREAM /* server-sent events; runs at most once unless the route is resumable */
 } wg_route_kind;
 
 typedef struct {
@@ -68,7 +68,7 @@
     wg_time timeout;   /* limit for the complete request */
     wg_time objective; /* time to the answer, or to the first event of a stream */
     wg_time pause;     /* objective for the time between events of a stream */
-    wg_split splits[WG_SPLIT_MAX];
+    wg_split splits[WG_SPLITS_MAX];
     int splits_num;
     int weight_sum; /* sum of the weights of all splits */
 } wg_route;
