--- a/lib/config/wg_config.c
+++ b/lib/config/wg_config.c
@@ -38,7 +38,8 @@
     double seconds = json_number_value(json_object_get(json, "cold_s"));
     double rate = json_number_value(json_object_get(json, "cold_per_second"));
     if (!(seconds >= 0 && seconds <= WG_COLD_SECONDS_MAX) || !(rate >= 0)) {
-        return wg_config_fail(error, "service", service->name, "has a wrong cold time or rate");
+        return wg_config_fail(error, "service", service->name,
+                              "has cold_s or cold_per_second out of range");
     }
     service->cold_time = (wg_time)(seconds * WG_USEC_PER_SEC);
     service->cold_rate = rate;
@@ -71,7 +72,7 @@
 
 static bool wg_parse_services(wg_config* c, const json_t* list, GError** error) {
     if (!json_is_array(list)) {
-        return wg_config_fail(error, "services", NULL, "is not a list");
+        return wg_config_fail(error, "services", NULL, "must be an array");
     }
     c->services = g_new0(wg_service, json_array_size(list) + 1);
     for (size_t i = 0; i < json_array_size(list); i++) {
@@ -81,7 +82,7 @@
             return false;
         }
         if (wg_config_service(c, service->name) >= 0) {
-            wg_config_fail(error, "service", service->name, "stands twice");
+            wg_config_fail(error, "service", service->name, "is defined twice");
             g_free(service->name);
             return false;
         }
@@ -99,7 +100,7 @@
         return wg_config_fail(error, "route", route->name, "names an unknown service");
     }
     if (weight < 0 || weight > G_MAXINT / WG_SPLITS_MAX || route->splits_num == WG_SPLITS_MAX) {
-        return wg_config_fail(error, "route", route->name, "has a wrong weight or too many");
+        return wg_config_fail(error, "route", route->name, "has a wrong weight or too many splits");
     }
     route->splits[route->splits_num++] = (wg_split){index, (int)weight};
     route->weight_sum += (int)weight;
@@ -124,7 +125,7 @@
         }
     }
     if (route->weight_sum <= 0) {
-        return wg_config_fail(error, "route", route->name, "its weights add up to 0");
+        return wg_config_fail(error, "route", route->name, "has weights that add up to 0");
     }
     return true;
 }
@@ -148,13 +149,14 @@
     const char* prefix = wg_json_text(json, "path_prefix");
     route->name = g_strdup(wg_json_text(json, "name"));
     if (!route->name || !host || !prefix || prefix[0] != '/') {
-        return wg_config_fail(error, "route", route->name, "lacks its name, host or path_prefix");
+        return wg_config_fail(error, "route", route->name,
+                              "must have a name, a host and a path_prefix that begins with /");
     }
     route->host = g_ascii_strdown(host, -1);
     route->prefix = g_strdup(prefix);
     route->timeout = wg_json_number(json, "timeout_ms", 0) * WG_USEC_PER_MSEC;
     if (route->timeout <= 0) {
-        return wg_config_fail(error, "route", route->name, "has no timeout_ms above 0");
+        return wg_config_fail(error, "route", route->name, "must have timeout_ms above 0");
     }
     route->objective = wg_json_number(json, "objective_ms", 0) * WG_USEC_PER_MSEC;
     route->objective = route->objective > 0 ? route->objective : route->timeout;
@@ -205,7 +207,7 @@
             const wg_route* route = list->pdata[i];
             if (strcmp(previous->prefix, route->prefix) == 0) {
                 return wg_config_fail(error, "route", route->name,
-                                      "shares host and prefix with another");
+                                      "shares host and prefix with another route");
             }
         }
     }
@@ -214,7 +216,8 @@
 
 static bool wg_parse_routes(wg_config* c, const json_t* list, GError** error) {
     if (!json_is_array(list) || json_array_size(list) > WG_ROUTES_MAX) {
-        return wg_config_fail(error, "routes", NULL, "is not a list, or too long");
+        return wg_config_fail(error, "routes", NULL,
+                              "must be an array within the maximum number of routes");
     }
     c->routes = g_new0(wg_route, json_array_size(list) + 1);
     for (size_t i = 0; i < json_array_size(list); i++) {
@@ -233,7 +236,7 @@
     const char* name = wg_json_text(json, "name");
     const json_t* keys = json_object_get(json, "keys");
     if (!name || !name[0] || !json_is_array(keys)) {
-        return wg_config_fail(error, "workspace", name, "lacks its name or its list of keys");
+        return wg_config_fail(error, "workspace", name, "must have a name and an array of keys");
     }
     workspace->name = g_strdup(name);
     workspace->hash = wg_hash(name, strlen(name), 0);
@@ -241,11 +244,12 @@
     for (size_t i = 0; i < json_array_size(keys); i++) {
         const char* key = json_string_value(json_array_get(keys, i));
         if (!key || !key[0]) {
-            return wg_config_fail(error, "workspace", name, "has a key that is not a text");
+            return wg_config_fail(error, "workspace", name,
+                                  "has a key that is empty or not a string");
         }
         const wg_workspace* other = g_hash_table_lookup(c->keys, key);
         if (other && other != workspace) {
-            return wg_config_fail(error, "workspace", name, "shares a key with another");
+            return wg_config_fail(error, "workspace", name, "shares a key with another workspace");
         }
         if (!other) {
             g_hash_table_insert(c->keys, g_strdup(key), workspace);
@@ -259,7 +263,7 @@
         return true;
     }
     if (!json_is_array(list)) {
-        return wg_config_fail(error, "workspaces", NULL, "is not a list");
+        return wg_config_fail(error, "workspaces", NULL, "must be an array");
     }
     c->workspaces = g_new0(wg_workspace, json_array_size(list) + 1);
     for (size_t i = 0; i < json_array_size(list); i++) {
@@ -299,7 +303,7 @@
     const json_t* version = json_object_get(json, "version");
     bool good = json_is_integer(version) && json_integer_value(version) > 0;
     if (!good) {
-        wg_config_fail(error, "configuration", NULL, "has no whole version above 0");
+        wg_config_fail(error, "configuration", NULL, "must have an integer version above 0");
     }
     c->version = good ? (uint64_t)json_integer_value(version) : 0;
     wg_parse_limits(c, json_object_get(json, "limits"));
