--- a/lib/settings/wg_settings.h
+++ b/lib/settings/wg_settings.h
@@ -1,14 +1,16 @@
 #pragma once
 /*
-    wg_settings.h -- checked settings in INI form, over GLib's key files
+    wg_settings.h -- validated settings from INI files, over GLib's key files
 
     WHAT IT DOES
         Reads an INI file into a plain struct by a list of keys, each with type, unit, default,
-   range and a comment. Anything that is not on the list is an error that names file, group and key.
+        range and description. A key that is not on the list is an error, as is an invalid value;
+        errors name file, group and key.
 
     FEATURES
-        - numbers with ranges, texts, addresses, lists, file contents (for keys that are secrets)
-        - prints the settings in force, and the list as a Markdown table for docs/SETTINGS.md
+        - numbers with ranges, texts, addresses, lists, and secrets that are read from a file
+        - prints the effective settings, and the list of keys as a Markdown table for
+          docs/SETTINGS.md
 
     USE
         1. static const wgi_key keys[] = {WGI_NUMBER(my_settings, "router", limit, ...), ...};
@@ -17,7 +19,7 @@
         4. wgi_clear(keys, num, &settings);
 
     THE CALLER OWNS
-        the struct; texts in it are allocated and freed by wgi_clear().
+        the settings struct. Texts in it are allocated by wgi_load() and freed by wgi_clear().
 */
 #include "wg_base.h"
 
@@ -26,23 +28,25 @@
     WGI_TYPE_NUMBER,  /* int64_t */
     WGI_TYPE_TEXT,    /* char* */
     WGI_TYPE_ADDRESS, /* char*, "ip:port" */
-    WGI_TYPE_LIST,    /* char**, items between spaces or commas */
-    WGI_TYPE_SECRET,  /* char*, first line of the file that is named; never printed */
+    WGI_TYPE_LIST,    /* char**, items separated by spaces, tabs or commas */
+    WGI_TYPE_SECRET,  /* char*, first line of the file that the value names; never printed */
     WGI_TYPE_NUM
 } wgi_type;
 
+/* One key of a settings file. */
 typedef struct {
     const char* group;
     const char* key;
     wgi_type type;
-    size_t offset;
-    int64_t min;
-    int64_t max;
-    const char* def; /* NULL: the key is required */
+    size_t offset;   /* of the field in the settings struct */
+    int64_t min;     /* numbers only */
+    int64_t max;     /* numbers only */
+    const char* def; /* default as text; NULL: the key is required */
     const char* unit;
     const char* help;
 } wgi_key;
 
+/* Initialisers of a wgi_key; the field has the name of the key. */
 #define WGI_NUMBER(type_, group_, field, def_, min_, max_, unit_, help_)                           \
     {                                                                                              \
         .group = group_, .key = #field, .type = WGI_TYPE_NUMBER, .offset = offsetof(type_, field), \
@@ -54,10 +58,12 @@
         .offset = offsetof(type_, field), .def = def_, .unit = "", .help = help_                   \
     }
 
-/* Fill `settings`; false with an error that names file, group and key. */
+/* Read a file into `settings`, zero-initialised by the caller. Returns false with WG_ERROR_INVALID
+   on error; `settings` may then be filled in part and must still be cleared. */
 bool wgi_load(const char* path, const wgi_key* keys, int num, void* settings, GError** error);
-/* All keys with their values, as an INI file on standard output. */
+/* Print all keys except secrets with their values, as an INI file, to standard output. */
 void wgi_print(const wgi_key* keys, int num, const void* settings);
-/* The list of keys as a Markdown table on standard output. */
+/* Print the list of keys as a Markdown table to standard output. */
 void wgi_print_help(const wgi_key* keys, int num);
+/* Free the texts in `settings`. */
 void wgi_clear(const wgi_key* keys, int num, void* settings);
