--- a/lib/settings/wg_settings.c
+++ b/lib/settings/wg_settings.c
@@ -18,8 +18,8 @@
     return false;
 }
 
-static bool _wgi_take_number(const char* path, const wgi_key* key, const char* text, void* settings,
-                             GError** error) {
+static bool _wgi_parse_number(const char* path, const wgi_key* key, const char* text,
+                              void* settings, GError** error) {
     gint64 value;
     if (!g_ascii_string_to_signed(text, 10, key->min, key->max, &value, NULL)) {
         char why[128];
@@ -32,14 +32,14 @@
     return true;
 }
 
-static bool _wgi_is_address(const char* text) {
+static bool _wgi_is_address_valid(const char* text) {
     struct sockaddr_storage storage;
     int size = sizeof storage;
     return strrchr(text, ':') &&
            evutil_parse_sockaddr_port(text, (struct sockaddr*)&storage, &size) == 0;
 }
 
-static char** _wgi_split(const char* text) {
+static char** _wgi_split_list(const char* text) {
     char** raw = g_strsplit_set(text, " ,\t", -1);
     GPtrArray* items = g_ptr_array_new();
     for (int i = 0; raw[i]; i++) {
@@ -52,7 +52,7 @@
     return (char**)g_ptr_array_free(items, FALSE);
 }
 
-static bool _wgi_take_secret(const char* path, const wgi_key* key, const char* text, void* settings,
+static bool _wgi_read_secret(const char* path, const wgi_key* key, const char* text, void* settings,
                              GError** error) {
     char* content = NULL;
     if (text[0] && !g_file_get_contents(text, &content, NULL, NULL)) {
@@ -69,30 +69,30 @@
     return true;
 }
 
-static bool _wgi_take(const char* path, const wgi_key* key, const char* text, void* settings,
-                      GError** error) {
+static bool _wgi_parse_value(const char* path, const wgi_key* key, const char* text, void* settings,
+                             GError** error) {
     switch (key->type) {
     case WGI_TYPE_NUMBER:
-        return _wgi_take_number(path, key, text, settings, error);
+        return _wgi_parse_number(path, key, text, settings, error);
     case WGI_TYPE_ADDRESS:
-        if (text[0] && !_wgi_is_address(text)) {
+        if (text[0] && !_wgi_is_address_valid(text)) {
             return _wgi_fail(error, path, key, "want ip:port");
         }
         *(char**)_wgi_field(key, settings) = g_strdup(text);
         return true;
     case WGI_TYPE_LIST:
-        *(char***)_wgi_field(key, settings) = _wgi_split(text);
+        *(char***)_wgi_field(key, settings) = _wgi_split_list(text);
         return true;
     case WGI_TYPE_SECRET:
-        return _wgi_take_secret(path, key, text, settings, error);
+        return _wgi_read_secret(path, key, text, settings, error);
     default:
         *(char**)_wgi_field(key, settings) = g_strdup(text);
         return true;
     }
 }
 
-static bool _wgi_check_unknown(const char* path, GKeyFile* file, const wgi_key* keys, int num,
-                               GError** error) {
+static bool _wgi_check_unknown_keys(const char* path, GKeyFile* file, const wgi_key* keys, int num,
+                                    GError** error) {
     char** groups = g_key_file_get_groups(file, NULL);
     bool good = true;
     for (int g = 0; groups[g] && good; g++) {
@@ -126,14 +126,14 @@
         g_key_file_free(file);
         return false;
     }
-    bool good = _wgi_check_unknown(path, file, keys, num, error);
+    bool good = _wgi_check_unknown_keys(path, file, keys, num, error);
     for (int i = 0; i < num && good; i++) {
         char* text = g_key_file_get_value(file, keys[i].group, keys[i].key, NULL);
         if (!text && !keys[i].def) {
             good = _wgi_fail(error, path, &keys[i], "required key is missing");
         } else {
-            good =
-                _wgi_take(path, &keys[i], text ? g_strstrip(text) : keys[i].def, settings, error);
+            good = _wgi_parse_value(path, &keys[i], text ? g_strstrip(text) : keys[i].def, settings,
+                                    error);
         }
         g_free(text);
     }
