--- a/lib/settings/wg_settings.c
+++ b/lib/settings/wg_settings.c
@@ -24,7 +24,7 @@
     if (!g_ascii_string_to_signed(text, 10, key->min, key->max, &value, NULL)) {
         char why[128];
         g_snprintf(why, sizeof why,
-                   "\"%.40s\" is not a whole number within %" G_GINT64_FORMAT "..%" G_GINT64_FORMAT,
+                   "\"%.40s\" is not an integer within %" G_GINT64_FORMAT "..%" G_GINT64_FORMAT,
                    text, key->min, key->max);
         return _wgi_fail(error, path, key, why);
     }
@@ -56,14 +56,15 @@
                              GError** error) {
     char* content = NULL;
     if (text[0] && !g_file_get_contents(text, &content, NULL, NULL)) {
-        return _wgi_fail(error, path, key, "the file it names cannot be read");
+        return _wgi_fail(error, path, key, "the file that the value names cannot be read");
     }
     if (content) {
         content[strcspn(content, "\r\n")] = 0;
     }
     if (content && strlen(content) < 16) {
         g_free(content);
-        return _wgi_fail(error, path, key, "the key in the file is shorter than 16 characters");
+        return _wgi_fail(error, path, key,
+                         "the first line of the file is shorter than 16 characters");
     }
     *(char**)_wgi_field(key, settings) = content ? content : g_strdup("");
     return true;
--- a/lib/settings/wg_settings.h
+++ b/lib/settings/wg_settings.h
@@ -33,7 +33,6 @@
     WGI_TYPE_NUM
 } wgi_type;
 
-/* One key of a settings file. */
 typedef struct {
     const char* group;
     const char* key;
