--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -15,12 +15,12 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGS_SYNCED_SLOT = 32,
-    _WGS_SYNCED_SLOTS = 4, /* two written without a sync, then two that are synced */
+    _WGS_MARKER_SLOT_SIZE = 32,
+    _WGS_MARKER_SLOTS_NUM = 4, /* two slots written without a sync, then two synced slots */
     _WGS_NAME_SIZE = 40
 };
 
-/* A log file; offsets[i] is where the record of entry first + i begins. */
+/* A log file; offsets[i] is the file offset of the record of entry first + i. */
 typedef struct {
     uint64_t first;
     int fd;
@@ -33,14 +33,14 @@
     int folder_fd;
     int lock_fd;
     int synced_fd;
-    uint64_t synced_seq;
-    uint64_t synced_syncs; /* of the marker */
+    uint64_t marker_seq;
+    uint64_t marker_syncs; /* synced writes of the marker; selects the next synced slot */
     uint64_t synced_index;
     uint64_t term;
     uint64_t voted_for;
     uint64_t snapshot_index;
     GPtrArray* segments; /* _wgs_segment_t*, oldest first */
-    GArray* entries;     /* wgr_entry, as read at start */
+    GArray* entries;     /* wgr_entry, read by wgs_open() */
     wgs_content content;
     wgs_stats stats;
 };
@@ -53,8 +53,8 @@
     return left < right ? -1 : left > right ? 1 : 0;
 }
 
-/* Indexes in the names of the files with a prefix, ascending. */
-static GArray* _wgs_list(const char* folder, const char* prefix) {
+/* List the indexes in the names of files with a prefix, in ascending order. */
+static GArray* _wgs_list_indexes(const char* folder, const char* prefix) {
     GArray* found = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GDir* dir = g_dir_open(folder, 0, NULL);
     const char* name;
@@ -111,11 +111,11 @@
         return false;
     }
     if (!file) {
-        GArray* logs = _wgs_list(s->desc.folder, "log-");
+        GArray* logs = _wgs_list_indexes(s->desc.folder, "log-");
         guint logs_num = logs->len;
         g_array_unref(logs);
         if (logs_num > 0) {
-            return _wgs_corrupt(error, "state", "missing, though there is a log");
+            return _wgs_corrupt(error, "state", "missing although log segments exist");
         }
         s->content.fresh = true;
         s->content.identity = s->desc.fresh_identity;
@@ -125,13 +125,13 @@
     const uint8_t* payload;
     size_t size;
     Wgpb__HardState* state = NULL;
-    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_WHOLE &&
-        size + _WGS_RECORD_HEAD == file->len) {
+    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_COMPLETE &&
+        size + _WGS_RECORD_HEADER_SIZE == file->len) {
         state = wgpb__hard_state__unpack(NULL, size, payload);
     }
     g_byte_array_unref(file);
     if (!state) {
-        return _wgs_corrupt(error, "state", "damaged");
+        return _wgs_corrupt(error, "state", "truncated or corrupt");
     }
     s->content.identity = state->identity;
     s->content.cluster = state->cluster;
@@ -141,18 +141,20 @@
     return true;
 }
 
-/* The marker is written after the log is synced, without a sync of its own: a process that is
-   killed leaves it exact; after a power cut it may lag, which only makes the tail count as torn.
-   A power cut may spoil both unsynced slots; of the two synced ones, one is always whole. */
-static bool _wgs_write_synced(wgs_store* s, uint64_t index, bool sync, GError** error) {
-    s->synced_seq++;
+/* The marker is written after the log is synced, without a sync of its own. After a process crash
+   it is exact. After a power loss it may lag behind the log, and a damaged record beyond it counts
+   as a torn tail. A power loss may corrupt both unsynced slots, but at most one of the two synced
+   slots. */
+static bool _wgs_write_marker(wgs_store* s, uint64_t index, bool sync, GError** error) {
+    s->marker_seq++;
     s->synced_index = index;
-    uint64_t slot[4] = {GUINT64_TO_LE(s->synced_seq), GUINT64_TO_LE(index), 0, 0};
+    uint64_t slot[4] = {GUINT64_TO_LE(s->marker_seq), GUINT64_TO_LE(index), 0, 0};
     slot[3] = GUINT64_TO_LE(wg_hash(slot, 24, 1));
-    off_t at = (off_t)(sync ? 2 + s->synced_syncs++ % 2 : s->synced_seq % 2) * _WGS_SYNCED_SLOT;
+    off_t at =
+        (off_t)(sync ? 2 + s->marker_syncs++ % 2 : s->marker_seq % 2) * _WGS_MARKER_SLOT_SIZE;
     ssize_t written = _wgs_pwrite(s->synced_fd, slot, sizeof slot, at);
     if (written != (ssize_t)sizeof slot) {
-        errno = written < 0 ? errno : ENOSPC; /* a part only: there is no room */
+        errno = written < 0 ? errno : ENOSPC; /* a short write: the disk is full */
         return _wgs_fail(error, "cannot write", "synced");
     }
     if (sync && _wgs_sync_data(s->synced_fd) != 0) {
@@ -161,16 +163,16 @@
     return true;
 }
 
-static bool _wgs_read_synced(wgs_store* s, GError** error) {
+static bool _wgs_read_marker(wgs_store* s, GError** error) {
     s->synced_fd = _wgs_create(s->folder_fd, "synced", O_RDWR);
     if (s->synced_fd < 0) {
         return _wgs_fail(error, "cannot open", "synced");
     }
     int damaged = 0;
-    for (int i = 0; i < _WGS_SYNCED_SLOTS; i++) {
+    for (int i = 0; i < _WGS_MARKER_SLOTS_NUM; i++) {
         static const uint64_t never_written[4] = {0};
         uint64_t slot[4] = {0};
-        ssize_t got = pread(s->synced_fd, slot, sizeof slot, i * _WGS_SYNCED_SLOT);
+        ssize_t got = pread(s->synced_fd, slot, sizeof slot, i * _WGS_MARKER_SLOT_SIZE);
         if (got < 0) {
             return _wgs_fail(error, "cannot read", "synced");
         }
@@ -179,16 +181,16 @@
         }
         if (GUINT64_FROM_LE(slot[3]) != wg_hash(slot, 24, 1)) {
             damaged++;
-        } else if (GUINT64_FROM_LE(slot[0]) > s->synced_seq) {
-            s->synced_seq = GUINT64_FROM_LE(slot[0]);
+        } else if (GUINT64_FROM_LE(slot[0]) > s->marker_seq) {
+            s->marker_seq = GUINT64_FROM_LE(slot[0]);
             s->synced_index = GUINT64_FROM_LE(slot[1]);
-            s->synced_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* the other one is written next */
+            s->marker_syncs = i < 2 ? 0 : (uint64_t)i - 1; /* next: the other synced slot */
         }
     }
-    if (damaged > 0 && s->synced_seq == 0) {
-        return _wgs_corrupt(error, "synced", "no slot is whole");
+    if (damaged > 0 && s->marker_seq == 0) {
+        return _wgs_corrupt(error, "synced", "no slot has a valid checksum");
     }
-    return _wgs_write_synced(s, s->synced_index, true, error) &&
+    return _wgs_write_marker(s, s->synced_index, true, error) &&
            _wgs_sync_folder(s->folder_fd, error);
 }
 
@@ -264,7 +266,7 @@
     }
 }
 
-static bool _wgs_take_record(wgs_store* s, _wgs_segment_t* segment, const uint8_t* payload,
+static bool _wgs_load_record(wgs_store* s, _wgs_segment_t* segment, const uint8_t* payload,
                              size_t size) {
     Wgpb__LogEntry* in = wgpb__log_entry__unpack(NULL, size, payload);
     bool good = in && in->index == segment->first + segment->offsets->len;
@@ -279,7 +281,7 @@
     return good;
 }
 
-/* Read one segment; `last`: only there may the tail be torn. */
+/* Read one segment. Only the last segment may have a torn tail. */
 static bool _wgs_read_segment(wgs_store* s, uint64_t first, bool last, GError** error) {
     char name[_WGS_NAME_SIZE];
     _wgs_segment_name(first, name);
@@ -296,26 +298,27 @@
     while (good && at < file->len) {
         const uint8_t* payload;
         size_t size;
-        _wgs_record record = _wgs_record_parse(file->data + at, file->len - at, &payload, &size);
+        _wgs_record_status record =
+            _wgs_record_parse(file->data + at, file->len - at, &payload, &size);
         uint64_t index = segment->first + segment->offsets->len;
-        if (record != _WGS_RECORD_WHOLE) {
+        if (record != _WGS_RECORD_COMPLETE) {
             if (!last || index <= s->synced_index) {
-                good = _wgs_corrupt(error, name, "a synced record is short or damaged");
+                good = _wgs_corrupt(error, name, "a synced record is truncated or corrupt");
                 break;
             }
             s->content.tail_cut = true;
             if (_wgs_truncate_file(segment->fd, (off_t)at) != 0 ||
                 _wgs_sync_data(segment->fd) != 0) {
-                good = _wgs_fail(error, "cannot cut the tail of", name);
+                good = _wgs_fail(error, "cannot truncate the torn tail of", name);
             }
             break;
         }
-        if (!_wgs_take_record(s, segment, payload, size)) {
-            good = _wgs_corrupt(error, name, "a record is out of order");
+        if (!_wgs_load_record(s, segment, payload, size)) {
+            good = _wgs_corrupt(error, name, "a record is malformed or out of order");
             break;
         }
         g_array_append_val(segment->offsets, at);
-        at += _WGS_RECORD_HEAD + size;
+        at += _WGS_RECORD_HEADER_SIZE + size;
     }
     segment->size = at;
     s->stats.log_bytes += at;
@@ -323,10 +326,10 @@
     return good;
 }
 
-/* ---- helpers: start ------------------------------------------------------------------------ */
+/* ---- helpers: open ------------------------------------------------------------------------- */
 
 static bool _wgs_read_snapshot(wgs_store* s, GError** error) {
-    GArray* found = _wgs_list(s->desc.folder, "snapshot-");
+    GArray* found = _wgs_list_indexes(s->desc.folder, "snapshot-");
     if (found->len == 0) {
         g_array_unref(found);
         return true;
@@ -342,8 +345,8 @@
     const uint8_t* payload;
     size_t size;
     Wgpb__SnapshotFile* in = NULL;
-    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_WHOLE &&
-        size + _WGS_RECORD_HEAD == file->len) {
+    if (_wgs_record_parse(file->data, file->len, &payload, &size) == _WGS_RECORD_COMPLETE &&
+        size + _WGS_RECORD_HEADER_SIZE == file->len) {
         in = wgpb__snapshot_file__unpack(NULL, size, payload);
     }
     g_byte_array_unref(file);
@@ -362,11 +365,11 @@
     if (in) {
         wgpb__snapshot_file__free_unpacked(in, NULL);
     }
-    return good || _wgs_corrupt(error, name, "damaged");
+    return good || _wgs_corrupt(error, name, "truncated or corrupt");
 }
 
 /* Remove all segments read so far. */
-static bool _wgs_forget_log(wgs_store* s, GError** error) {
+static bool _wgs_remove_log(wgs_store* s, GError** error) {
     g_array_set_size(s->entries, 0);
     while (s->segments->len > 0) {
         if (!_wgs_remove_segment(s, s->segments->len - 1, error)) {
@@ -376,8 +379,9 @@
     return _wgs_sync_folder(s->folder_fd, error);
 }
 
-/* Drop a log that does not join the snapshot: left over from before the leader's snapshot came. */
-static bool _wgs_match_log(wgs_store* s, GError** error) {
+/* Remove a log that does not continue the snapshot: a crash may have left it behind when a snapshot
+   from the leader replaced it. */
+static bool _wgs_reconcile_log(wgs_store* s, GError** error) {
     const wgr_restored* r = &s->content.restored;
     if (s->entries->len == 0) {
         return true;
@@ -387,43 +391,42 @@
     if (first->index > r->snapshot_index + 1 && s->synced_index > r->snapshot_index) {
         return _wgs_corrupt(error, "log", "entries between the snapshot and the log are missing");
     }
-    /* Else: left over from a log that the leader's snapshot replaced. */
-    bool joins = first->index <= r->snapshot_index + 1 && last >= r->snapshot_index;
-    if (joins && r->snapshot_index >= first->index) {
-        const wgr_entry* at =
+    bool is_contiguous = first->index <= r->snapshot_index + 1 && last >= r->snapshot_index;
+    if (is_contiguous && r->snapshot_index >= first->index) {
+        const wgr_entry* at_snapshot =
             &g_array_index(s->entries, wgr_entry, r->snapshot_index - first->index);
-        joins = at->term == r->snapshot_term;
+        is_contiguous = at_snapshot->term == r->snapshot_term;
     }
-    return joins || _wgs_forget_log(s, error);
+    return is_contiguous || _wgs_remove_log(s, error);
 }
 
 static bool _wgs_read_log(wgs_store* s, GError** error) {
-    GArray* found = _wgs_list(s->desc.folder, "log-");
+    GArray* found = _wgs_list_indexes(s->desc.folder, "log-");
     bool good = true;
     for (guint i = 0; i < found->len && good; i++) {
         uint64_t first = g_array_index(found, uint64_t, i);
-        const _wgs_segment_t* before = _wgs_last_segment(s);
-        bool gap = before && first != _wgs_last_index(before) + 1;
-        if (gap && _wgs_last_index(before) <= s->snapshot_index) {
-            good = _wgs_forget_log(s, error); /* removed before, but not for good */
+        const _wgs_segment_t* previous = _wgs_last_segment(s);
+        bool gap = previous && first != _wgs_last_index(previous) + 1;
+        if (gap && _wgs_last_index(previous) <= s->snapshot_index) {
+            good = _wgs_remove_log(s, error); /* a power loss undid the removal of these segments */
         } else if (gap) {
             good = _wgs_corrupt(error, "log", "a segment is missing");
         }
         good = good && _wgs_read_segment(s, first, i + 1 == found->len, error);
     }
     g_array_unref(found);
-    if (!good || !_wgs_match_log(s, error)) {
+    if (!good || !_wgs_reconcile_log(s, error)) {
         return false;
     }
     const _wgs_segment_t* last = _wgs_last_segment(s);
-    uint64_t held = last ? _wgs_last_index(last) : 0;
-    if (MAX(held, s->snapshot_index) < s->synced_index) {
-        return _wgs_corrupt(error, "log", "synced entries are missing at its end");
+    uint64_t last_index = last ? _wgs_last_index(last) : 0;
+    if (MAX(last_index, s->snapshot_index) < s->synced_index) {
+        return _wgs_corrupt(error, "log", "synced entries are missing at the end");
     }
     return true;
 }
 
-static bool _wgs_take_folder(wgs_store* s, GError** error) {
+static bool _wgs_lock_folder(wgs_store* s, GError** error) {
     if (g_mkdir_with_parents(s->desc.folder, 0700) != 0) {
         return _wgs_fail(error, "cannot create", s->desc.folder);
     }
@@ -455,8 +458,8 @@
     s->segments = g_ptr_array_new_with_free_func(_wgs_segment_free);
     s->entries = g_array_new(FALSE, TRUE, sizeof(wgr_entry));
     g_array_set_clear_func(s->entries, _wgs_entry_clear);
-    bool good = _wgs_take_folder(s, error) && _wgs_read_state(s, error) &&
-                _wgs_read_snapshot(s, error) && _wgs_read_synced(s, error) &&
+    bool good = _wgs_lock_folder(s, error) && _wgs_read_state(s, error) &&
+                _wgs_read_snapshot(s, error) && _wgs_read_marker(s, error) &&
                 _wgs_read_log(s, error);
     if (!good) {
         wgs_close(s);
@@ -562,15 +565,15 @@
     s->stats.bytes_written += out->len;
     s->stats.syncs++;
     g_byte_array_unref(out);
-    return good && _wgs_write_synced(s, entries[num - 1].index, false, error);
+    return good && _wgs_write_marker(s, entries[num - 1].index, false, error);
 }
 
 bool wgs_truncate(wgs_store* s, uint64_t from, GError** error) {
-    if (!_wgs_write_synced(s, MIN(s->synced_index, from - 1), true, error)) {
+    if (!_wgs_write_marker(s, MIN(s->synced_index, from - 1), true, error)) {
         return false;
     }
-    /* The newest first, each synced before the next step: a removal that power undid would else
-       stand behind a gap, and the folder would not open (2 of 48 combinations of lost steps). */
+    /* Newest first, with a folder sync after each removal: if a power loss undid the removal of a
+       later segment only, the log would have a gap and the folder would not open. */
     while (s->segments->len > 0 && _wgs_last_segment(s)->first >= from) {
         if (!_wgs_remove_segment(s, s->segments->len - 1, error) ||
             !_wgs_sync_folder(s->folder_fd, error)) {
@@ -590,9 +593,10 @@
     return true;
 }
 
-/* Remove log segments that the snapshot covers, but for the entries kept for replicas that lag. */
-static bool _wgs_drop_covered(wgs_store* s, uint64_t index, bool reset, GError** error) {
-    if (reset && !_wgs_write_synced(s, index, true, error)) {
+/* Remove log segments that the snapshot covers, except for entries retained for lagging replicas.
+ */
+static bool _wgs_compact_log(wgs_store* s, uint64_t index, bool reset, GError** error) {
+    if (reset && !_wgs_write_marker(s, index, true, error)) {
         return false;
     }
     while (s->segments->len > (reset ? 0u : 1u)) {
@@ -605,7 +609,7 @@
             return false;
         }
     }
-    /* Start a new segment, so that the present one can be dropped later. */
+    /* Start a new segment, so that the current one can be removed after a later snapshot. */
     _wgs_segment_t* segment = _wgs_last_segment(s);
     if (segment && segment->offsets->len > (guint)s->desc.log_keep) {
         return _wgs_open_segment(s, _wgs_last_index(segment) + 1, true, error) != NULL;
@@ -643,7 +647,7 @@
     }
     uint64_t old = s->snapshot_index;
     s->snapshot_index = index;
-    if (!_wgs_drop_covered(s, index, reset, error)) {
+    if (!_wgs_compact_log(s, index, reset, error)) {
         return false;
     }
     if (old > 0 && old != index) {
--- a/lib/table/wg_table.c
+++ b/lib/table/wg_table.c
@@ -1,23 +1,23 @@
-/* wg_table.c -- the rows, their versions, edits and snapshots; see wg_table.h */
+/* wg_table.c -- rows, versions, edits and snapshots; see wg_table.h */
 #include "wg_table.h"
 
 #include <string.h>
 
 /* ---- types -------------------------------------------------------------------------------- */
 
-/* Rows stand in slots; a list links them in the order of their last change. */
+/* A slot holds one row and is linked into a list in the order of the last change. */
 typedef struct {
     wgt_row row;
     bool taken;
-    int newer;
-    int older;
+    int newer; /* slot of the row that changed next; -1 none */
+    int older; /* slot of the row that changed before; -1 none */
 } _wgt_slot_t;
 
 struct wgt_table {
     wgt_desc desc;
     _wgt_slot_t* slots;
-    int slots_used; /* slots below this have been used */
-    int free_slot;  /* head of the chain of freed slots, through .newer; -1 none */
+    int slots_used; /* slots at this index and above were never used */
+    int free_slot;  /* head of the free list, linked by .newer; -1 none */
     int newest;
     int oldest;
     GHashTable* by_name; /* kind and name -> slot + 1 */
@@ -26,7 +26,7 @@
     GHashTable* results; /* edit id -> wgt_result* */
     GQueue results_order;
     uint64_t version;
-    uint64_t tombstone_floor;
+    uint64_t tombstone_floor; /* newest version of a deleted row that is no longer retained */
     uint32_t next_id;
     wgt_stats stats;
 };
@@ -66,7 +66,7 @@
     return left->kind == right->kind && strcmp(left->name, right->name) == 0;
 }
 
-static int _wgt_slot_of(const wgt_table* t, wgt_kind kind, const char* name) {
+static int _wgt_find_slot(const wgt_table* t, wgt_kind kind, const char* name) {
     wgt_row probe = {.kind = kind};
     if (!wg_copy_name(probe.name, sizeof probe.name, name)) {
         return -1;
@@ -74,7 +74,7 @@
     return GPOINTER_TO_INT(g_hash_table_lookup(t->by_name, &probe)) - 1;
 }
 
-static void _wgt_unlink(wgt_table* t, int slot) {
+static void _wgt_unlink_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
     if (s->newer >= 0) {
         t->slots[s->newer].older = s->older;
@@ -88,8 +88,9 @@
     }
 }
 
-/* Put a slot into the order of changes by its version; it is nearly always the newest. */
-static void _wgt_link(wgt_table* t, int slot) {
+/* Insert a slot into the change order by its version. The search starts at the newest row, since
+   most rows are inserted there. */
+static void _wgt_link_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
     int older = t->newest;
     while (older >= 0 && t->slots[older].row.version > s->row.version) {
@@ -109,7 +110,7 @@
     }
 }
 
-static int _wgt_alloc(wgt_table* t) {
+static int _wgt_alloc_slot(wgt_table* t) {
     int slot = t->free_slot;
     if (slot >= 0) {
         t->free_slot = t->slots[slot].newer;
@@ -122,7 +123,7 @@
     return slot;
 }
 
-/* 64 hex digits into bytes; the row check has made sure that they are digits. */
+/* Decode 64 hex digits, which wgt_row_check() has validated. */
 static void _wgt_parse_key(const char* hex, uint8_t out[WG_KEY_HASH_SIZE]) {
     for (int i = 0; i < WG_KEY_HASH_SIZE; i++) {
         int high = g_ascii_xdigit_value(hex[2 * i]);
@@ -131,9 +132,9 @@
     }
 }
 
-/* Walk the key hashes of a workspace row. `visit` gets each as bytes. */
-static void _wgt_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
-                          wgt_table* t, int slot) {
+/* Call `visit` with each key hash of a workspace row. */
+static void _wgt_for_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
+                              wgt_table* t, int slot) {
     if (row->kind != WGT_KIND_WORKSPACE || row->deleted) {
         return;
     }
@@ -168,7 +169,7 @@
     }
 }
 
-static void _wgt_count(wgt_table* t, const wgt_row* row, int sign) {
+static void _wgt_count_row(wgt_table* t, const wgt_row* row, int sign) {
     t->stats.rows += sign;
     if (row->deleted) {
         t->stats.deleted += sign;
@@ -179,23 +180,23 @@
 
 static void _wgt_remove_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
-    _wgt_count(t, &s->row, -1);
-    _wgt_each_key(&s->row, _wgt_key_remove, t, slot);
+    _wgt_count_row(t, &s->row, -1);
+    _wgt_for_each_key(&s->row, _wgt_key_remove, t, slot);
     g_hash_table_remove(t->by_name, &s->row);
     g_hash_table_remove(t->by_id, GUINT_TO_POINTER(s->row.id));
-    _wgt_unlink(t, slot);
+    _wgt_unlink_slot(t, slot);
     s->taken = false;
     s->newer = t->free_slot;
     t->free_slot = slot;
 }
 
-/* Store a row, new or over the one of the same name; false when the table is full. */
-static bool _wgt_store(wgt_table* t, const wgt_row* row) {
-    int slot = _wgt_slot_of(t, row->kind, row->name);
+/* Insert a row or replace the row of that name; false when the table is full. */
+static bool _wgt_store_row(wgt_table* t, const wgt_row* row) {
+    int slot = _wgt_find_slot(t, row->kind, row->name);
     if (slot >= 0) {
         _wgt_remove_slot(t, slot);
     }
-    slot = _wgt_alloc(t);
+    slot = _wgt_alloc_slot(t);
     if (slot < 0) {
         return false;
     }
@@ -203,13 +204,13 @@
     wgt_row* stored = &t->slots[slot].row;
     g_hash_table_insert(t->by_name, stored, GINT_TO_POINTER(slot + 1));
     g_hash_table_insert(t->by_id, GUINT_TO_POINTER(stored->id), GINT_TO_POINTER(slot + 1));
-    _wgt_each_key(stored, _wgt_key_add, t, slot);
-    _wgt_link(t, slot);
-    _wgt_count(t, stored, 1);
+    _wgt_for_each_key(stored, _wgt_key_add, t, slot);
+    _wgt_link_slot(t, slot);
+    _wgt_count_row(t, stored, 1);
     return true;
 }
 
-/* Forget the oldest deletions beyond the limit. */
+/* Remove the oldest deleted rows beyond the limit. */
 static void _wgt_trim_tombstones(wgt_table* t) {
     int slot = t->oldest;
     while (slot >= 0 && t->stats.deleted > t->desc.tombstones_max) {
@@ -222,7 +223,7 @@
     }
 }
 
-static void _wgt_remember(wgt_table* t, const wgt_result* result) {
+static void _wgt_store_result(wgt_table* t, const wgt_result* result) {
     wgt_result* copy = g_memdup2(result, sizeof *result);
     if (g_hash_table_lookup(t->results, copy->edit_id)) {
         g_free(copy);
@@ -232,7 +233,7 @@
     g_queue_push_tail(&t->results_order, copy);
     while ((int)t->results_order.length > t->desc.results_max) {
         wgt_result* oldest = g_queue_pop_head(&t->results_order);
-        g_hash_table_remove(t->results, oldest->edit_id); /* frees it */
+        g_hash_table_remove(t->results, oldest->edit_id); /* frees `oldest` */
     }
 }
 
@@ -244,9 +245,9 @@
     result->outcome = outcome;
 }
 
-/* The row as it will stand after the edit, looking at the edit's own rows first. */
-static const wgt_row* _wgt_after(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
-                                 const char* name) {
+/* Look up a row as it will be after the edit; NULL when it will not exist. */
+static const wgt_row* _wgt_row_after_edit(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
+                                          const char* name) {
     for (int i = 0; i < edit->rows_num; i++) {
         const wgt_row* row = &edit->rows[i].row;
         if (row->kind == kind && strcmp(row->name, name) == 0) {
@@ -259,7 +260,7 @@
 static bool _wgt_service_in_use(const wgt_table* t, const wgt_edit* edit, const char* service) {
     int at = -1;
     for (const wgt_row* row; (row = wgt_next(t, WGT_KIND_TARGET, &at));) {
-        const wgt_row* after = _wgt_after(t, edit, WGT_KIND_TARGET, row->name);
+        const wgt_row* after = _wgt_row_after_edit(t, edit, WGT_KIND_TARGET, row->name);
         if (after && strcmp(after->target.service, service) == 0) {
             return true;
         }
@@ -267,7 +268,7 @@
     return false;
 }
 
-/* Refuse when one key of `row` also belongs to another workspace after the edit. */
+/* Refuse the edit when a key of `row` would also belong to another workspace. */
 static void _wgt_check_keys(wgt_table* t, const wgt_edit* edit, const wgt_row* row,
                             wgt_result* result) {
     char** keys = g_strsplit(row->workspace.keys, " ", -1);
@@ -275,18 +276,20 @@
         uint8_t hash[WG_KEY_HASH_SIZE];
         _wgt_parse_key(keys[i], hash);
         const wgt_row* owner = wgt_find_key(t, hash);
-        const wgt_row* after = owner ? _wgt_after(t, edit, WGT_KIND_WORKSPACE, owner->name) : NULL;
+        const wgt_row* after =
+            owner ? _wgt_row_after_edit(t, edit, WGT_KIND_WORKSPACE, owner->name) : NULL;
         bool other = after && strcmp(after->name, row->name) != 0;
         if (other && strstr(after->workspace.keys, keys[i])) {
             _wgt_refuse(result, WGT_OUTCOME_INVALID, "workspace \"%s\": a key belongs to \"%s\"",
                         row->name, after->name);
         }
         for (int r = 0; r < edit->rows_num; r++) {
-            const wgt_row* also = &edit->rows[r].row;
-            bool skip = also == row || also->kind != WGT_KIND_WORKSPACE || also->deleted;
-            if (!skip && strstr(also->workspace.keys, keys[i])) {
+            const wgt_row* other_row = &edit->rows[r].row;
+            bool skip =
+                other_row == row || other_row->kind != WGT_KIND_WORKSPACE || other_row->deleted;
+            if (!skip && strstr(other_row->workspace.keys, keys[i])) {
                 _wgt_refuse(result, WGT_OUTCOME_INVALID, "workspaces \"%s\" and \"%s\" share a key",
-                            row->name, also->name);
+                            row->name, other_row->name);
             }
         }
     }
@@ -296,7 +299,7 @@
 static void _wgt_check_references(wgt_table* t, const wgt_edit* edit, const wgt_row* row,
                                   wgt_result* result) {
     if (row->kind == WGT_KIND_TARGET && !row->deleted &&
-        !_wgt_after(t, edit, WGT_KIND_SERVICE, row->target.service)) {
+        !_wgt_row_after_edit(t, edit, WGT_KIND_SERVICE, row->target.service)) {
         _wgt_refuse(result, WGT_OUTCOME_INVALID, "target \"%s\": no service \"%s\"", row->name,
                     row->target.service);
     }
@@ -323,8 +326,8 @@
             return;
         }
     }
-    const wgt_row* present = wgt_find(t, row->kind, row->name);
-    uint64_t version = present ? present->version : 0;
+    const wgt_row* current = wgt_find(t, row->kind, row->name);
+    uint64_t version = current ? current->version : 0;
     if (version != edit->rows[at].base_version) {
         _wgt_refuse(result, WGT_OUTCOME_CONFLICT,
                     "%s \"%s\" is at version %" G_GUINT64_FORMAT ", not %" G_GUINT64_FORMAT,
@@ -394,15 +397,15 @@
     if (result->outcome != WGT_OUTCOME_DEFAULT) {
         result->version = t->version;
         t->stats.refused++;
-        _wgt_remember(t, result);
+        _wgt_store_result(t, result);
         return;
     }
     for (int i = 0; i < edit->rows_num; i++) {
         wgt_row row = edit->rows[i].row;
-        const wgt_row* present = wgt_find(t, row.kind, row.name);
-        row.id = present ? present->id : t->next_id++;
+        const wgt_row* current = wgt_find(t, row.kind, row.name);
+        row.id = current ? current->id : t->next_id++;
         row.version = index;
-        bool stored = _wgt_store(t, &row);
+        bool stored = _wgt_store_row(t, &row);
         WG_ASSERT(stored);
     }
     t->version = index;
@@ -410,7 +413,7 @@
     result->outcome = WGT_OUTCOME_ACCEPTED;
     result->version = index;
     t->stats.accepted++;
-    _wgt_remember(t, result);
+    _wgt_store_result(t, result);
 }
 
 bool wgt_result_of(const wgt_table* t, const uint8_t* edit_id, wgt_result* result) {
@@ -422,17 +425,17 @@
 }
 
 bool wgt_put(wgt_table* t, const wgt_row* row) {
-    int slot = _wgt_slot_of(t, row->kind, row->name);
+    int slot = _wgt_find_slot(t, row->kind, row->name);
     if (slot >= 0 && t->slots[slot].row.version >= row->version) {
         return false;
     }
-    bool stored = _wgt_store(t, row);
+    bool stored = _wgt_store_row(t, row);
     _wgt_trim_tombstones(t);
     return stored;
 }
 
 void wgt_forget(wgt_table* t, wgt_kind kind, const char* name) {
-    int slot = _wgt_slot_of(t, kind, name);
+    int slot = _wgt_find_slot(t, kind, name);
     if (slot >= 0) {
         _wgt_remove_slot(t, slot);
     }
@@ -444,7 +447,7 @@
 }
 
 const wgt_row* wgt_find(const wgt_table* t, wgt_kind kind, const char* name) {
-    int slot = _wgt_slot_of(t, kind, name);
+    int slot = _wgt_find_slot(t, kind, name);
     return slot >= 0 && !t->slots[slot].row.deleted ? &t->slots[slot].row : NULL;
 }
 
@@ -482,7 +485,7 @@
     int num = 0;
     for (; slot >= 0; slot = t->slots[slot].newer) {
         if (num == max) {
-            /* Rows of one edit stay together: a copy resumes after a whole version. */
+            /* Do not split the rows of one edit: a copy resumes after a complete version. */
             *more = true;
             uint64_t next_version = t->slots[slot].row.version;
             while (num > 0 && rows[num - 1]->version == next_version) {
@@ -514,7 +517,7 @@
     state->tombstone_floor = t->tombstone_floor;
     state->rows = malloc(sizeof(Wgpb__Row*) * (size_t)(t->stats.rows + 1));
     for (int slot = t->oldest; slot >= 0; slot = t->slots[slot].newer) {
-        /* Through the wire form, so that the result is owned like an unpacked message. */
+        /* Pack and unpack, so that the row is allocated like the rest of the message. */
         Wgpb__Row packed;
         wgt_row_scratch scratch;
         wgt_row_pack(&t->slots[slot].row, &packed, &scratch);
@@ -546,7 +549,7 @@
     g_hash_table_remove_all(t->results);
     for (size_t i = 0; i < state->n_rows; i++) {
         wgt_row row;
-        if (!wgt_row_unpack(state->rows[i], &row) || !_wgt_store(t, &row)) {
+        if (!wgt_row_unpack(state->rows[i], &row) || !_wgt_store_row(t, &row)) {
             return false;
         }
     }
@@ -558,7 +561,7 @@
         }
         memcpy(result.edit_id, in->edit_id.data, WGT_EDIT_ID_SIZE);
         g_strlcpy(result.reason, in->reason, sizeof result.reason);
-        _wgt_remember(t, &result);
+        _wgt_store_result(t, &result);
     }
     t->version = state->version;
     t->next_id = state->next_id;
--- a/lib/table/wg_table_csv.c
+++ b/lib/table/wg_table_csv.c
@@ -1,4 +1,4 @@
-/* wg_table_csv.c -- the table as a spreadsheet, over libcsv; see wg_table.h */
+/* wg_table_csv.c -- CSV import and export, over libcsv; see wg_table.h */
 #include "wg_table.h"
 
 #include <csv.h>
@@ -13,9 +13,9 @@
 typedef struct {
     wgt_kind kind;
     GArray* rows;
-    GPtrArray* fields; /* of the present line */
-    char** header;     /* column names, in the order of the file */
-    GHashTable* names; /* names seen, to find duplicate rows */
+    GPtrArray* fields; /* cells of the current line */
+    char** header;     /* column names in the order of the file; NULL before the first line */
+    GHashTable* names; /* row names read so far, to find duplicates */
     int line;
     GError* error;
 } _wgt_csv_t;
@@ -35,12 +35,12 @@
         return;
     }
     if (data && memchr(data, 0, size)) {
-        _wgt_csv_fail(csv, "a cell holds a zero byte");
+        _wgt_csv_fail(csv, "a cell contains a zero byte");
     }
     g_ptr_array_add(csv->fields, g_strndup(data ? data : "", size));
 }
 
-static void _wgt_csv_take_header(_wgt_csv_t* csv) {
+static void _wgt_csv_parse_header(_wgt_csv_t* csv) {
     g_ptr_array_add(csv->fields, NULL);
     csv->header = g_strdupv((char**)csv->fields->pdata);
     bool has_name = false;
@@ -48,7 +48,7 @@
         has_name = has_name || strcmp(csv->header[i], "name") == 0;
         for (int j = 0; j < i; j++) {
             if (strcmp(csv->header[i], csv->header[j]) == 0) {
-                _wgt_csv_fail(csv, "a column stands twice");
+                _wgt_csv_fail(csv, "a column appears twice");
             }
         }
     }
@@ -57,8 +57,8 @@
     }
 }
 
-/* A cell as JSON, so that types are checked in one place. Numbers must be whole. */
-static json_t* _wgt_csv_cell(wgt_kind kind, const char* column, const char* text) {
+/* Convert a cell to JSON, so that wgt_row_from_json() checks its type. Numbers must be integers. */
+static json_t* _wgt_csv_cell_to_json(wgt_kind kind, const char* column, const char* text) {
     if (strcmp(column, "deleted") == 0) {
         return json_boolean(strcmp(text, "1") == 0 || strcmp(text, "true") == 0);
     }
@@ -77,7 +77,7 @@
     return json_string(text); /* NULL when it is not UTF-8 */
 }
 
-static void _wgt_csv_take_row(_wgt_csv_t* csv) {
+static void _wgt_csv_parse_row(_wgt_csv_t* csv) {
     if (csv->fields->len != g_strv_length(csv->header)) {
         _wgt_csv_fail(csv, "number of cells differs from the header's");
         return;
@@ -85,7 +85,7 @@
     json_t* json = json_object();
     for (guint i = 0; i < csv->fields->len; i++) {
         const char* text = g_ptr_array_index(csv->fields, i);
-        json_t* cell = _wgt_csv_cell(csv->kind, csv->header[i], text);
+        json_t* cell = _wgt_csv_cell_to_json(csv->kind, csv->header[i], text);
         if (!cell) {
             _wgt_csv_fail(csv, "text is not UTF-8");
         } else if (json_object_set_new(json, csv->header[i], cell) < 0) {
@@ -103,7 +103,7 @@
         return;
     }
     if (!g_hash_table_add(csv->names, g_strdup(row.name))) {
-        _wgt_csv_fail(csv, "a row with this name stands above");
+        _wgt_csv_fail(csv, "a row with this name appears earlier");
         return;
     }
     g_array_append_val(csv->rows, row);
@@ -117,9 +117,9 @@
         return;
     }
     if (!csv->header) {
-        _wgt_csv_take_header(csv);
+        _wgt_csv_parse_header(csv);
     } else {
-        _wgt_csv_take_row(csv);
+        _wgt_csv_parse_row(csv);
     }
     g_ptr_array_set_size(csv->fields, 0);
 }
@@ -183,7 +183,7 @@
     if (csv_parse(&parser, text, size, _wgt_csv_on_field, _wgt_csv_on_line, &csv) != size ||
         csv_fini(&parser, _wgt_csv_on_field, _wgt_csv_on_line, &csv) != 0) {
         csv.line++;
-        _wgt_csv_fail(&csv, "a quote is out of place");
+        _wgt_csv_fail(&csv, "a quote is misplaced or not closed");
     }
     csv_free(&parser);
     if (!csv.header) {
--- a/lib/table/wg_table_row.c
+++ b/lib/table/wg_table_row.c
@@ -1,4 +1,4 @@
-/* wg_table_row.c -- one row: its columns, checks, wire and JSON forms; see wg_table.h */
+/* wg_table_row.c -- columns, checks, wire and JSON forms of a row; see wg_table.h */
 #include "wg_table.h"
 
 #include <event2/util.h>
@@ -7,10 +7,10 @@
 
 /* ---- private state ------------------------------------------------------------------------ */
 
-#define _WGT_NUMBER(part, field, low, high, dflt, text)                                            \
+#define _WGT_NUMBER(part, field, low, high, default_value, text)                                   \
     {                                                                                              \
         .name = #field, .type = WGT_COLUMN_NUMBER, .offset = offsetof(wgt_row, part.field),        \
-        .min = low, .max = high, .def = dflt, .help = text                                         \
+        .min = low, .max = high, .def = default_value, .help = text                                \
     }
 #define _WGT_TEXT(part, field, text)                                                               \
     {                                                                                              \
@@ -19,32 +19,36 @@
     }
 
 static const wgt_column _wgt_workspace_columns[] = {
-    _WGT_NUMBER(workspace, weight, 1, 1000000, 100, "share against other workspaces"),
+    _WGT_NUMBER(workspace, weight, 1, 1000000, 100, "relative share of capacity among workspaces"),
     _WGT_NUMBER(workspace, rate, 0, 1000000, 0, "requests per second, 0 no limit"),
-    _WGT_NUMBER(workspace, burst, 0, 1000000, 0, "requests above the rate at once"),
-    _WGT_NUMBER(workspace, in_flight, 0, 100000, 0, "requests at targets per router, 0 no limit"),
-    _WGT_NUMBER(workspace, queue, 1, 100000, 200, "waiting requests per router"),
+    _WGT_NUMBER(workspace, burst, 0, 1000000, 0, "requests above the rate that may arrive at once"),
+    _WGT_NUMBER(workspace, in_flight, 0, 100000, 0,
+                "concurrent requests at targets per router, 0 no limit"),
+    _WGT_NUMBER(workspace, queue, 1, 100000, 200, "queued requests per router"),
     _WGT_NUMBER(workspace, tokens_per_minute, 0, 1000000000, 0, "tokens per minute, 0 no limit"),
-    _WGT_NUMBER(workspace, urgent_percent, 0, 100, 20, "percent of its share for urgent requests"),
+    _WGT_NUMBER(workspace, urgent_percent, 0, 100, 20,
+                "percent of its share that urgent requests may use first"),
     _WGT_NUMBER(workspace, entry_hosts, 0, 64, 0, "entry hosts for its callers, 0 automatic"),
-    _WGT_TEXT(workspace, keys, "SHA-256 of each API key in hex, space between"),
+    _WGT_TEXT(workspace, keys, "SHA-256 of each API key in hex, separated by spaces"),
 };
 static const wgt_column _wgt_service_columns[] = {
     _WGT_TEXT(service, kind, "model or app"),
-    _WGT_TEXT(service, repeatable, "METHOD or METHOD:/path items, space between"),
-    _WGT_NUMBER(service, deadline_ms, 10, 86400000, 60000, "milliseconds for a whole request"),
-    _WGT_NUMBER(service, queue_ms, 1, 86400000, 10000, "milliseconds in the queue at most"),
-    _WGT_NUMBER(service, cost, 1, 1000000, 200, "first cost estimate, tokens or milliseconds"),
-    _WGT_NUMBER(service, retry_percent, 0, 100, 20, "retries per hundred first attempts"),
-    _WGT_NUMBER(service, resume, 0, 1, 0, "1: a broken stream resumes elsewhere"),
-    _WGT_NUMBER(service, over_percent, 0, 100, 0, "slots leased beyond the targets' own"),
+    _WGT_TEXT(service, repeatable, "METHOD or METHOD:/path items, separated by spaces"),
+    _WGT_NUMBER(service, deadline_ms, 10, 86400000, 60000, "milliseconds for a complete request"),
+    _WGT_NUMBER(service, queue_ms, 1, 86400000, 10000, "maximum milliseconds in the queue"),
+    _WGT_NUMBER(service, cost, 1, 1000000, 200, "initial cost estimate, tokens or milliseconds"),
+    _WGT_NUMBER(service, retry_percent, 0, 100, 20, "retries per 100 first attempts"),
+    _WGT_NUMBER(service, resume, 0, 1, 0,
+                "1: an interrupted stream may be resumed at another target"),
+    _WGT_NUMBER(service, over_percent, 0, 100, 0,
+                "slots leased for the queue, percent of the target's slots"),
 };
 static const wgt_column _wgt_target_columns[] = {
-    _WGT_TEXT(target, service, "name of its service"),
+    _WGT_TEXT(target, service, "name of the service"),
     _WGT_TEXT(target, address, "ip:port"),
-    _WGT_TEXT(target, data_centre, "data centre it stands in"),
-    _WGT_NUMBER(target, slots, 1, 4096, 8, "requests it works on at once"),
-    _WGT_NUMBER(target, leaving, 0, 1, 0, "1: no new work"),
+    _WGT_TEXT(target, data_centre, "data centre of the target"),
+    _WGT_NUMBER(target, slots, 1, 4096, 8, "requests that the target runs concurrently"),
+    _WGT_NUMBER(target, leaving, 0, 1, 0, "1: draining, gets no new requests"),
 };
 
 static const char* _wgt_kind_names[WGT_KIND_NUM] = {"", "workspace", "service", "target"};
@@ -59,7 +63,7 @@
     return (char*)row + column->offset;
 }
 
-static bool _wgt_name_good(const char* name) {
+static bool _wgt_is_name_valid(const char* name) {
     if (!name[0] || name[0] == '-' || name[0] == '.') {
         return false;
     }
@@ -77,7 +81,7 @@
     return false;
 }
 
-static bool _wgt_keys_good(const char* keys) {
+static bool _wgt_are_keys_valid(const char* keys) {
     char** items = g_strsplit(keys, " ", -1);
     bool good = g_strv_length(items) <= WGT_KEYS_MAX;
     for (int i = 0; items[i] && good; i++) {
@@ -91,7 +95,7 @@
     return good;
 }
 
-static bool _wgt_address_good(const char* text) {
+static bool _wgt_is_address_valid(const char* text) {
     struct sockaddr_storage storage;
     int size = sizeof storage;
     const char* colon = strrchr(text, ':');
@@ -118,7 +122,7 @@
     return true;
 }
 
-static bool _wgt_repeatable_good(const char* text) {
+static bool _wgt_is_repeatable_valid(const char* text) {
     char** items = g_strsplit(text, " ", -1);
     bool good = true;
     for (int i = 0; items[i] && good; i++) {
@@ -135,7 +139,7 @@
 static bool _wgt_check_texts(const wgt_row* row, GError** error) {
     switch (row->kind) {
     case WGT_KIND_WORKSPACE:
-        if (!_wgt_keys_good(row->workspace.keys)) {
+        if (!_wgt_are_keys_valid(row->workspace.keys)) {
             return _wgt_fail(error, row, "keys", "want at most 4 SHA-256 in lower-case hex");
         }
         return true;
@@ -143,15 +147,15 @@
         if (strcmp(row->service.kind, "model") != 0 && strcmp(row->service.kind, "app") != 0) {
             return _wgt_fail(error, row, "kind", "want model or app");
         }
-        if (!_wgt_repeatable_good(row->service.repeatable)) {
+        if (!_wgt_is_repeatable_valid(row->service.repeatable)) {
             return _wgt_fail(error, row, "repeatable", "want METHOD or METHOD:/path items");
         }
         return true;
     case WGT_KIND_TARGET:
-        if (!_wgt_name_good(row->target.service)) {
+        if (!_wgt_is_name_valid(row->target.service)) {
             return _wgt_fail(error, row, "service", "want the name of a service");
         }
-        if (!_wgt_address_good(row->target.address)) {
+        if (!_wgt_is_address_valid(row->target.address)) {
             return _wgt_fail(error, row, "address", "want ip:port");
         }
         return true;
@@ -200,7 +204,7 @@
 void wgt_row_init(wgt_row* row, wgt_kind kind, const char* name) {
     *row = (wgt_row){.kind = kind};
     if (!wg_copy_name(row->name, sizeof row->name, name)) {
-        row->name[0] = 0; /* an empty name fails the check */
+        row->name[0] = 0; /* wgt_row_check() refuses an empty name */
     }
     int num;
     const wgt_column* columns = wgt_columns(kind, &num);
@@ -219,7 +223,7 @@
         g_set_error(error, WG_ERROR, WG_ERROR_INVALID, "unknown kind of row");
         return false;
     }
-    if (!_wgt_name_good(row->name)) {
+    if (!_wgt_is_name_valid(row->name)) {
         return _wgt_fail(error, row, "name", "want 1..63 of letters, digits, - _ .");
     }
     if (row->deleted) {
