--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -1,4 +1,5 @@
-/* test_call.c -- one request's life: verdicts, retries, claims, resumes, late events */
+/* test_call.c -- state machine of one request: verdicts, retries, claims, resumed streams, events
+   of abandoned attempts */
 #include "wg_call.h"
 #include "wg_test.h"
 
@@ -35,7 +36,7 @@
 }
 END_TEST
 
-/* The code says what became of it: nothing ran anywhere, or a target may have run it. */
+/* The error code tells a request that ran nowhere from one that a target may have run. */
 START_TEST(a_call_that_no_target_takes_in_time_ends_at_once) {
     begin(true, false, false);
     wgc_action end = step(WGC_EVENT_NO_TARGET);
@@ -139,7 +140,7 @@
     step(WGC_EVENT_WAITED);
     wgc_action send = step(WGC_EVENT_SLOT);
     ck_assert_int_eq(send.resume_from, 17);
-    /* Without the service's leave it is cut, and said to be. */
+    /* A broken stream that may not be resumed is aborted with verdict may-have-run. */
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
@@ -173,7 +174,7 @@
     step(WGC_EVENT_SLOT);
     wgc_action refused = step(WGC_EVENT_CLAIM_REFUSED);
     ck_assert_int_eq(refused.verdict, WG_VERDICT_NOT_RUN);
-    /* It may have been accepted without our knowing. */
+    /* The claim may have been recorded although its answer was lost, so it is ended. */
     ck_assert(refused.end_claim);
     ck_assert_int_eq(step(WGC_EVENT_CLAIMED).type, WGC_ACTION_DEFAULT);
 }
@@ -189,7 +190,8 @@
 }
 END_TEST
 
-/* Any order of events: what may not be repeated is sent once after a byte left, verdicts hold. */
+/* Whatever the order of events, an unrepeatable request is not sent again after a byte of it was
+   sent, and is then not reported as not run. */
 START_TEST(random_orders_keep_the_promises) {
     for (uint64_t run = 0; run < 20000; run++) {
         bool repeatable = run % 3 == 0;
@@ -206,7 +208,7 @@
             wgc_event event = {.type = type, .attempt = call.attempt, .tokens = call.tokens + 1};
             bool running = call.state == WGC_STATE_RUNNING;
             if (type == WGC_EVENT_HEAD && !call.written) {
-                continue; /* an answer comes after a request */
+                continue; /* no answer before a byte of the request was sent */
             }
             if (type == WGC_EVENT_NOT_RUN_SAID && call.head_relayed) {
                 continue;
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -1,4 +1,4 @@
-/* test_fleet_control.c -- real processes: controls, table, leases, membership under failure */
+/* test_fleet_control.c -- real processes: controls, table, leases and membership under failure */
 #include <sys/resource.h>
 #include <sys/wait.h>
 
@@ -28,7 +28,8 @@
 }
 END_TEST
 
-/* Kill the leader again and again while operators edit: what was accepted stays, in order. */
+/* Accepted edits survive repeated kills and stalls of the leader, and no router's table version
+   decreases. */
 static struct {
     int64_t accepted;
     int64_t versions[8];
@@ -74,7 +75,7 @@
             char name[8];
             g_snprintf(name, sizeof name, "r%d", i);
             int64_t at = proc_state(&fleet, proc_find(&fleet, name), "table_version");
-            ck_assert_int_ge(at, edits.versions[i]); /* never back */
+            ck_assert_int_ge(at, edits.versions[i]);
             edits.versions[i] = at;
         }
     }
@@ -117,7 +118,7 @@
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "weight=7", NULL),
                      0);
     proc_start(&fleet, lost);
-    /* Its empty folder does not count: without the third there is no majority. */
+    /* A replica with an empty data folder has no vote: without the third there is no majority. */
     proc_kill(third);
     proc_sleep(2500);
     ck_assert_int_eq(proc_state(&fleet, leader, "leads"), 0);
@@ -131,7 +132,7 @@
     }
     ck_assert(begun);
     ck_assert(proc_until(three_voters, NULL, 30));
-    /* A second failure right after the repair. */
+    /* The repaired replica set survives another failure. */
     proc_kill(third);
     char* out = NULL;
     ck_assert_int_eq(proc_ctl(&fleet, &out, "table", "get", "workspaces", NULL), 0);
@@ -147,7 +148,7 @@
         proc_leader(&fleet) == &fleet.processes[0] ? &fleet.processes[1] : &fleet.processes[0];
     proc_kill(one);
     proc_wipe(&fleet, one);
-    /* An operator who begins a new cluster by mistake must not bring the old one down. */
+    /* A new cluster initialised by mistake must not disturb the existing one. */
     char* command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings %s --init",
                                     fleet.folder, fleet.bin, one->settings);
     ck_assert_int_eq(system(command), 0);
@@ -212,7 +213,7 @@
 }
 END_TEST
 
-/* Lookups that come to the service while callers send through the fleet for a second. */
+/* Returns how many lookups reach the service while callers send requests for 1 s. */
 static int64_t lookups_at(const char* service) {
     int64_t before = proc_journal(proc_find(&fleet, service), "lookups");
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, SECOND);
@@ -243,7 +244,7 @@
     command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings c1.ini 2>why.txt",
                               fleet.folder, fleet.bin);
     status = system(command);
-    ck_assert_int_eq(WEXITSTATUS(status), 2); /* its folder is in use */
+    ck_assert_int_eq(WEXITSTATUS(status), 2); /* its data folder is in use */
     char* path = g_build_filename(fleet.folder, "why.txt", NULL);
     char* why = NULL;
     g_file_get_contents(path, &why, NULL, NULL);
@@ -255,7 +256,7 @@
 }
 END_TEST
 
-/* It has not what the leader has: it stands aside, or tries again and fails. */
+/* Whether the committed log of a control is shorter than the leader's. */
 static bool is_behind(void* user_data) {
     int64_t commit = proc_state(&fleet, proc_leader(&fleet), "log.commit");
     return proc_state(&fleet, user_data, "log.commit") < commit;
@@ -268,14 +269,14 @@
     ck_assert_int_eq(prlimit(control->pid, RLIMIT_FSIZE, &limit, NULL), 0);
 }
 
-/* A control whose disk is full stands aside, the others go on, and it takes part again when there
-   is room, in the same process. */
+/* A control whose disk is full stops replicating while the others continue, and rejoins without a
+   restart when there is space again. */
 START_TEST(full_disk_stops_a_control_and_no_more) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
     proc_process* full = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     pid_t pid = full->pid;
-    limit_files(full, 4096); /* a file of more cannot be written */
+    limit_files(full, 4096); /* no file can grow beyond this size */
     for (int i = 0; i < 60; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "more%d", i);
@@ -284,8 +285,8 @@
     }
     ck_assert(proc_until(is_behind, full, 30));
     proc_sleep(1000);
-    ck_assert(is_behind(full));                       /* for good, while there is no room */
-    ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends nothing */
+    ck_assert(is_behind(full));                       /* as long as the disk is full */
+    ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends no process */
     limit_files(full, RLIM_INFINITY);
     ck_assert(proc_until(three_voters, NULL, 30));
     ck_assert_int_eq(full->pid, pid);
@@ -314,13 +315,13 @@
     ck_assert_int_eq(ask_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
     ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     ck_assert_int_eq(proc_state(&fleet, router, "link.row_queries"), queries);
-    /* A router that starts afresh holds only what it was asked for. */
+    /* A restarted router holds only the rows that requests needed since. */
     proc_kill(router);
     proc_start(&fleet, router);
     ck_assert(proc_until(router_takes_work, router, 20));
     ck_assert_int_eq(ask_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
     ck_assert_int_le(proc_state(&fleet, router, "table.workspaces"), 2);
-    /* A key that was unknown is found as soon as an operator gave it. */
+    /* An unknown key is accepted once an operator has added it. */
     ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     uint8_t hash[WG_KEY_HASH_SIZE];
     char keys[80] = "keys=";
@@ -363,7 +364,7 @@
     ck_assert_int_eq(lookups_at("service2"), 0);
     set_hosts(4, "live"); /* an older list */
     ck_assert_int_eq(lookups_at("service2"), 0);
-    set_hosts(6, "live"); /* the same version cannot take it back */
+    set_hosts(6, "live"); /* a list of the same version changes nothing */
     ck_assert_int_eq(lookups_at("service2"), 0);
     set_hosts(7, "live");
     ck_assert_int_gt(lookups_at("service2"), 0);
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -1,4 +1,5 @@
-/* test_fleet_requests.c -- real processes: callers, targets, run-once, stops under failure */
+/* test_fleet_requests.c -- real processes: answers to callers, at-most-once actions, failing
+   targets, restarts */
 #include "fleet_common.h"
 
 START_TEST(answers_and_refusals) {
@@ -29,13 +30,13 @@
     ck_assert_int_ne(ask_status("r1", "GET", app, "key-w0", header, NULL), 200);
     g_free(header);
     g_free(large);
-    /* A caller cannot speak for the system. */
+    /* Internal headers that a caller sends have no effect. */
     proc_answer answer = proc_ask(proc_find(&fleet, "r1")->address, "GET", app, "key-w0",
                                   "Walnutgate-Workspace: w1\r\nTarget-Leaving: 1\r\n", NULL);
     ck_assert_int_eq(answer.status, 200);
     ck_assert_str_eq(answer.verdict, "ran");
     proc_answer_clear(&answer);
-    /* Over a limit: 429 with when to come back. */
+    /* Above the rate limit the answer is 429 with Retry-After. */
     ck_assert_int_eq(
         proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "rate=1", "burst=1", NULL), 0);
     int limited = 0;
@@ -94,7 +95,7 @@
 }
 END_TEST
 
-/* A length that two readers could take differently must not carry a second request in. */
+/* A body length that two parsers could read differently must not smuggle in a second request. */
 START_TEST(ambiguous_lengths_smuggle_nothing) {
     static const char* const lengths[] = {"Content-Length: 4\r\nContent-Length: 90\r\n",
                                           "Content-Length: +4\r\n", "Content-Length : 4\r\n",
@@ -118,7 +119,8 @@
 }
 END_TEST
 
-/* Actions while routers are killed and targets cut off: at most once, and verdicts hold. */
+/* Actions run at most once, and verdicts are true, while routers are killed and targets abort
+   answers. */
 static void kill_and_restart_routers(void* user_data, wg_time since) {
     (void)user_data;
     static int done;
@@ -195,7 +197,7 @@
     ck_assert_int_eq(proc_journal(proc_find(&fleet, "service1"), "actions") +
                          proc_journal(proc_find(&fleet, "service2"), "actions"),
                      1);
-    /* Later, through another router: the first one's answer. */
+    /* A later resend through another router gets the answer of the first request. */
     resend late = {.router = "r2"};
     resend_thread(&late);
     ck_assert_int_eq(late.status, 200);
@@ -235,7 +237,7 @@
     }
 }
 
-/* Lookups may be repeated: when their target dies, the other one answers. */
+/* Lookups may be repeated: when their target is killed, the other one answers. */
 START_TEST(killed_target_fails_no_lookup) {
     start(&(proc_desc){.controls = 1, .routers = 3, .services = 2, .engines = 1});
     bool done = false;
@@ -251,7 +253,7 @@
 }
 END_TEST
 
-/* Stop and start every process in turn, in the planned way, under load. */
+/* Stops every daemon in turn with SIGTERM and starts it again, under load. */
 static void rolling_restart(void* user_data, wg_time since) {
     (void)since;
     int* at = user_data;
@@ -272,7 +274,7 @@
         return;
     }
     if (*at > 0) {
-        /* An operator waits until the one before is ready again. */
+        /* An operator waits until the daemon restarted before is ready. */
         proc_process* last = &fleet.processes[*at - 1];
         proc_answer answer = proc_ask(last->operators, "GET", "/readyz", NULL, NULL, NULL);
         bool ready = answer.status == 200;
@@ -334,7 +336,7 @@
     return bytes;
 }
 
-/* A caller that does not read: the router stops reading from the target. */
+/* When a caller does not read, the router stops reading from the target. */
 START_TEST(slow_caller_does_not_fill_memory) {
     start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     proc_process* router = proc_find(&fleet, "r1");
@@ -353,7 +355,7 @@
     ck_assert_int_eq(send(fd, request, strlen(request), 0), (ssize_t)strlen(request));
     proc_sleep(2500);
     ck_assert_int_lt(memory_of(router) - before, 12 << 20);
-    /* It still gets the whole of it. */
+    /* The caller still gets the complete answer. */
     size_t got = 0;
     char* block = g_malloc(1 << 20);
     ssize_t num;
@@ -386,8 +388,8 @@
 }
 END_TEST
 
-/* A target that reads so many bytes of a request and then resets the connection. Odd connections
-   are answered well, so that the router does not put it aside. */
+/* A target that resets every other connection after reading `read_bytes` bytes of a request, and
+   answers the rest with 200, so that the router does not eject it. */
 typedef struct {
     int listener;
     int connections;
@@ -397,10 +399,9 @@
 
 static void cut_after(int fd, int bytes) {
     char byte;
-    struct timeval patience = {.tv_usec = 50000}; /* when the whole request has been read */
-    /* Also before the first byte is read, one has come, however long that takes: else none may have
-       left the router, and not-run would be true. On a busy machine it took more than 50 ms, the
-       router rightly sent the request on a new connection, and that one was answered well. */
+    struct timeval patience = {.tv_usec = 50000}; /* ends the loop when the request is read */
+    /* Wait for the first byte without a time-out: if none was sent, the router may rightly report
+       not-run and send the request on a new connection. */
     ssize_t there = recv(fd, &byte, 1, MSG_PEEK);
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
     for (int i = 0; there == 1 && i < bytes && recv(fd, &byte, 1, 0) == 1; i++) {
@@ -448,9 +449,8 @@
     ck_assert_int_eq(listen(t->listener, 16), 0);
 }
 
-/* An action with a key, asked for until the fleet has taken it. While the only control's disk or
-   process stands still for seconds, leases, table or claim are not in force: then the router says
-   that nothing ran, and no target may have seen a byte. */
+/* Sends an action until the fleet accepts it. While the only control is stalled, leases, table or
+   claims may have expired: the router then answers not-run, and no target may have seen a byte. */
 static proc_answer act_once_taken(const char* key, const cutting_target* target) {
     enum {
         TRIES = 40,
@@ -470,8 +470,8 @@
     }
 }
 
-/* The target's link is cut after each byte of a request that may not be repeated: it is never sent
-   again, and never said not to have run. */
+/* An unrepeatable request whose connection is reset after any number of bytes is never sent again,
+   and never reported as not run. */
 START_TEST(a_cut_at_any_byte_is_not_sent_again) {
     enum {
         REQUEST_BYTES = 330
@@ -499,7 +499,7 @@
                       target.read_bytes, answer.verdict);
         proc_answer_clear(&answer);
         ck_assert_int_eq(target.connections - before, 1);
-        /* A resend of the key is told the same, and reaches no target. */
+        /* A resend of the key gets the same verdict and reaches no target. */
         answer = act_once_taken(key, &target);
         ck_assert_int_eq(answer.status, 409);
         ck_assert_str_eq(answer.verdict, "may-have-run");
--- a/tests/test_loopback.c
+++ b/tests/test_loopback.c
@@ -1,10 +1,7 @@
-/* test_loopback.c -- test programs that run at the same time use different addresses
+/* test_loopback.c -- concurrent test processes use different loopback addresses
 
-   All test programs run at once, each test in a process of its own, and some listen on loopback
-   addresses that they made of their process id modulo 250. Ids of processes that live at the same
-   moment are often equal modulo 250: the later one could not listen. Evidence: one of 354 tests
-   failed in a run on a machine with nothing else to do, and four in three runs at once, three of
-   them with "Assertion 'listener != NULL' failed" or "'wgn_listen(...)' failed". */
+   Guards against tests that cannot listen because another one, whose process id is equal modulo
+   250, uses the same address. */
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -15,7 +12,7 @@
     FORKS_MAX = 8192
 };
 
-/* A process like any test's: it tells its first address and stays until it is ended. */
+/* Forks a process that reports its first loopback address and then runs until it is killed. */
 static pid_t other(char address[ADDRESS_MAX]) {
     int tell[2];
     ck_assert_int_eq(pipe(tell), 0);
@@ -37,7 +34,7 @@
     waitpid(pid, NULL, 0);
 }
 
-/* Two processes at a time, whose ids are equal modulo 250. */
+/* Covers two concurrent processes whose ids are equal modulo 250. */
 START_TEST(processes_with_similar_ids_have_different_addresses) {
     char first_at[ADDRESS_MAX];
     char second_at[ADDRESS_MAX];
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -1,4 +1,4 @@
-/* test_message.c -- strict heads, bodies by their framing, whole events out of a stream */
+/* test_message.c -- strict parsing of heads, decoding of bodies, splitting of event streams */
 #include <stdio.h>
 
 #include "wg_event_stream.h"
@@ -26,7 +26,7 @@
 }
 END_TEST
 
-/* Whatever two readers could understand differently smuggles a request past one of them. */
+/* A head that two parsers could read differently may smuggle a request past one of them. */
 START_TEST(ambiguous_requests_are_refused) {
     static const char* const bad[] = {
         "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -129,7 +129,7 @@
 }
 END_TEST
 
-/* The same body in pieces of every size comes out the same. */
+/* A chunked body decodes to the same content, whatever the size of the pieces that arrive. */
 START_TEST(chunks_come_in_any_pieces) {
     static const char wire[] = "4;x=y\r\nwall\r\n0A\r\nnutgate...\r\n0\r\nTrailer: a\r\n\r\nNEXT";
     for (size_t piece = 1; piece < sizeof wire; piece++) {
@@ -183,7 +183,7 @@
         ck_assert_str_eq(id, ids[i]);
     }
     ck_assert_int_eq(wg_event_stream_next(in, out, id, sizeof id), WG_EVENT_STREAM_MORE);
-    ck_assert_str_eq(id, "2"); /* of the last whole event */
+    ck_assert_str_eq(id, "2"); /* id of the last complete event */
     ck_assert_uint_eq(evbuffer_get_length(in), strlen("id: 4\ndata"));
     evbuffer_free(in);
     evbuffer_free(out);
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -1,4 +1,5 @@
-/* test_net.c -- links between processes beside a flood of other events */
+/* test_net.c -- links between processes: priority over other events, stalled processes, shared
+   frames, peers that do not read */
 #include <event2/event.h>
 #include <unistd.h>
 
@@ -8,7 +9,7 @@
 
 enum {
     FLOOD = 2000,  /* events that are always active */
-    WORK_US = 100, /* each takes */
+    WORK_US = 100, /* run time of a flood event */
     CALLBACKS = 32,
     FRAMES = 10
 };
@@ -74,7 +75,7 @@
                      NULL);
 }
 
-/* A host that is flooded by callers still hears what the fleet says. */
+/* A host that is flooded by callers still receives messages of the fleet in time. */
 START_TEST(links_go_before_a_flood) {
     struct event_config* config = event_config_new();
     struct timeval turn = {.tv_usec = 2000};
@@ -93,7 +94,7 @@
     }
     event_base_dispatch(base);
     ck_assert_int_eq(frames, FRAMES);
-    /* One round of the flood takes 200 ms, a turn of it 3. */
+    /* A round of the flood takes 200 ms, a turn of CALLBACKS events 3 ms. */
     ck_assert_int_lt(longest, 60 * MSEC);
     for (int i = 0; i < FLOOD; i++) {
         event_free(flood[i]);
@@ -105,7 +106,7 @@
 }
 END_TEST
 
-/* ---- a process that is late --------------------------------------------------------------------
+/* ---- stalled process --------------------------------------------------------------------------
  */
 
 static int late_ups;
@@ -143,9 +144,8 @@
     event_base_dispatch(base);
 }
 
-/* A process that stood still for longer than the silence deadline had closed every link that it
-   had, before it read what waited there, and was without a leader, or without its followers, until
-   all were dialled again. What it did not read is its own lateness, not silence of the others. */
+/* A process that was stalled for longer than the silence deadline keeps its links: it must not take
+   its own lag for unresponsive peers. */
 START_TEST(a_late_process_keeps_its_links) {
     base = event_base_new();
     event_base_priority_init(base, WGN_PRIORITIES);
@@ -174,7 +174,7 @@
 enum {
     READERS = 60,
     FRAME_SIZE = 1 << 20,
-    WAITING_MAX = 8 << 20 /* bytes, of the sender */
+    WAITING_MAX = 8 << 20 /* bytes that the sender may hold for all links */
 };
 
 static struct event_base* far_base;
@@ -258,7 +258,7 @@
     }
 }
 
-/* One message for all takes the memory of one, and comes to all. */
+/* A frame that is sent on many links is held in memory once and reaches every peer. */
 START_TEST(a_frame_for_many_links_is_held_once) {
     readers_begin();
     wgn_frame* frame = large_frame(1);
@@ -268,7 +268,7 @@
     ck_assert_uint_lt(wgn_query_stats(near_net).waiting, FRAME_SIZE + 100);
     wgn_type_stats sent = wgn_query_stats(near_net).sent[WGW_TYPE_CONFIGURATION];
     ck_assert_uint_eq(sent.frames, READERS);
-    ck_assert_uint_eq(sent.far_bytes, sent.bytes); /* the readers name another data centre */
+    ck_assert_uint_eq(sent.far_bytes, sent.bytes); /* the readers are in another data centre */
     for (int i = 0; i < 20000 && documents < READERS; i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
         event_base_loop(far_base, EVLOOP_NONBLOCK);
@@ -280,7 +280,7 @@
 }
 END_TEST
 
-/* Links that do not read cannot take more memory than the process allows for all of them. */
+/* Links whose peers do not read are closed before they exceed the process's memory limit. */
 START_TEST(links_that_do_not_read_are_closed_at_the_limit) {
     readers_begin();
     for (int i = 0; i < 30; i++) {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,10 +1,11 @@
-/* test_platform.c -- the adapter's names against the names that the deploy files ask for */
+/* test_platform.c -- the adapter's field names agree with the renames in deploy/wire.toml */
 #include <string.h>
 
 #include "platform_names.h"
 #include "wg_test.h"
 
-/* The name that deploy/wire.toml gives to one of the platform's fields; NULL: it is not renamed. */
+/* Returns the name that deploy/wire.toml gives to a field of the platform, NULL if it keeps its
+   own; the caller frees it. */
 static char* renamed(const char* field) {
     char* text = NULL;
     ck_assert(g_file_get_contents("deploy/wire.toml", &text, NULL, NULL));
@@ -20,8 +21,8 @@
     return name;
 }
 
-/* Renamed fields have their new name in queries too. Read under the old one, the caller's data
-   centre was never known, and every caller was named the same 64 hosts of 300. */
+/* Renamed fields have their new name in queries too; read under the old one, the caller's data
+   centre stays unknown. */
 START_TEST(the_callers_place_is_read_under_the_name_that_it_comes_with) {
     char* place = renamed("zone");
     ck_assert_ptr_nonnull(place);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -94,14 +94,14 @@
         push(q, 0, 1, 100, false);
         push(q, 0, 2, 100, false);
     }
-    /* Elsewhere workspace 1 has already had 10,000 tokens. */
+    /* Other routers have already served 10,000 tokens to workspace 1. */
     wgq_sync(q, 1, 10000ull * WGQ_SCALE / 100, 0);
     for (int i = 0; i < 10; i++) {
         ck_assert_uint_eq(pick(q, 1, &picked), 2);
         wgq_finish(q, 1, picked, 100);
     }
     ck_assert_uint_eq(pick(q, 1, &picked), 1);
-    /* A sync that is older than what was served here since does not undo it. */
+    /* A sync that is older than the service given here since does not lower the virtual time. */
     wgq_finish(q, 1, picked, 500);
     uint64_t before = wgq_query_virtual_time(q, 1);
     wgq_sync(q, 1, 10000ull * WGQ_SCALE / 100, 0);
@@ -195,7 +195,7 @@
     wgq_limits limits = {.weight = 1};
     wg_time after;
     wgq_handle picked;
-    /* One a second drains; a second of patience is not enough behind three others. */
+    /* The queue drains one request per second: a wait limit of 1 s cannot be met behind others. */
     for (int i = 0; i < 8; i++) {
         push(q, i * SECOND, 9, 1, false);
         push(q, i * SECOND, 9, 1, false);
@@ -223,7 +223,7 @@
     }
     ck_assert_int_ge(first, 19);
     ck_assert_int_le(first, 21);
-    /* The reserve is for urgent requests alone. */
+    /* Only urgent requests may use the reserve. */
     wgq_queue* calm = wgq_setup(&(wgq_desc){0}, NULL);
     push(calm, 0, 1, 100, false);
     ck_assert(!wgq_pick(calm, 0, true, &picked));
@@ -261,7 +261,8 @@
 }
 END_TEST
 
-/* 2,500 of 25,000 wait: each head is served within two rounds, giants ahead or not. */
+/* With 2,500 of 25,000 workspaces waiting, the first request of each is served within two rounds,
+   also behind requests of a hundred times the usual cost. */
 START_TEST(wait_of_a_head_is_bounded) {
     enum {
         WAITING = 2500
@@ -282,7 +283,7 @@
     for (int i = 1; i <= 2 * WAITING; i++) {
         uint32_t w = pick(q, i, &picked);
         ck_assert_uint_ne(w, 0);
-        /* A few giants, a hundred times the usual cost, are charged when it is known. */
+        /* The cost of the few expensive requests is charged when they finish. */
         bool giant = w % 500 == 0;
         wgq_finish(q, i, picked, giant ? 10000 : 100);
         longest = giant ? longest : MAX(longest, i - last[w]);
@@ -294,8 +295,8 @@
 }
 END_TEST
 
-/* One workspace floods at 100 times its share: a newcomer stands behind one of its requests at
- * most. */
+/* The first request of a workspace waits behind at most one request of a workspace that floods the
+   queue at 100 times its share. */
 START_TEST(flood_does_not_lengthen_others_waits) {
     wgq_queue* q = wgq_setup(&(wgq_desc){.requests_max = 20000}, NULL);
     wgq_handle picked;
@@ -317,15 +318,15 @@
 }
 END_TEST
 
-/* A request that says nothing of its cost until its end, and takes longer than usual, counts for
-   more and more while it runs; what it really cost settles it. */
+/* The estimated cost of a request that reports no progress grows while it runs longer than usual;
+   its actual cost replaces the estimate when it finishes. */
 START_TEST(long_silent_requests_count_while_they_run) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_handle picked;
     for (int i = 0; i < 40; i++) {
         push(q, 0, 1, 100, false);
         pick(q, 0, &picked);
-        wgq_finish(q, SECOND, picked, 100); /* 100 a second */
+        wgq_finish(q, SECOND, picked, 100); /* 100 tokens per second */
     }
     push(q, 10 * SECOND, 1, 100, false);
     pick(q, 10 * SECOND, &picked);
@@ -338,7 +339,7 @@
     ck_assert_uint_ge(account.pending, 450);
     ck_assert_uint_le(account.pending, 550);
     uint64_t served = account.served;
-    wgq_finish(q, 16 * SECOND, picked, 300); /* it was slow, not large */
+    wgq_finish(q, 16 * SECOND, picked, 300); /* slow, but not expensive */
     wgq_accounts(q, true, &account, 1);
     ck_assert_uint_eq(account.pending, 0);
     ck_assert_uint_eq(account.served, served + 300);
