--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -120,10 +120,10 @@
     step(WGC_EVENT_WAITED);
     step(WGC_EVENT_SLOT);
     ck_assert_int_eq(call.attempt, 2);
-    wgc_event late = {.type = WGC_EVENT_WHOLE, .attempt = 1};
-    ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
-    late.type = WGC_EVENT_HEAD;
-    ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
+    wgc_event stale = {.type = WGC_EVENT_WHOLE, .attempt = 1};
+    ck_assert_int_eq(wgc_step(&call, SECOND, &stale).type, WGC_ACTION_DEFAULT);
+    stale.type = WGC_EVENT_HEAD;
+    ck_assert_int_eq(wgc_step(&call, SECOND, &stale).type, WGC_ACTION_DEFAULT);
     ck_assert_int_eq(step(WGC_EVENT_WHOLE).type, WGC_ACTION_FINISH);
     ck_assert_int_eq(step(WGC_EVENT_FAILED).type, WGC_ACTION_DEFAULT);
 }
@@ -145,9 +145,9 @@
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
     step(WGC_EVENT_HEAD);
-    wgc_action cut = step(WGC_EVENT_FAILED);
-    ck_assert_int_eq(cut.type, WGC_ACTION_CUT);
-    ck_assert_int_eq(cut.verdict, WG_VERDICT_MAY_HAVE_RUN);
+    wgc_action aborted = step(WGC_EVENT_FAILED);
+    ck_assert_int_eq(aborted.type, WGC_ACTION_CUT);
+    ck_assert_int_eq(aborted.verdict, WG_VERDICT_MAY_HAVE_RUN);
 }
 END_TEST
 
@@ -197,8 +197,8 @@
         bool repeatable = run % 3 == 0;
         begin(repeatable, run % 2 == 0, run % 5 == 0);
         int sends_after_byte = 0;
-        bool byte = false;
-        bool said = false;
+        bool byte_sent = false;
+        bool reported_not_run = false;
         for (uint64_t i = 0; i < 30 && call.state != WGC_STATE_DONE; i++) {
             wgc_event_type type = (wgc_event_type)(wg_jitter(run, i) % (WGC_EVENT_NUM - 1) + 1);
             bool slot_due = call.state == WGC_STATE_QUEUED;
@@ -213,15 +213,15 @@
             if (type == WGC_EVENT_NOT_RUN_SAID && call.head_relayed) {
                 continue;
             }
-            byte = byte || (running && type == WGC_EVENT_WRITTEN);
-            said = running && type == WGC_EVENT_NOT_RUN_SAID;
+            byte_sent = byte_sent || (running && type == WGC_EVENT_WRITTEN);
+            reported_not_run = running && type == WGC_EVENT_NOT_RUN_SAID;
             wgc_action action = wgc_step(&call, SECOND, &event);
-            if (said) {
-                byte = false;
+            if (reported_not_run) {
+                byte_sent = false;
             }
-            sends_after_byte += action.type == WGC_ACTION_SEND && byte;
+            sends_after_byte += action.type == WGC_ACTION_SEND && byte_sent;
             if (action.type == WGC_ACTION_ANSWER && action.verdict == WG_VERDICT_NOT_RUN) {
-                ck_assert(!byte || repeatable);
+                ck_assert(!byte_sent || repeatable);
             }
         }
         ck_assert(repeatable || sends_after_byte == 0);
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -4,7 +4,7 @@
 
 #include "fleet_common.h"
 
-static bool proof_was_refused(void* user_data) {
+static bool proof_is_rejected(void* user_data) {
     (void)user_data;
     return proc_state(&fleet, proc_find(&fleet, "c1"), "links.proofs_bad") >= 1;
 }
@@ -18,7 +18,7 @@
     ck_assert(g_file_set_contents(path, "another-key-altogether\n", -1, NULL));
     g_free(path);
     proc_start(&fleet, router);
-    ck_assert(proc_until(proof_was_refused, NULL, 20));
+    ck_assert(proc_until(proof_is_rejected, NULL, 20));
     proc_sleep(1500);
     proc_answer answer = proc_ask(router->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     ck_assert_int_eq(answer.status, 503);
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-static bool router_takes_work(void* user_data) {
+static bool router_is_ready(void* user_data) {
     proc_process* router = user_data;
     proc_answer answer = proc_ask(router->operators, "GET", "/readyz", NULL, NULL, NULL);
     bool ready = answer.status == 200;
@@ -95,42 +95,42 @@
     (void)user_data;
     char* out = NULL;
     proc_ctl(&fleet, &out, "status", NULL);
-    int whole = 0;
+    int complete = 0;
     for (const char* at = out; at && (at = strstr(at, "replicas=3")); at++) {
-        whole++;
+        complete++;
     }
     g_free(out);
-    return whole == 3;
+    return complete == 3;
 }
 
 START_TEST(lost_disk_is_replaced_by_one_command) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
-    proc_process* lost = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
+    proc_process* wiped = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     proc_process* third = NULL;
     for (int i = 0; i < 3; i++) {
-        if (&fleet.processes[i] != leader && &fleet.processes[i] != lost) {
+        if (&fleet.processes[i] != leader && &fleet.processes[i] != wiped) {
             third = &fleet.processes[i];
         }
     }
-    proc_kill(lost);
-    proc_wipe(&fleet, lost);
+    proc_kill(wiped);
+    proc_wipe(&fleet, wiped);
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "weight=7", NULL),
                      0);
-    proc_start(&fleet, lost);
+    proc_start(&fleet, wiped);
     /* A replica with an empty data folder has no vote: without the third there is no majority. */
     proc_kill(third);
     proc_sleep(2500);
     ck_assert_int_eq(proc_state(&fleet, leader, "leads"), 0);
-    ck_assert_int_eq(proc_state(&fleet, lost, "leads"), 0);
+    ck_assert_int_eq(proc_state(&fleet, wiped, "leads"), 0);
     proc_start(&fleet, third);
     proc_leader(&fleet);
-    bool begun = false;
-    for (int i = 0; i < 100 && !begun; i++) {
-        begun = proc_ctl(&fleet, NULL, "replica", "replace", lost->name, NULL) == 0;
+    bool replace_accepted = false;
+    for (int i = 0; i < 100 && !replace_accepted; i++) {
+        replace_accepted = proc_ctl(&fleet, NULL, "replica", "replace", wiped->name, NULL) == 0;
         proc_sleep(50);
     }
-    ck_assert(begun);
+    ck_assert(replace_accepted);
     ck_assert(proc_until(three_voters, NULL, 30));
     /* The repaired replica set survives another failure. */
     proc_kill(third);
@@ -144,20 +144,20 @@
 
 START_TEST(folder_of_another_cluster_is_refused) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
-    proc_process* one =
+    proc_process* reinitialised =
         proc_leader(&fleet) == &fleet.processes[0] ? &fleet.processes[1] : &fleet.processes[0];
-    proc_kill(one);
-    proc_wipe(&fleet, one);
+    proc_kill(reinitialised);
+    proc_wipe(&fleet, reinitialised);
     /* A new cluster initialised by mistake must not disturb the existing one. */
     char* command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings %s --init",
-                                    fleet.folder, fleet.bin, one->settings);
+                                    fleet.folder, fleet.bin, reinitialised->settings);
     ck_assert_int_eq(system(command), 0);
     g_free(command);
-    proc_start(&fleet, one);
+    proc_start(&fleet, reinitialised);
     proc_sleep(1500);
     proc_process* leader = proc_leader(&fleet);
     for (int i = 0; i < 3; i++) {
-        if (&fleet.processes[i] != one) {
+        if (&fleet.processes[i] != reinitialised) {
             ck_assert_int_ge(proc_state(&fleet, &fleet.processes[i], "table.workspaces"), 3);
         }
     }
@@ -186,7 +186,7 @@
 }
 END_TEST
 
-static bool refuses_for_its_lease(void* user_data) {
+static bool refuses_without_lease(void* user_data) {
     proc_answer answer = proc_ask(user_data, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     bool refuses = answer.status == 503 && strstr(answer.body, "table_not_in_force");
     proc_answer_clear(&answer);
@@ -198,7 +198,7 @@
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGSTOP);
     }
-    ck_assert(proc_until(refuses_for_its_lease, proc_find(&fleet, "r1")->address, 20));
+    ck_assert(proc_until(refuses_without_lease, proc_find(&fleet, "r1")->address, 20));
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGCONT);
     }
@@ -246,10 +246,10 @@
     status = system(command);
     ck_assert_int_eq(WEXITSTATUS(status), 2); /* its data folder is in use */
     char* path = g_build_filename(fleet.folder, "why.txt", NULL);
-    char* why = NULL;
-    g_file_get_contents(path, &why, NULL, NULL);
-    ck_assert_ptr_nonnull(strstr(why, "another process uses"));
-    g_free(why);
+    char* errors = NULL;
+    g_file_get_contents(path, &errors, NULL, NULL);
+    ck_assert_ptr_nonnull(strstr(errors, "another process uses"));
+    g_free(errors);
     g_free(path);
     g_free(command);
     proc_fleet_stop(&fleet);
@@ -257,12 +257,12 @@
 END_TEST
 
 /* Whether the committed log of a control is shorter than the leader's. */
-static bool is_behind(void* user_data) {
+static bool log_is_behind(void* user_data) {
     int64_t commit = proc_state(&fleet, proc_leader(&fleet), "log.commit");
     return proc_state(&fleet, user_data, "log.commit") < commit;
 }
 
-static void limit_files(const proc_process* control, rlim_t bytes) {
+static void limit_file_size(const proc_process* control, rlim_t bytes) {
     struct rlimit limit;
     ck_assert_int_eq(prlimit(control->pid, RLIMIT_FSIZE, NULL, &limit), 0);
     limit.rlim_cur = MIN(bytes, limit.rlim_max);
@@ -276,18 +276,18 @@
     proc_process* leader = proc_leader(&fleet);
     proc_process* full = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     pid_t pid = full->pid;
-    limit_files(full, 4096); /* no file can grow beyond this size */
+    limit_file_size(full, 4096); /* no file can grow beyond this size */
     for (int i = 0; i < 60; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "more%d", i);
         ck_assert_int_eq(
             proc_ctl(&fleet, NULL, "table", "set", "workspaces", name, "weight=5", NULL), 0);
     }
-    ck_assert(proc_until(is_behind, full, 30));
+    ck_assert(proc_until(log_is_behind, full, 30));
     proc_sleep(1000);
-    ck_assert(is_behind(full));                       /* as long as the disk is full */
+    ck_assert(log_is_behind(full));                   /* as long as the disk is full */
     ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends no process */
-    limit_files(full, RLIM_INFINITY);
+    limit_file_size(full, RLIM_INFINITY);
     ck_assert(proc_until(three_voters, NULL, 30));
     ck_assert_int_eq(full->pid, pid);
     ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0);
@@ -318,7 +318,7 @@
     /* A restarted router holds only the rows that requests needed since. */
     proc_kill(router);
     proc_start(&fleet, router);
-    ck_assert(proc_until(router_takes_work, router, 20));
+    ck_assert(proc_until(router_is_ready, router, 20));
     ck_assert_int_eq(ask_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
     ck_assert_int_le(proc_state(&fleet, router, "table.workspaces"), 2);
     /* An unknown key is accepted once an operator has added it. */
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -163,10 +163,10 @@
     const char* router;
     int status;
     char verdict[24];
-} resend;
+} resend_call;
 
 static gpointer resend_thread(gpointer data) {
-    resend* r = data;
+    resend_call* r = data;
     proc_answer answer =
         proc_ask(proc_find(&fleet, r->router)->address, "POST", "/v1/app/app/act", "key-w0",
                  "Idempotency-Key: same\r\nX-Request-Id: same\r\n", "go");
@@ -180,27 +180,27 @@
     start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
     proc_faults(proc_find(&fleet, "service1"), "work_us=300000");
     proc_faults(proc_find(&fleet, "service2"), "work_us=300000");
-    resend resends[6] = {{.router = "r1"}, {.router = "r2"}, {.router = "r3"},
-                         {.router = "r1"}, {.router = "r2"}, {.router = "r3"}};
+    resend_call resends[6] = {{.router = "r1"}, {.router = "r2"}, {.router = "r3"},
+                              {.router = "r1"}, {.router = "r2"}, {.router = "r3"}};
     GThread* threads[6];
     for (int i = 0; i < 6; i++) {
         threads[i] = g_thread_new("resend", resend_thread, &resends[i]);
     }
-    int ran = 0;
+    int succeeded = 0;
     for (int i = 0; i < 6; i++) {
         g_thread_join(threads[i]);
-        ran += resends[i].status == 200;
+        succeeded += resends[i].status == 200;
         ck_assert(resends[i].status == 200 || resends[i].status == 409);
         ck_assert_str_ne(resends[i].verdict, "not-run");
     }
-    ck_assert_int_ge(ran, 1);
+    ck_assert_int_ge(succeeded, 1);
     ck_assert_int_eq(proc_journal(proc_find(&fleet, "service1"), "actions") +
                          proc_journal(proc_find(&fleet, "service2"), "actions"),
                      1);
     /* A later resend through another router gets the answer of the first request. */
-    resend late = {.router = "r2"};
-    resend_thread(&late);
-    ck_assert_int_eq(late.status, 200);
+    resend_call later = {.router = "r2"};
+    resend_thread(&later);
+    ck_assert_int_eq(later.status, 200);
     proc_fleet_stop(&fleet);
 }
 END_TEST
@@ -229,7 +229,7 @@
 }
 END_TEST
 
-static void kill_a_target(void* user_data, wg_time since) {
+static void kill_target(void* user_data, wg_time since) {
     bool* done = user_data;
     if (!*done && since > SECOND) {
         *done = true;
@@ -242,7 +242,7 @@
     start(&(proc_desc){.controls = 1, .routers = 3, .services = 2, .engines = 1});
     bool done = false;
     load_desc desc = callers(LOAD_KIND_DEFAULT, 16, 4 * SECOND);
-    desc.on_tick = kill_a_target;
+    desc.on_tick = kill_target;
     desc.user_data = &done;
     load_result result;
     load_run(&desc, &result);
@@ -256,7 +256,7 @@
 /* Stops every daemon in turn with SIGTERM and starts it again, under load. */
 static void rolling_restart(void* user_data, wg_time since) {
     (void)since;
-    int* at = user_data;
+    int* next_daemon = user_data;
     static proc_process* stopping;
     if (stopping) {
         int status = 0;
@@ -266,16 +266,16 @@
         ck_assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
         proc_start(&fleet, stopping);
         stopping = NULL;
-        *at += 1;
+        *next_daemon += 1;
         return;
     }
     int daemons = fleet.desc.controls + fleet.desc.routers;
-    if (*at >= daemons) {
+    if (*next_daemon >= daemons) {
         return;
     }
-    if (*at > 0) {
+    if (*next_daemon > 0) {
         /* An operator waits until the daemon restarted before is ready. */
-        proc_process* last = &fleet.processes[*at - 1];
+        proc_process* last = &fleet.processes[*next_daemon - 1];
         proc_answer answer = proc_ask(last->operators, "GET", "/readyz", NULL, NULL, NULL);
         bool ready = answer.status == 200;
         proc_answer_clear(&answer);
@@ -283,20 +283,20 @@
             return;
         }
     }
-    stopping = &fleet.processes[*at];
+    stopping = &fleet.processes[*next_daemon];
     proc_signal(stopping, SIGTERM);
 }
 
 START_TEST(rolling_restart_fails_no_request) {
     start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 2});
-    int at = 0;
+    int next_daemon = 0;
     load_desc desc = callers(LOAD_KIND_STREAM, 12, 25 * SECOND);
     desc.on_tick = rolling_restart;
-    desc.user_data = &at;
+    desc.user_data = &next_daemon;
     desc.tries = 40;
     load_result result;
     load_run(&desc, &result);
-    ck_assert_int_eq(at, 6);
+    ck_assert_int_eq(next_daemon, 6);
     ck_clean(&result);
     ck_assert_uint_eq(result.broken, 0);
     load_clear(&result);
@@ -325,7 +325,7 @@
 }
 END_TEST
 
-static int64_t memory_of(const proc_process* p) {
+static int64_t resident_bytes(const proc_process* p) {
     char* path = g_strdup_printf("/proc/%d/statm", (int)p->pid);
     char* text = NULL;
     g_file_get_contents(path, &text, NULL, NULL);
@@ -340,7 +340,7 @@
 START_TEST(slow_caller_does_not_fill_memory) {
     start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     proc_process* router = proc_find(&fleet, "r1");
-    int64_t before = memory_of(router);
+    int64_t before = resident_bytes(router);
     char ip[64];
     g_strlcpy(ip, router->address, sizeof ip);
     *strrchr(ip, ':') = 0;
@@ -354,18 +354,18 @@
                           "Authorization: Bearer key-w0\r\nConnection: close\r\n\r\n";
     ck_assert_int_eq(send(fd, request, strlen(request), 0), (ssize_t)strlen(request));
     proc_sleep(2500);
-    ck_assert_int_lt(memory_of(router) - before, 12 << 20);
+    ck_assert_int_lt(resident_bytes(router) - before, 12 << 20);
     /* The caller still gets the complete answer. */
-    size_t got = 0;
+    size_t received = 0;
     char* block = g_malloc(1 << 20);
     ssize_t num;
     while ((num = recv(fd, block, 1 << 20, 0)) > 0) {
-        got += (size_t)num;
+        received += (size_t)num;
     }
     g_free(block);
     close(fd);
-    ck_assert_uint_gt(got, 60000000);
-    ck_assert_int_lt(memory_of(router) - before, 24 << 20);
+    ck_assert_uint_gt(received, 60000000);
+    ck_assert_int_lt(resident_bytes(router) - before, 24 << 20);
     proc_fleet_stop(&fleet);
 }
 END_TEST
@@ -376,11 +376,13 @@
                        .services = 1,
                        .engines = 1,
                        .router_extra = "[limits]\nidle_s=1\n"});
-    const char* parts[] = {"GET /v1/app/app/x HT", "GET /v1/app/app/x HTTP/1.1\r\nX-Slow: a",
-                           "POST /v1/app/app/x HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc"};
-    for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
+    const char* partial_requests[] = {
+        "GET /v1/app/app/x HT", "GET /v1/app/app/x HTTP/1.1\r\nX-Slow: a",
+        "POST /v1/app/app/x HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc"};
+    for (size_t i = 0; i < G_N_ELEMENTS(partial_requests); i++) {
         gint64 begin = g_get_monotonic_time();
-        g_free(proc_raw(proc_find(&fleet, "r1")->address, parts[i], strlen(parts[i]), 30000, NULL));
+        g_free(proc_raw(proc_find(&fleet, "r1")->address, partial_requests[i],
+                        strlen(partial_requests[i]), 30000, NULL));
         ck_assert_int_lt(g_get_monotonic_time() - begin, 25 * G_USEC_PER_SEC);
     }
     ck_assert_int_eq(ask_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
@@ -394,23 +396,23 @@
     int listener;
     int connections;
     int read_bytes;
-    bool over;
-} cutting_target;
+    bool stop;
+} resetting_target;
 
-static void cut_after(int fd, int bytes) {
+static void reset_after(int fd, int bytes) {
     char byte;
-    struct timeval patience = {.tv_usec = 50000}; /* ends the loop when the request is read */
+    struct timeval read_timeout = {.tv_usec = 50000}; /* ends the loop when the request is read */
     /* Wait for the first byte without a time-out: if none was sent, the router may rightly report
        not-run and send the request on a new connection. */
-    ssize_t there = recv(fd, &byte, 1, MSG_PEEK);
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    for (int i = 0; there == 1 && i < bytes && recv(fd, &byte, 1, 0) == 1; i++) {
+    ssize_t peeked = recv(fd, &byte, 1, MSG_PEEK);
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
+    for (int i = 0; peeked == 1 && i < bytes && recv(fd, &byte, 1, 0) == 1; i++) {
     }
     struct linger reset = {.l_onoff = 1};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
 }
 
-static void answer_well(int fd) {
+static void answer_ok(int fd) {
     char block[4096];
     if (recv(fd, block, sizeof block, 0) > 0) {
         const char* answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok";
@@ -419,24 +421,24 @@
     }
 }
 
-static gpointer cutting_thread(gpointer data) {
-    cutting_target* t = data;
-    while (!t->over) {
+static gpointer resetting_target_thread(gpointer data) {
+    resetting_target* t = data;
+    while (!t->stop) {
         int fd = accept(t->listener, NULL, NULL);
         if (fd < 0) {
             continue;
         }
         if (t->connections++ % 2 == 0) {
-            cut_after(fd, t->read_bytes);
+            reset_after(fd, t->read_bytes);
         } else {
-            answer_well(fd);
+            answer_ok(fd);
         }
         close(fd);
     }
     return NULL;
 }
 
-static void open_cutting_target(cutting_target* t, char address[64]) {
+static void open_resetting_target(resetting_target* t, char address[64]) {
     struct sockaddr_in in = {.sin_family = AF_INET, .sin_port = htons(9000)};
     char ip[32];
     g_snprintf(ip, sizeof ip, "127.%d.9.1", fleet.host);
@@ -451,22 +453,22 @@
 
 /* Sends an action until the fleet accepts it. While the only control is stalled, leases, table or
    claims may have expired: the router then answers not-run, and no target may have seen a byte. */
-static proc_answer act_once_taken(const char* key, const cutting_target* target) {
+static proc_answer send_action_until_accepted(const char* key, const resetting_target* target) {
     enum {
-        TRIES = 40,
-        AGAIN_MS = 250
+        ATTEMPTS_MAX = 40,
+        RETRY_INTERVAL_MS = 250
     };
     for (int i = 0;; i++) {
         int before = target->connections;
         proc_answer answer = proc_ask(proc_find(&fleet, "r1")->address, "POST", "/v1/app/raw/act",
                                       "key-w0", key, "go");
-        if (answer.status != 503 || i == TRIES) {
+        if (answer.status != 503 || i == ATTEMPTS_MAX) {
             return answer;
         }
         ck_assert_str_eq(answer.verdict, "not-run");
         ck_assert_int_eq(target->connections, before);
         proc_answer_clear(&answer);
-        proc_sleep(AGAIN_MS);
+        proc_sleep(RETRY_INTERVAL_MS);
     }
 }
 
@@ -477,11 +479,11 @@
         REQUEST_BYTES = 330
     };
     start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
-    cutting_target target = {0};
+    resetting_target target = {0};
     char address[64] = "address=";
-    open_cutting_target(&target, address);
+    open_resetting_target(&target, address);
     char* column = g_strdup_printf("address=%s", address);
-    GThread* thread = g_thread_new("target", cutting_thread, &target);
+    GThread* thread = g_thread_new("target", resetting_target_thread, &target);
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "services", "raw", "kind=app",
                               "repeatable=GET", NULL),
                      0);
@@ -493,23 +495,23 @@
         int before = target.connections;
         char key[64];
         g_snprintf(key, sizeof key, "Idempotency-Key: byte-%d\r\n", target.read_bytes);
-        proc_answer answer = act_once_taken(key, &target);
+        proc_answer answer = send_action_until_accepted(key, &target);
         ck_assert_int_eq(answer.status, 502);
         ck_assert_msg(strcmp(answer.verdict, "may-have-run") == 0, "after %d bytes: %s",
                       target.read_bytes, answer.verdict);
         proc_answer_clear(&answer);
         ck_assert_int_eq(target.connections - before, 1);
         /* A resend of the key gets the same verdict and reaches no target. */
-        answer = act_once_taken(key, &target);
+        answer = send_action_until_accepted(key, &target);
         ck_assert_int_eq(answer.status, 409);
         ck_assert_str_eq(answer.verdict, "may-have-run");
         proc_answer_clear(&answer);
         ck_assert_int_eq(target.connections - before, 1);
-        answer = act_once_taken(NULL, &target);
+        answer = send_action_until_accepted(NULL, &target);
         ck_assert_int_eq(answer.status, 200);
         proc_answer_clear(&answer);
     }
-    target.over = true;
+    target.stop = true;
     g_free(proc_raw(address, "x", 1, 100, NULL));
     g_thread_join(thread);
     close(target.listener);
--- a/tests/test_loopback.c
+++ b/tests/test_loopback.c
@@ -13,44 +13,44 @@
 };
 
 /* Forks a process that reports its first loopback address and then runs until it is killed. */
-static pid_t other(char address[ADDRESS_MAX]) {
-    int tell[2];
-    ck_assert_int_eq(pipe(tell), 0);
+static pid_t fork_with_address(char address[ADDRESS_MAX]) {
+    int report_pipe[2];
+    ck_assert_int_eq(pipe(report_pipe), 0);
     pid_t pid = fork();
     if (pid == 0) {
         char* own = local_address(1, 18000);
         char text[ADDRESS_MAX] = "";
         g_strlcpy(text, own, sizeof text);
-        _exit(write(tell[1], text, sizeof text) != (ssize_t)sizeof text || pause());
+        _exit(write(report_pipe[1], text, sizeof text) != (ssize_t)sizeof text || pause());
     }
-    close(tell[1]);
-    ck_assert_int_eq(read(tell[0], address, ADDRESS_MAX), ADDRESS_MAX);
-    close(tell[0]);
+    close(report_pipe[1]);
+    ck_assert_int_eq(read(report_pipe[0], address, ADDRESS_MAX), ADDRESS_MAX);
+    close(report_pipe[0]);
     return pid;
 }
 
-static void end(pid_t pid) {
+static void kill_process(pid_t pid) {
     kill(pid, SIGKILL);
     waitpid(pid, NULL, 0);
 }
 
 /* Covers two concurrent processes whose ids are equal modulo 250. */
 START_TEST(processes_with_similar_ids_have_different_addresses) {
-    char first_at[ADDRESS_MAX];
-    char second_at[ADDRESS_MAX];
-    pid_t first = other(first_at);
+    char first_address[ADDRESS_MAX];
+    char second_address[ADDRESS_MAX];
+    pid_t first = fork_with_address(first_address);
     pid_t second = 0;
     for (int i = 0; i < FORKS_MAX && !second; i++) {
-        second = other(second_at);
+        second = fork_with_address(second_address);
         if (second % 250 != first % 250) {
-            end(second);
+            kill_process(second);
             second = 0;
         }
     }
     ck_assert_int_ne(second, 0);
-    ck_assert_str_ne(first_at, second_at);
-    end(second);
-    end(first);
+    ck_assert_str_ne(first_address, second_address);
+    kill_process(second);
+    kill_process(first);
 }
 END_TEST
 
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -86,18 +86,18 @@
 
 START_TEST(a_head_is_whole_only_with_its_empty_line) {
     const char* text = "GET / HTTP/1.1\r\nHost: a\r\n\r\nmore";
-    size_t whole = strlen(text) - strlen("more");
-    for (size_t size = 0; size < whole; size++) {
+    size_t head_size = strlen(text) - strlen("more");
+    for (size_t size = 0; size < head_size; size++) {
         ck_assert_uint_eq(wg_message_head_size(text, size), 0);
     }
-    ck_assert_uint_eq(wg_message_head_size(text, strlen(text)), whole);
+    ck_assert_uint_eq(wg_message_head_size(text, strlen(text)), head_size);
 }
 END_TEST
 
 START_TEST(answers_have_one_framing) {
     wg_message_head head;
-    const char* closed = "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n";
-    ck_assert(wg_message_parse_answer(closed, strlen(closed), false, &head));
+    const char* until_close = "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n";
+    ck_assert(wg_message_parse_answer(until_close, strlen(until_close), false, &head));
     ck_assert_int_eq(head.framing, WG_FRAMING_CLOSE);
     ck_assert(!head.keep_alive);
     const char* none = "HTTP/1.1 204 No Content\r\n\r\n";
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -8,25 +8,25 @@
 #include "wg_test.h"
 
 enum {
-    FLOOD = 2000,  /* events that are always active */
-    WORK_US = 100, /* run time of a flood event */
-    CALLBACKS = 32,
+    FLOOD_EVENTS = 2000,  /* events that are always active */
+    FLOOD_EVENT_US = 100, /* run time of a flood event */
+    CALLBACKS_PER_TURN = 32,
     FRAMES = 10
 };
 
 static struct event_base* base;
-static struct event* flood[FLOOD];
-static wgn_net* near_net;
-static wgn_net* far_net;
+static struct event* flood[FLOOD_EVENTS];
+static wgn_net* client_net;
+static wgn_net* server_net;
 static wgn_link link_up;
 static int frames;
 static wg_time sent_at;
-static wg_time longest;
+static wg_time longest_delay;
 
 static void on_flood(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    wg_time until = wg_now() + WORK_US;
+    wg_time until = wg_now() + FLOOD_EVENT_US;
     while (wg_now() < until) {
     }
     event_active(*(struct event**)user_data, EV_TIMEOUT, 1);
@@ -35,12 +35,12 @@
 static void send_next(void) {
     Wgpb__AdmitNote note = WGPB__ADMIT_NOTE__INIT;
     sent_at = wg_now();
-    ck_assert(wgn_send(near_net, link_up, WGW_TYPE_ADMIT_NOTE, &note.base));
+    ck_assert(wgn_send(client_net, link_up, WGW_TYPE_ADMIT_NOTE, &note.base));
 }
 
 static void on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)peer;
-    if (user_data == &near_net) {
+    if (user_data == &client_net) {
         link_up = link;
         send_next();
     }
@@ -50,7 +50,7 @@
     (void)link;
     (void)frame;
     (void)user_data;
-    longest = MAX(longest, wg_now() - sent_at);
+    longest_delay = MAX(longest_delay, wg_now() - sent_at);
     if (++frames == FRAMES) {
         event_base_loopbreak(base);
     } else {
@@ -79,28 +79,28 @@
 START_TEST(links_go_before_a_flood) {
     struct event_config* config = event_config_new();
     struct timeval turn = {.tv_usec = 2000};
-    event_config_set_max_dispatch_interval(config, &turn, CALLBACKS, WGN_PRIORITIES - 1);
+    event_config_set_max_dispatch_interval(config, &turn, CALLBACKS_PER_TURN, WGN_PRIORITIES - 1);
     base = event_base_new_with_config(config);
     event_config_free(config);
     event_base_priority_init(base, WGN_PRIORITIES);
-    near_net = net(&near_net);
-    far_net = net(&far_net);
+    client_net = net(&client_net);
+    server_net = net(&server_net);
     char* address = g_strdup_printf("127.78.%d.1:%d", loopback_part(), 18000 + getpid() % 9000);
-    ck_assert(wgn_listen(far_net, address, NULL));
-    ck_assert_uint_ne(wgn_dial(near_net, address).id, 0);
-    for (int i = 0; i < FLOOD; i++) {
+    ck_assert(wgn_listen(server_net, address, NULL));
+    ck_assert_uint_ne(wgn_dial(client_net, address).id, 0);
+    for (int i = 0; i < FLOOD_EVENTS; i++) {
         flood[i] = event_new(base, -1, EV_PERSIST, on_flood, &flood[i]);
         event_active(flood[i], EV_TIMEOUT, 1);
     }
     event_base_dispatch(base);
     ck_assert_int_eq(frames, FRAMES);
-    /* A round of the flood takes 200 ms, a turn of CALLBACKS events 3 ms. */
-    ck_assert_int_lt(longest, 60 * MSEC);
-    for (int i = 0; i < FLOOD; i++) {
+    /* A round of the flood takes 200 ms, a turn of CALLBACKS_PER_TURN events 3 ms. */
+    ck_assert_int_lt(longest_delay, 60 * MSEC);
+    for (int i = 0; i < FLOOD_EVENTS; i++) {
         event_free(flood[i]);
     }
-    wgn_shutdown(near_net);
-    wgn_shutdown(far_net);
+    wgn_shutdown(client_net);
+    wgn_shutdown(server_net);
     event_base_free(base);
     g_free(address);
 }
@@ -109,32 +109,32 @@
 /* ---- stalled process --------------------------------------------------------------------------
  */
 
-static int late_ups;
-static int late_downs;
+static int stalled_ups;
+static int stalled_downs;
 
-static void on_late_up(wgn_link link, const wgn_peer* peer, void* user_data) {
+static void on_stalled_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
     (void)user_data;
-    late_ups++;
+    stalled_ups++;
 }
 
-static void on_late_down(wgn_link link, const wgn_peer* peer, void* user_data) {
+static void on_stalled_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
     (void)user_data;
-    late_downs++;
+    stalled_downs++;
 }
 
-static wgn_net* late_net(void) {
+static wgn_net* stalled_net(void) {
     return wgn_setup(&(wgn_desc){.base = base,
                                  .fleet_key = "key",
                                  .self = {.name = "n", .role = WGW_ROLE_CONTROL},
                                  .silence_deadline = 600 * MSEC,
                                  .ping_interval = 150 * MSEC,
-                                 .on_up = on_late_up,
+                                 .on_up = on_stalled_up,
                                  .on_frame = on_frame,
-                                 .on_down = on_late_down},
+                                 .on_down = on_stalled_down},
                      NULL);
 }
 
@@ -149,20 +149,20 @@
 START_TEST(a_late_process_keeps_its_links) {
     base = event_base_new();
     event_base_priority_init(base, WGN_PRIORITIES);
-    wgn_net* near_end = late_net();
-    wgn_net* far_end = late_net();
+    wgn_net* client = stalled_net();
+    wgn_net* server = stalled_net();
     char* address = g_strdup_printf("127.80.%d.1:%d", loopback_part(), 18000 + getpid() % 9000);
-    ck_assert(wgn_listen(far_end, address, NULL));
-    ck_assert_uint_ne(wgn_dial(near_end, address).id, 0);
+    ck_assert(wgn_listen(server, address, NULL));
+    ck_assert_uint_ne(wgn_dial(client, address).id, 0);
     run_for(300);
-    ck_assert_int_eq(late_ups, 2);
+    ck_assert_int_eq(stalled_ups, 2);
     for (int i = 0; i < 5; i++) {
         g_usleep(800 * 1000);
         run_for(700);
-        ck_assert_int_eq(late_downs, 0);
+        ck_assert_int_eq(stalled_downs, 0);
     }
-    wgn_shutdown(near_end);
-    wgn_shutdown(far_end);
+    wgn_shutdown(client);
+    wgn_shutdown(server);
     event_base_free(base);
     g_free(address);
 }
@@ -174,18 +174,18 @@
 enum {
     READERS = 60,
     FRAME_SIZE = 1 << 20,
-    WAITING_MAX = 8 << 20 /* bytes that the sender may hold for all links */
+    WAITING_BYTES_MAX = 8 << 20 /* bytes that the sender may hold for all links */
 };
 
-static struct event_base* far_base;
+static struct event_base* server_base;
 static wgn_link links[READERS];
 static int links_num;
 static int links_closed;
-static int documents;
+static int configurations;
 
 static void on_reader_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)peer;
-    if (user_data == &near_net) {
+    if (user_data == &client_net) {
         links[links_num++] = link;
     }
 }
@@ -193,22 +193,22 @@
 static void on_reader_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
     (void)link;
     (void)user_data;
-    documents += frame->type == WGW_TYPE_CONFIGURATION && frame->size > FRAME_SIZE;
+    configurations += frame->type == WGW_TYPE_CONFIGURATION && frame->size > FRAME_SIZE;
 }
 
 static void on_reader_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
-    links_closed += user_data == &near_net;
+    links_closed += user_data == &client_net;
 }
 
 static wgn_net* reader_net(struct event_base* of, wgn_net** which) {
     wgn_peer self = {.name = "n", .role = WGW_ROLE_ENTRY};
-    g_strlcpy(self.data_centre, which == &near_net ? "here" : "there", sizeof self.data_centre);
+    g_strlcpy(self.data_centre, which == &client_net ? "here" : "there", sizeof self.data_centre);
     return wgn_setup(&(wgn_desc){.base = of,
                                  .fleet_key = "key",
                                  .self = self,
-                                 .waiting_max = WAITING_MAX,
+                                 .waiting_max = WAITING_BYTES_MAX,
                                  .on_up = on_reader_up,
                                  .on_frame = on_reader_frame,
                                  .on_down = on_reader_down,
@@ -216,32 +216,32 @@
                      NULL);
 }
 
-static void readers_begin(void) {
+static void readers_setup(void) {
     base = event_base_new();
-    far_base = event_base_new();
+    server_base = event_base_new();
     event_base_priority_init(base, WGN_PRIORITIES);
-    event_base_priority_init(far_base, WGN_PRIORITIES);
-    near_net = reader_net(base, &near_net);
-    far_net = reader_net(far_base, &far_net);
-    links_num = links_closed = documents = 0;
+    event_base_priority_init(server_base, WGN_PRIORITIES);
+    client_net = reader_net(base, &client_net);
+    server_net = reader_net(server_base, &server_net);
+    links_num = links_closed = configurations = 0;
     char* address = g_strdup_printf("127.78.%d.2:%d", loopback_part(), 18000 + getpid() % 9000);
-    ck_assert(wgn_listen(far_net, address, NULL));
+    ck_assert(wgn_listen(server_net, address, NULL));
     for (int i = 0; i < READERS; i++) {
-        ck_assert_uint_ne(wgn_dial(near_net, address).id, 0);
+        ck_assert_uint_ne(wgn_dial(client_net, address).id, 0);
     }
     for (int i = 0; i < 3000 && links_num < READERS; i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
-        event_base_loop(far_base, EVLOOP_NONBLOCK);
+        event_base_loop(server_base, EVLOOP_NONBLOCK);
     }
     ck_assert_int_eq(links_num, READERS);
     g_free(address);
 }
 
-static void readers_end(void) {
-    wgn_shutdown(near_net);
-    wgn_shutdown(far_net);
+static void readers_shutdown(void) {
+    wgn_shutdown(client_net);
+    wgn_shutdown(server_net);
     event_base_free(base);
-    event_base_free(far_base);
+    event_base_free(server_base);
 }
 
 static wgn_frame* large_frame(int seed) {
@@ -254,46 +254,47 @@
 
 static void send_to_all(wgn_frame* frame) {
     for (int i = 0; i < READERS; i++) {
-        wgn_send_frame(near_net, links[i], frame);
+        wgn_send_frame(client_net, links[i], frame);
     }
 }
 
 /* A frame that is sent on many links is held in memory once and reaches every peer. */
 START_TEST(a_frame_for_many_links_is_held_once) {
-    readers_begin();
+    readers_setup();
     wgn_frame* frame = large_frame(1);
     send_to_all(frame);
     wgn_frame_unref(frame);
     event_base_loop(base, EVLOOP_NONBLOCK);
-    ck_assert_uint_lt(wgn_query_stats(near_net).waiting, FRAME_SIZE + 100);
-    wgn_type_stats sent = wgn_query_stats(near_net).sent[WGW_TYPE_CONFIGURATION];
+    ck_assert_uint_lt(wgn_query_stats(client_net).waiting, FRAME_SIZE + 100);
+    wgn_type_stats sent = wgn_query_stats(client_net).sent[WGW_TYPE_CONFIGURATION];
     ck_assert_uint_eq(sent.frames, READERS);
     ck_assert_uint_eq(sent.far_bytes, sent.bytes); /* the readers are in another data centre */
-    for (int i = 0; i < 20000 && documents < READERS; i++) {
+    for (int i = 0; i < 20000 && configurations < READERS; i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
-        event_base_loop(far_base, EVLOOP_NONBLOCK);
+        event_base_loop(server_base, EVLOOP_NONBLOCK);
     }
-    ck_assert_int_eq(documents, READERS);
-    ck_assert_uint_eq(wgn_query_stats(near_net).waiting, 0);
+    ck_assert_int_eq(configurations, READERS);
+    ck_assert_uint_eq(wgn_query_stats(client_net).waiting, 0);
     ck_assert_int_eq(links_closed, 0);
-    readers_end();
+    readers_shutdown();
 }
 END_TEST
 
 /* Links whose peers do not read are closed before they exceed the process's memory limit. */
 START_TEST(links_that_do_not_read_are_closed_at_the_limit) {
-    readers_begin();
+    readers_setup();
     for (int i = 0; i < 30; i++) {
         wgn_frame* frame = large_frame(i);
         send_to_all(frame);
         wgn_frame_unref(frame);
-        ck_assert_uint_lt(wgn_query_stats(near_net).waiting, WAITING_MAX + FRAME_SIZE + 100);
+        ck_assert_uint_lt(wgn_query_stats(client_net).waiting,
+                          WAITING_BYTES_MAX + FRAME_SIZE + 100);
         event_base_loop(base, EVLOOP_NONBLOCK);
     }
     ck_assert_int_eq(links_closed, READERS);
-    ck_assert_uint_eq(wgn_query_stats(near_net).links_slow, READERS);
-    ck_assert_uint_eq(wgn_query_stats(near_net).waiting, 0);
-    readers_end();
+    ck_assert_uint_eq(wgn_query_stats(client_net).links_slow, READERS);
+    ck_assert_uint_eq(wgn_query_stats(client_net).waiting, 0);
+    readers_shutdown();
 }
 END_TEST
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -6,7 +6,7 @@
 
 /* Returns the name that deploy/wire.toml gives to a field of the platform, NULL if it keeps its
    own; the caller frees it. */
-static char* renamed(const char* field) {
+static char* wire_name(const char* field) {
     char* text = NULL;
     ck_assert(g_file_get_contents("deploy/wire.toml", &text, NULL, NULL));
     char* pattern = g_strdup_printf("(?m)^%s = \"([^\"]+)\"$", field);
@@ -24,10 +24,10 @@
 /* Renamed fields have their new name in queries too; read under the old one, the caller's data
    centre stays unknown. */
 START_TEST(the_callers_place_is_read_under_the_name_that_it_comes_with) {
-    char* place = renamed("zone");
-    ck_assert_ptr_nonnull(place);
-    ck_assert_str_eq(platform_entry_names.query_place, place);
-    g_free(place);
+    char* data_centre = wire_name("zone");
+    ck_assert_ptr_nonnull(data_centre);
+    ck_assert_str_eq(platform_entry_names.query_place, data_centre);
+    g_free(data_centre);
 }
 END_TEST
 
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -34,8 +34,8 @@
         served[w] += cost;
     }
     for (uint32_t w = 1; w <= 3; w++) {
-        double part = (double)served[w] / (double)(served[1] + served[2] + served[3]);
-        ck_assert_double_eq_tol(part, w / 6.0, 0.01);
+        double fraction = (double)served[w] / (double)(served[1] + served[2] + served[3]);
+        ck_assert_double_eq_tol(fraction, w / 6.0, 0.01);
     }
     wgq_shutdown(q);
 }
@@ -133,8 +133,8 @@
 }
 END_TEST
 
-static wgq_refusal_code refused(wgq_queue* q, wg_time now, const wgq_limits* limits,
-                                wg_time* retry_after) {
+static wgq_refusal_code push_with_limits(wgq_queue* q, wg_time now, const wgq_limits* limits,
+                                         wg_time* retry_after) {
     wgq_refusal refusal = {0};
     wgq_push(q, now,
              &(wgq_request){.workspace = 9,
@@ -150,40 +150,40 @@
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wg_time after;
     wgq_limits rate = {.weight = 1, .rate = 2, .burst = 2};
-    ck_assert_int_eq(refused(q, SECOND, &rate, &after), WGQ_REFUSAL_DEFAULT);
-    ck_assert_int_eq(refused(q, SECOND, &rate, &after), WGQ_REFUSAL_DEFAULT);
-    ck_assert_int_eq(refused(q, SECOND, &rate, &after), WGQ_REFUSAL_RATE);
+    ck_assert_int_eq(push_with_limits(q, SECOND, &rate, &after), WGQ_REFUSAL_DEFAULT);
+    ck_assert_int_eq(push_with_limits(q, SECOND, &rate, &after), WGQ_REFUSAL_DEFAULT);
+    ck_assert_int_eq(push_with_limits(q, SECOND, &rate, &after), WGQ_REFUSAL_RATE);
     ck_assert_int_ge(after, 400 * MSEC);
     ck_assert_int_le(after, 600 * MSEC);
-    ck_assert_int_eq(refused(q, SECOND + after, &rate, &after), WGQ_REFUSAL_DEFAULT);
+    ck_assert_int_eq(push_with_limits(q, SECOND + after, &rate, &after), WGQ_REFUSAL_DEFAULT);
     wgq_shutdown(q);
 
     q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_limits queue = {.weight = 1, .queue = 2};
-    refused(q, 0, &queue, &after);
-    refused(q, 0, &queue, &after);
-    ck_assert_int_eq(refused(q, 0, &queue, &after), WGQ_REFUSAL_QUEUE);
+    push_with_limits(q, 0, &queue, &after);
+    push_with_limits(q, 0, &queue, &after);
+    ck_assert_int_eq(push_with_limits(q, 0, &queue, &after), WGQ_REFUSAL_QUEUE);
     wgq_shutdown(q);
 
     q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_limits flight = {.weight = 1, .in_flight = 1, .queue = 1};
     wgq_handle picked;
-    refused(q, 0, &flight, &after);
+    push_with_limits(q, 0, &flight, &after);
     ck_assert(wgq_pick(q, 0, false, &picked));
-    refused(q, 0, &flight, &after);
+    push_with_limits(q, 0, &flight, &after);
     wgq_handle none;
     ck_assert(!wgq_pick(q, 0, false, &none));
-    ck_assert_int_eq(refused(q, 0, &flight, &after), WGQ_REFUSAL_IN_FLIGHT);
+    ck_assert_int_eq(push_with_limits(q, 0, &flight, &after), WGQ_REFUSAL_IN_FLIGHT);
     wgq_finish(q, 0, picked, 1);
     ck_assert(wgq_pick(q, 0, false, &picked));
     wgq_shutdown(q);
 
     q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_limits tokens = {.weight = 1, .tokens_per_minute = 600};
-    refused(q, 0, &tokens, &after);
+    push_with_limits(q, 0, &tokens, &after);
     wgq_pick(q, 0, false, &picked);
     wgq_finish(q, 0, picked, 900);
-    ck_assert_int_eq(refused(q, 0, &tokens, &after), WGQ_REFUSAL_TOKENS);
+    ck_assert_int_eq(push_with_limits(q, 0, &tokens, &after), WGQ_REFUSAL_TOKENS);
     ck_assert_int_ge(after, 30 * SECOND);
     ck_assert_int_le(after, 31 * SECOND);
     wgq_shutdown(q);
@@ -202,7 +202,7 @@
         pick(q, i * SECOND, &picked);
         wgq_finish(q, (i + 1) * SECOND, picked, 10);
     }
-    ck_assert_int_eq(refused(q, 8 * SECOND, &limits, &after), WGQ_REFUSAL_LATE);
+    ck_assert_int_eq(push_with_limits(q, 8 * SECOND, &limits, &after), WGQ_REFUSAL_LATE);
     ck_assert_int_ge(after, SECOND);
     wgq_shutdown(q);
 }
@@ -224,12 +224,12 @@
     ck_assert_int_ge(first, 19);
     ck_assert_int_le(first, 21);
     /* Only urgent requests may use the reserve. */
-    wgq_queue* calm = wgq_setup(&(wgq_desc){0}, NULL);
-    push(calm, 0, 1, 100, false);
-    ck_assert(!wgq_pick(calm, 0, true, &picked));
-    push(calm, 0, 2, 100, true);
-    ck_assert(wgq_pick(calm, 0, true, &picked));
-    wgq_shutdown(calm);
+    wgq_queue* reserve_queue = wgq_setup(&(wgq_desc){0}, NULL);
+    push(reserve_queue, 0, 1, 100, false);
+    ck_assert(!wgq_pick(reserve_queue, 0, true, &picked));
+    push(reserve_queue, 0, 2, 100, true);
+    ck_assert(wgq_pick(reserve_queue, 0, true, &picked));
+    wgq_shutdown(reserve_queue);
     wgq_shutdown(q);
 }
 END_TEST
@@ -265,7 +265,7 @@
    also behind requests of a hundred times the usual cost. */
 START_TEST(wait_of_a_head_is_bounded) {
     enum {
-        WAITING = 2500
+        WAITING_WORKSPACES = 2500
     };
     wgq_queue* q = wgq_setup(&(wgq_desc){.requests_max = 20000}, NULL);
     wgq_handle picked;
@@ -274,22 +274,22 @@
         pick(q, 0, &picked);
         wgq_finish(q, 0, picked, 100);
     }
-    for (uint32_t w = 1; w <= WAITING; w++) {
+    for (uint32_t w = 1; w <= WAITING_WORKSPACES; w++) {
         push(q, 0, w * 10, 100, false);
         push(q, 0, w * 10, 100, false);
     }
     static int last[25001];
     int longest = 0;
-    for (int i = 1; i <= 2 * WAITING; i++) {
+    for (int i = 1; i <= 2 * WAITING_WORKSPACES; i++) {
         uint32_t w = pick(q, i, &picked);
         ck_assert_uint_ne(w, 0);
         /* The cost of the few expensive requests is charged when they finish. */
-        bool giant = w % 500 == 0;
-        wgq_finish(q, i, picked, giant ? 10000 : 100);
-        longest = giant ? longest : MAX(longest, i - last[w]);
+        bool expensive = w % 500 == 0;
+        wgq_finish(q, i, picked, expensive ? 10000 : 100);
+        longest = expensive ? longest : MAX(longest, i - last[w]);
         last[w] = i;
     }
-    ck_assert_int_le(longest, 2 * WAITING);
+    ck_assert_int_le(longest, 2 * WAITING_WORKSPACES);
     ck_assert_int_eq(wgq_query_stats(q).queued, 0);
     wgq_shutdown(q);
 }
