--- a/tests/fakes/fake.h
+++ b/tests/fakes/fake.h
@@ -1,9 +1,10 @@
 #pragma once
 /*
-    fake.h -- what both target stand-ins share: arguments, faults, journal
+    fake.h -- command line, faults and main loop of the target stand-ins
 
-    Arguments: address=ip:port and further key=value pairs; see docs/TARGET-PROTOCOL.md. Faults can
-   be set at the start or by POST /fake/set?key=value. The journal of runs is at GET /fake/journal.
+    Arguments are address=ip:port and key=value pairs of fake_faults; see docs/TARGET-PROTOCOL.md.
+    POST /fake/set?key=value sets a fault while the stand-in runs. fake_engine and fake_service
+    answer GET /fake/journal with counts of what they ran.
 */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -20,23 +21,23 @@
 
 typedef struct {
     int64_t slots;
-    int64_t pace_us;   /* between two tokens */
-    int64_t work_us;   /* of one application call */
+    int64_t pace_us;   /* time between two tokens */
+    int64_t work_us;   /* run time of an application call */
     int64_t refuse;    /* percent of requests refused as not run */
     int64_t fail;      /* percent of requests that run, then answer 500 */
-    int64_t cut;       /* percent of answers cut off in the middle */
-    int64_t stall;     /* 1: no answer any more */
-    int64_t late_us;   /* wait before the first byte of an answer */
+    int64_t cut;       /* percent of answers aborted in the middle */
+    int64_t stall;     /* 1: answers nothing */
+    int64_t late_us;   /* delay before the first byte of an answer */
     int64_t no_marker; /* percent of streams that end without their end marker */
-    int64_t leaving;   /* 1: answers say so */
-    int64_t rest_ms;   /* refusals ask the host for so long a rest; 0: for none */
+    int64_t leaving;   /* 1: answers report that the target is draining */
+    int64_t rest_ms;   /* backoff hint in Retry-After of 503 answers; 0: none */
     int64_t seed;
 } fake_faults;
 
 static fake_faults fake = {.slots = 8, .pace_us = 20000, .work_us = 2000, .seed = 1};
 static const char* fake_address = "127.0.0.1:9000";
 static uint64_t fake_counter;
-static struct event* fake_timer; /* of the stand-in's own, released at the end */
+static struct event* fake_timer; /* optional event that setup() creates; fake_main frees it */
 
 static int64_t* fake_field(const char* name) {
     static const struct {
@@ -76,7 +77,7 @@
     }
 }
 
-/* Whether a fault of so many percent strikes now; the same seed gives the same sequence. */
+/* Whether a fault with this probability occurs now; the same seed gives the same sequence. */
 static bool fake_strikes(int64_t percent) {
     return (int64_t)(wg_jitter((uint64_t)fake.seed, ++fake_counter) % 100) < percent;
 }
@@ -103,7 +104,7 @@
                      void (*on_request)(struct evhttp_request*, void*)) {
     signal(SIGPIPE, SIG_IGN);
     fake_parse_arguments(argc, argv);
-    /* Without this flag timers are as coarse as 4 ms. */
+    /* Without this flag timers have a resolution of about 4 ms. */
     struct event_config* config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
     struct event_base* base = event_base_new_with_config(config);
--- a/tests/fakes/fake_asker.h
+++ b/tests/fakes/fake_asker.h
@@ -1,27 +1,27 @@
 #pragma once
 /*
-    fake_asker.h -- what a target stand-in asked of each host, and whether the host keeps to it
+    fake_asker.h -- checks that hosts obey the backoff hints and the draining notice of a target
 
-    Requests name the host that they were sent to in the field ASKER_FIELD. A host that was asked
-    for rest may send two requests from half a second after the answer until the rest is over; one
-    that was told that the target leaves may send none later than ASKER_LEAVES_US afterwards.
+    The header ASKER_FIELD names the host that forwarded a request. A host that got a backoff hint may
+    send ASKER_MOST requests from ASKER_ON_ITS_WAY_US after the answer until the backoff period
+    ends. A host that was notified that the target is draining may send none later than
+    ASKER_LEAVES_US afterwards.
 */
 #include "fake.h"
 
 #define ASKER_FIELD "Asked-Host"
 
 enum {
-    ASKERS_MAX = 64,       /* hosts */
-    ASKER_RESTS_MAX = 512, /* that one host was asked for and that are not over */
-    ASKER_ON_ITS_WAY_US = 500 * WG_USEC_PER_MSEC,
-    ASKER_MOST = 2, /* requests within a rest */
-    /* 2 s as of a drain, and what a request may have waited at its host. */
+    ASKERS_MAX = 64,
+    ASKER_RESTS_MAX = 512,                        /* current backoff periods per host */
+    ASKER_ON_ITS_WAY_US = 500 * WG_USEC_PER_MSEC, /* grace for requests in flight */
+    ASKER_MOST = 2,                               /* requests allowed in a backoff period */
+    /* 2 s for the notice to spread, and the time that a request may have waited at its host. */
     ASKER_LEAVES_US = 2200 * WG_USEC_PER_MSEC
 };
 
-/* From half a second after the answer that asked for it. */
 typedef struct {
-    wg_time from;
+    wg_time from; /* the answer's time plus ASKER_ON_ITS_WAY_US */
     wg_time until;
     int arrivals;
 } asker_rest;
@@ -30,14 +30,14 @@
     char name[32];
     asker_rest rests[ASKER_RESTS_MAX];
     int rests_num;
-    wg_time told_leaving_at; /* 0: not told */
+    wg_time told_leaving_at; /* 0: not notified */
 } asker;
 
-/* What an arrival breaks; the times tell which answer it broke. */
+/* The rules that a request violates. */
 typedef struct {
     bool in_rest;
     bool after_leaving;
-    wg_time since; /* the first moment from which on it was not allowed */
+    wg_time since; /* start of the backoff period, or time of the notice */
 } asker_broken;
 
 static asker askers[ASKERS_MAX];
@@ -99,8 +99,8 @@
     return asker_find(name ? name : "");
 }
 
-/* A request has come: does its host keep to what it was asked for? Where the target leaves, the
-   answer says so. */
+/* Checks a request against what its host was asked for; while the target is draining, adds the
+   notice to the answer. */
 static asker_broken asker_check(struct evhttp_request* request) {
     wg_time now = wg_now();
     asker* a = asker_of(request);
@@ -112,7 +112,7 @@
     return broken;
 }
 
-/* Turn a request away as not run; a 503 asks for rest, as the faults say. */
+/* Refuses a request as not run; a 503 carries a backoff hint if fault rest_ms is set. */
 static void asker_refuse(struct evhttp_request* request, int status) {
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Target-Not-Run", "1");
--- a/tests/fakes/fake_engine.c
+++ b/tests/fakes/fake_engine.c
@@ -1,5 +1,5 @@
 /* fake_engine.c -- stand-in for a model engine: continuous batching with slots and a token pace,
-   streams that can be resumed and cancelled, load that is told with a lag, a prefix cache. */
+   resumable and cancellable streams, delayed load reports, a prefix cache */
 #include "fake.h"
 
 enum {
@@ -26,7 +26,7 @@
 static struct event_base* engine_base;
 static GQueue waiting = G_QUEUE_INIT;
 static int64_t running;
-static int64_t told_running; /* as of the last lagging report */
+static int64_t told_running; /* `running` as of the last load report */
 static uint64_t runs;
 static uint64_t tokens_made;
 static uint64_t cancelled;
--- a/tests/fakes/fake_service.c
+++ b/tests/fakes/fake_service.c
@@ -1,5 +1,5 @@
-/* fake_service.c -- stand-in for a plain service: lookups that may be repeated, and calls that may
-   not (POST /confirm, POST /alert), each of which it counts by the request's own id. */
+/* fake_service.c -- stand-in for a plain service: repeatable lookups, and actions (POST) that it
+   counts by the id of the request; also serves the platform's host list */
 #include "fake_asker.h"
 
 typedef struct {
@@ -12,9 +12,9 @@
 static GHashTable* runs_by_id; /* X-Request-Id -> number of runs */
 static uint64_t lookups;
 static uint64_t actions;
-static uint64_t unheeded; /* requests within a rest, or after it was told that this target leaves */
+static uint64_t unheeded; /* requests against a backoff hint or a draining notice */
 
-/* Also the platform's host list, as POST /fake/hosts last set it. */
+/* The platform's host list as last set by POST /fake/hosts; NULL: none. */
 static char* hosts_text;
 
 static void free_job(job_t* job) {
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -1,14 +1,18 @@
 /* fake_target.c -- stand-in for a target that registers itself: plain calls and event streams
 
-   Arguments: address=ip:port id=NAME service=NAME orders=ip:port,... runs=FILE, data_centre=NAME,
-   cold_ms=N (how long after its start it is cold) and the faults of fake.h. Each run is one line
-   "run ID" in the file, followed by its data centre and when it began ("NAME TIME"), each
-   acknowledged drain "drained", so that whoever watches knows what ran even after this process was
-   killed. A second with more requests than a cold target may get is a line "cold", and the most
-   that any cold second has had so far a line "cold-most N". A request that comes although its host
-   was asked for rest, or was told that the target leaves, is a line "in-rest" or "after-leaving"
-   with host and times. SIGHUP drains it. A request whose body
-   begins with CRASH_BODY ends the process soon after its answer began. */
+   Arguments: address=ip:port id=NAME service=NAME orders=ip:port,... (where it registers)
+   advertise=ip:port (the address that it registers, by default its own) runs=FILE data_centre=NAME
+   cold_ms=N (how long after its start it is cold) and the faults of fake.h. SIGHUP drains it. A
+   request whose body begins with CRASH_BODY ends the process when its work_us are over.
+
+   Events are appended to the file `runs`, which outlives a killed process, one line each:
+     run ID              a request ran; the next line is its data centre and time, "NAME TIME"
+     drained ID          a drain was acknowledged
+     late TIME           a request ran later than DRAIN_BOUND_US after an acknowledged drain
+     cold TIME           more than COLD_BOUND requests came in a second while the target was cold
+     cold-most N         highest number of requests in a second so far while the target was cold
+     in-rest HOST SINCE TIME         a request came from a host that has to back off
+     after-leaving HOST SINCE TIME   a request came from a host that knows of the drain */
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -17,12 +21,12 @@
 #define CRASH_BODY "ends the target"
 
 enum {
-    CRASH_STATUS = 70, /* of a process that a request ended */
+    CRASH_STATUS = 70, /* exit status after a request with CRASH_BODY */
     HEARTBEAT_US = 400 * 1000,
     DRAIN_SERVES_US = 3000 * 1000,
-    DRAIN_BOUND_US = 2000 * 1000, /* no entry host in touch sends anything later than this */
-    ARRIVALS_MAX = 128,           /* counted in a second */
-    COLD_BOUND = 17               /* in any second: 8 each of two coordinators, and one more */
+    DRAIN_BOUND_US = 2000 * 1000, /* no connected entry host sends a request later */
+    ARRIVALS_MAX = 128,           /* arrivals kept for the count per second */
+    COLD_BOUND = 17 /* requests in any second: 8 by each of two coordinators, and one more */
 };
 
 typedef struct {
@@ -40,14 +44,14 @@
 static const char* data_centre = "dc";
 static wg_time cold_time;
 static wg_time started_at;
-static wg_time lately[ARRIVALS_MAX]; /* arrivals, as a ring */
-static int lately_at;                /* of the newest */
-static int cold_most;                /* arrivals in a second while it was cold */
-static const char* advertised;       /* where callers of it connect, when not fake_address */
+static wg_time lately[ARRIVALS_MAX]; /* arrival times, as a ring */
+static int lately_at;                /* index of the newest arrival */
+static int cold_most;                /* max arrivals in a second while the target was cold */
+static const char* advertised;       /* registered address; NULL: fake_address */
 static char** orders;
 static int runs_fd = -1;
 static int64_t sequence;
-static int64_t born; /* milliseconds of the time of day */
+static int64_t born; /* incarnation: start time, Unix time in ms */
 static guint orders_next;
 static bool draining;
 static bool drain_acked;
@@ -72,7 +76,7 @@
     return MAX(started_at + cold_time - wg_now(), 0);
 }
 
-/* Arrivals since a second ago, this one too, and since the start. */
+/* Arrivals within the last second, the newest included. */
 static int count_lately(wg_time now) {
     int num = 0;
     while (num < ARRIVALS_MAX) {
@@ -85,7 +89,7 @@
     return num;
 }
 
-/* More than COLD_BOUND requests in a second that lies whole within the cold time? */
+/* Records an arrival, and whether a second within the cold time had more than COLD_BOUND. */
 static void count_arrival(void) {
     wg_time now = wg_now();
     lately_at = (lately_at + 1) % ARRIVALS_MAX;
@@ -316,7 +320,7 @@
     beat();
 }
 
-/* Take out what fake.h does not know; the rest stays for it. */
+/* Consumes this program's own arguments and leaves those of fake.h in argv; returns their count. */
 static int own_arguments(int argc, char** argv) {
     int kept = 1;
     for (int i = 1; i < argc; i++) {
