--- a/tests/fakes/fake.h
+++ b/tests/fakes/fake.h
@@ -37,9 +37,9 @@
 static fake_faults fake = {.slots = 8, .pace_us = 20000, .work_us = 2000, .seed = 1};
 static const char* fake_address = "127.0.0.1:9000";
 static uint64_t fake_counter;
-static struct event* fake_timer; /* optional event that setup() creates; fake_main frees it */
+static struct event* fake_own_event; /* optional event that setup() creates; fake_run frees it */
 
-static int64_t* fake_field(const char* name) {
+static int64_t* fake_find_field(const char* name) {
     static const struct {
         const char* name;
         int64_t* field;
@@ -57,7 +57,7 @@
 }
 
 static bool fake_set(const char* name, const char* value) {
-    int64_t* field = fake_field(name);
+    int64_t* field = fake_find_field(name);
     if (field) {
         *field = g_ascii_strtoll(value, NULL, 10);
     }
@@ -78,7 +78,7 @@
 }
 
 /* Whether a fault with this probability occurs now; the same seed gives the same sequence. */
-static bool fake_strikes(int64_t percent) {
+static bool fake_fault_occurs(int64_t percent) {
     return (int64_t)(wg_jitter((uint64_t)fake.seed, ++fake_counter) % 100) < percent;
 }
 
@@ -100,8 +100,8 @@
     event_base_loopbreak(user_data);
 }
 
-static int fake_main(int argc, char** argv, void (*setup)(struct event_base* base),
-                     void (*on_request)(struct evhttp_request*, void*)) {
+static int fake_run(int argc, char** argv, void (*setup)(struct event_base* base),
+                    void (*on_request)(struct evhttp_request*, void*)) {
     signal(SIGPIPE, SIG_IGN);
     fake_parse_arguments(argc, argv);
     /* Without this flag timers have a resolution of about 4 ms. */
@@ -121,8 +121,8 @@
     event_add(stop, NULL);
     event_base_dispatch(base);
     event_free(stop);
-    if (fake_timer) {
-        event_free(fake_timer);
+    if (fake_own_event) {
+        event_free(fake_own_event);
     }
     wgh_close(&server);
     event_base_free(base);
--- a/tests/fakes/fake_asker.h
+++ b/tests/fakes/fake_asker.h
@@ -2,125 +2,125 @@
 /*
     fake_asker.h -- checks that hosts obey the backoff hints and the draining notice of a target
 
-    The header ASKER_FIELD names the host that forwarded a request. A host that got a backoff hint may
-    send ASKER_MOST requests from ASKER_ON_ITS_WAY_US after the answer until the backoff period
-    ends. A host that was notified that the target is draining may send none later than
-    ASKER_LEAVES_US afterwards.
+    The header SENDER_HEADER names the host that forwarded a request. A host that got a backoff
+    hint may send SENDER_BACKOFF_REQUESTS_MAX requests from SENDER_IN_FLIGHT_US after the answer
+    until the backoff period ends. A host that was notified that the target is draining may send
+    none later than SENDER_DRAIN_US afterwards.
 */
 #include "fake.h"
 
-#define ASKER_FIELD "Asked-Host"
+#define SENDER_HEADER "Asked-Host"
 
 enum {
-    ASKERS_MAX = 64,
-    ASKER_RESTS_MAX = 512,                        /* current backoff periods per host */
-    ASKER_ON_ITS_WAY_US = 500 * WG_USEC_PER_MSEC, /* grace for requests in flight */
-    ASKER_MOST = 2,                               /* requests allowed in a backoff period */
+    SENDERS_MAX = 64,
+    SENDER_BACKOFFS_MAX = 512,                    /* current backoff periods per host */
+    SENDER_IN_FLIGHT_US = 500 * WG_USEC_PER_MSEC, /* grace for requests in flight */
+    SENDER_BACKOFF_REQUESTS_MAX = 2,              /* requests allowed in a backoff period */
     /* 2 s for the notice to spread, and the time that a request may have waited at its host. */
-    ASKER_LEAVES_US = 2200 * WG_USEC_PER_MSEC
+    SENDER_DRAIN_US = 2200 * WG_USEC_PER_MSEC
 };
 
 typedef struct {
-    wg_time from; /* the answer's time plus ASKER_ON_ITS_WAY_US */
+    wg_time from; /* the answer's time plus SENDER_IN_FLIGHT_US */
     wg_time until;
     int arrivals;
-} asker_rest;
+} sender_backoff;
 
 typedef struct {
     char name[32];
-    asker_rest rests[ASKER_RESTS_MAX];
-    int rests_num;
-    wg_time told_leaving_at; /* 0: not notified */
-} asker;
+    sender_backoff backoffs[SENDER_BACKOFFS_MAX];
+    int backoffs_num;
+    wg_time drain_notified_at; /* 0: not notified */
+} sender;
 
 /* The rules that a request violates. */
 typedef struct {
-    bool in_rest;
-    bool after_leaving;
+    bool in_backoff;
+    bool after_drain;
     wg_time since; /* start of the backoff period, or time of the notice */
-} asker_broken;
+} sender_violation;
 
-static asker askers[ASKERS_MAX];
-static int askers_num;
+static sender senders[SENDERS_MAX];
+static int senders_num;
 
-static asker* asker_find(const char* name) {
-    for (int i = 0; i < askers_num; i++) {
-        if (strcmp(askers[i].name, name) == 0) {
-            return &askers[i];
+static sender* sender_find(const char* name) {
+    for (int i = 0; i < senders_num; i++) {
+        if (strcmp(senders[i].name, name) == 0) {
+            return &senders[i];
         }
     }
-    WG_ASSERT(askers_num < ASKERS_MAX);
-    asker* a = &askers[askers_num++];
-    g_strlcpy(a->name, name, sizeof a->name);
-    return a;
+    WG_ASSERT(senders_num < SENDERS_MAX);
+    sender* s = &senders[senders_num++];
+    g_strlcpy(s->name, name, sizeof s->name);
+    return s;
 }
 
-static void asker_drop_over(asker* a, wg_time now) {
-    int kept = 0;
-    for (int i = 0; i < a->rests_num; i++) {
-        if (a->rests[i].until >= now) {
-            a->rests[kept++] = a->rests[i];
+static void sender_drop_expired(sender* s, wg_time now) {
+    int kept_num = 0;
+    for (int i = 0; i < s->backoffs_num; i++) {
+        if (s->backoffs[i].until >= now) {
+            s->backoffs[kept_num++] = s->backoffs[i];
         }
     }
-    a->rests_num = kept;
+    s->backoffs_num = kept_num;
 }
 
-static void asker_ask_for_rest(asker* a, wg_time now, wg_time rest) {
-    asker_drop_over(a, now);
-    if (a->rests_num < ASKER_RESTS_MAX && rest > ASKER_ON_ITS_WAY_US) {
-        a->rests[a->rests_num++] =
-            (asker_rest){.from = now + ASKER_ON_ITS_WAY_US, .until = now + rest};
+static void sender_begin_backoff(sender* s, wg_time now, wg_time backoff) {
+    sender_drop_expired(s, now);
+    if (s->backoffs_num < SENDER_BACKOFFS_MAX && backoff > SENDER_IN_FLIGHT_US) {
+        s->backoffs[s->backoffs_num++] =
+            (sender_backoff){.from = now + SENDER_IN_FLIGHT_US, .until = now + backoff};
     }
 }
 
-static void asker_tell_leaving(asker* a, wg_time now) {
-    a->told_leaving_at = a->told_leaving_at ? a->told_leaving_at : now;
+static void sender_notify_drain(sender* s, wg_time now) {
+    s->drain_notified_at = s->drain_notified_at ? s->drain_notified_at : now;
 }
 
-static asker_broken asker_note_arrival(asker* a, wg_time now) {
-    asker_broken broken = {0};
-    for (int i = 0; i < a->rests_num; i++) {
-        asker_rest* r = &a->rests[i];
+static sender_violation sender_record_request(sender* s, wg_time now) {
+    sender_violation violation = {0};
+    for (int i = 0; i < s->backoffs_num; i++) {
+        sender_backoff* r = &s->backoffs[i];
         r->arrivals += now >= r->from && now <= r->until;
-        if (r->arrivals == ASKER_MOST + 1) {
-            broken.in_rest = true;
-            broken.since = r->from;
+        if (r->arrivals == SENDER_BACKOFF_REQUESTS_MAX + 1) {
+            violation.in_backoff = true;
+            violation.since = r->from;
         }
     }
-    if (a->told_leaving_at && now - a->told_leaving_at > ASKER_LEAVES_US) {
-        broken.after_leaving = true;
-        broken.since = a->told_leaving_at;
+    if (s->drain_notified_at && now - s->drain_notified_at > SENDER_DRAIN_US) {
+        violation.after_drain = true;
+        violation.since = s->drain_notified_at;
     }
-    return broken;
+    return violation;
 }
 
-static asker* asker_of(struct evhttp_request* request) {
-    const char* name = evhttp_find_header(evhttp_request_get_input_headers(request), ASKER_FIELD);
-    return asker_find(name ? name : "");
+static sender* sender_of(struct evhttp_request* request) {
+    const char* name = evhttp_find_header(evhttp_request_get_input_headers(request), SENDER_HEADER);
+    return sender_find(name ? name : "");
 }
 
 /* Checks a request against what its host was asked for; while the target is draining, adds the
    notice to the answer. */
-static asker_broken asker_check(struct evhttp_request* request) {
+static sender_violation sender_check(struct evhttp_request* request) {
     wg_time now = wg_now();
-    asker* a = asker_of(request);
-    asker_broken broken = asker_note_arrival(a, now);
+    sender* s = sender_of(request);
+    sender_violation violation = sender_record_request(s, now);
     if (fake.leaving) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Target-Leaving", "1");
-        asker_tell_leaving(a, now);
+        sender_notify_drain(s, now);
     }
-    return broken;
+    return violation;
 }
 
 /* Refuses a request as not run; a 503 carries a backoff hint if fault rest_ms is set. */
-static void asker_refuse(struct evhttp_request* request, int status) {
+static void sender_refuse(struct evhttp_request* request, int status) {
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Target-Not-Run", "1");
     if (status == 503 && fake.rest_ms > 0) {
         char seconds[32];
         g_snprintf(seconds, sizeof seconds, "%.3f", (double)fake.rest_ms / 1000);
         evhttp_add_header(out, "Retry-After", seconds);
-        asker_ask_for_rest(asker_of(request), wg_now(), fake.rest_ms * WG_USEC_PER_MSEC);
+        sender_begin_backoff(sender_of(request), wg_now(), fake.rest_ms * WG_USEC_PER_MSEC);
     }
     wgh_reply_text(request, status, "text/plain", "not run\n");
 }
--- a/tests/fakes/fake_engine.c
+++ b/tests/fakes/fake_engine.c
@@ -20,13 +20,13 @@
     bool urgent;
     bool cut;
     bool no_marker;
-    GString* whole;
+    GString* content;
 } job_t;
 
 static struct event_base* engine_base;
 static GQueue waiting = G_QUEUE_INIT;
 static int64_t running;
-static int64_t told_running; /* `running` as of the last load report */
+static int64_t reported_running; /* `running` as of the last load report */
 static uint64_t runs;
 static uint64_t tokens_made;
 static uint64_t cancelled;
@@ -46,12 +46,12 @@
         g_queue_remove(&waiting, job);
     }
     event_free(job->timer);
-    g_string_free(job->whole, TRUE);
+    g_string_free(job->content, TRUE);
     g_free(job);
     start_next();
 }
 
-static void on_caller_left(struct evhttp_connection* connection, void* user_data) {
+static void on_caller_disconnected(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     job_t* job = user_data;
     cancelled++;
@@ -60,7 +60,7 @@
     end_job(job);
 }
 
-static void wait_for(job_t* job, int64_t us) {
+static void start_timer(job_t* job, int64_t us) {
     struct timeval tv = {.tv_sec = us / 1000000, .tv_usec = us % 1000000};
     event_add(job->timer, &tv);
 }
@@ -68,7 +68,7 @@
 static void add_load_headers(struct evhttp_request* request) {
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     char text[32];
-    g_snprintf(text, sizeof text, "%" G_GINT64_FORMAT, told_running);
+    g_snprintf(text, sizeof text, "%" G_GINT64_FORMAT, reported_running);
     evhttp_add_header(out, "Target-Running", text);
     if (fake.leaving) {
         evhttp_add_header(out, "Target-Leaving", "1");
@@ -102,7 +102,7 @@
     evhttp_send_reply_end(job->request);
 }
 
-static void finish_whole(job_t* job) {
+static void finish_complete(job_t* job) {
     add_load_headers(job->request);
     char usage[128];
     g_snprintf(usage, sizeof usage,
@@ -110,7 +110,7 @@
                job->total);
     char* text = g_strdup_printf(
         "{\"choices\":[{\"index\":0,\"message\":{\"role\":\"assistant\",\"content\":\"%s\"}}],%s}",
-        job->whole->str, usage);
+        job->content->str, usage);
     wgh_reply_text(job->request, 200, "application/json", text);
     g_free(text);
 }
@@ -120,7 +120,7 @@
     (void)what;
     job_t* job = user_data;
     if (fake.stall) {
-        wait_for(job, 100000);
+        start_timer(job, 100000);
         return;
     }
     if (job->stream && !job->started) {
@@ -142,7 +142,7 @@
                    job->sent, job->sent);
         send_event(job, text);
     } else if (!job->stream) {
-        g_string_append_printf(job->whole, "t%" G_GINT64_FORMAT " ", job->sent);
+        g_string_append_printf(job->content, "t%" G_GINT64_FORMAT " ", job->sent);
     }
     if (job->cut && job->sent >= (job->total + 1) / 2) {
         struct evhttp_connection* connection = evhttp_request_get_connection(job->request);
@@ -153,13 +153,13 @@
         return;
     }
     if (job->sent < job->total) {
-        wait_for(job, fake.pace_us);
+        start_timer(job, fake.pace_us);
         return;
     }
     if (job->stream) {
         finish_stream(job);
     } else {
-        finish_whole(job);
+        finish_complete(job);
     }
     struct evhttp_connection* connection = evhttp_request_get_connection(job->request);
     if (connection) {
@@ -175,7 +175,7 @@
         job->running = true;
         running++;
         runs++;
-        wait_for(job, fake.late_us + job->first_wait_us);
+        start_timer(job, fake.late_us + job->first_wait_us);
     }
 }
 
@@ -184,13 +184,13 @@
     return text ? (int64_t)g_ascii_strtoull(text, NULL, base) : 0;
 }
 
-static bool take_prefix(struct evhttp_request* request) {
+static bool use_prefix(struct evhttp_request* request) {
     uint64_t prefix = (uint64_t)header_number(request, "Walnutgate-Prefix", 16);
-    uint64_t* place = &prefixes[prefix % PREFIXES_MAX];
-    bool hit = prefix != 0 && *place == prefix;
+    uint64_t* entry = &prefixes[prefix % PREFIXES_MAX];
+    bool hit = prefix != 0 && *entry == prefix;
     if (prefix != 0 && !hit) {
-        dropped_prefix = *place;
-        *place = prefix;
+        dropped_prefix = *entry;
+        *entry = prefix;
     }
     prefix_hits += hit;
     return hit;
@@ -199,13 +199,13 @@
 static void on_completion(struct evhttp_request* request) {
     char message[128];
     json_t* json = wgh_body_json(request, message, sizeof message);
-    if (!json || fake_strikes(fake.refuse)) {
+    if (!json || fake_fault_occurs(fake.refuse)) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Target-Not-Run", "1");
         wgh_reply_text(request, json ? 503 : 400, "text/plain", "not run\n");
         json_decref(json);
         return;
     }
-    if (fake_strikes(fake.fail)) {
+    if (fake_fault_occurs(fake.fail)) {
         runs++;
         wgh_reply_text(request, 500, "text/plain", "failed\n");
         json_decref(json);
@@ -214,20 +214,20 @@
     job_t* job = g_new0(job_t, 1);
     job->request = request;
     job->timer = evtimer_new(engine_base, on_token, job);
-    job->whole = g_string_new(NULL);
+    job->content = g_string_new(NULL);
     job->stream = json_is_true(json_object_get(json, "stream"));
-    json_t* most = json_object_get(json, "max_tokens");
-    job->total = most ? json_integer_value(most) : DEFAULT_TOKENS;
+    json_t* max_tokens = json_object_get(json, "max_tokens");
+    job->total = max_tokens ? json_integer_value(max_tokens) : DEFAULT_TOKENS;
     job->sent = header_number(request, "Last-Event-ID", 10);
-    job->cut = fake_strikes(fake.cut);
-    job->no_marker = fake_strikes(fake.no_marker);
-    job->first_wait_us = fake.pace_us / (take_prefix(request) ? PREFIX_SPEEDUP : 1);
+    job->cut = fake_fault_occurs(fake.cut);
+    job->no_marker = fake_fault_occurs(fake.no_marker);
+    job->first_wait_us = fake.pace_us / (use_prefix(request) ? PREFIX_SPEEDUP : 1);
     const char* priority =
         evhttp_find_header(evhttp_request_get_input_headers(request), "Priority");
     job->urgent = priority && (strstr(priority, "u=0") || strstr(priority, "u=1"));
     json_decref(json);
     struct evhttp_connection* connection = evhttp_request_get_connection(request);
-    evhttp_connection_set_closecb(connection, on_caller_left, job);
+    evhttp_connection_set_closecb(connection, on_caller_disconnected, job);
     struct bufferevent* bev = evhttp_connection_get_bufferevent(connection);
     bufferevent_data_cb read_cb;
     bufferevent_data_cb write_cb;
@@ -252,18 +252,18 @@
     wgh_reply_json(request, 200, json);
 }
 
-static void on_report(evutil_socket_t fd, short what, void* user_data) {
+static void on_load_report(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     (void)user_data;
-    told_running = running;
+    reported_running = running;
 }
 
 static void setup(struct event_base* base) {
     engine_base = base;
     struct timeval lag = {.tv_usec = 500000};
-    fake_timer = event_new(base, -1, EV_PERSIST, on_report, NULL);
-    event_add(fake_timer, &lag);
+    fake_own_event = event_new(base, -1, EV_PERSIST, on_load_report, NULL);
+    event_add(fake_own_event, &lag);
 }
 
 static void on_request(struct evhttp_request* request, void* user_data) {
@@ -282,5 +282,5 @@
 }
 
 int main(int argc, char** argv) {
-    return fake_main(argc, argv, setup, on_request);
+    return fake_run(argc, argv, setup, on_request);
 }
--- a/tests/fakes/fake_service.c
+++ b/tests/fakes/fake_service.c
@@ -12,7 +12,7 @@
 static GHashTable* runs_by_id; /* X-Request-Id -> number of runs */
 static uint64_t lookups;
 static uint64_t actions;
-static uint64_t unheeded; /* requests against a backoff hint or a draining notice */
+static uint64_t violations; /* requests against a backoff hint or a draining notice */
 
 /* The platform's host list as last set by POST /fake/hosts; NULL: none. */
 static char* hosts_text;
@@ -22,14 +22,14 @@
     g_free(job);
 }
 
-static void on_caller_left(struct evhttp_connection* connection, void* user_data) {
+static void on_caller_disconnected(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     job_t* job = user_data;
     wgh_request_lost(job->request);
     job->request = NULL;
 }
 
-static void answer(job_t* job) {
+static void send_answer(job_t* job) {
     struct evhttp_request* request = job->request;
     evhttp_connection_set_closecb(evhttp_request_get_connection(request), NULL, NULL);
     const char* id = evhttp_find_header(evhttp_request_get_input_headers(request), "X-Request-Id");
@@ -47,7 +47,7 @@
     wgh_reply_json(request, 200, json);
 }
 
-static void on_worked(evutil_socket_t fd, short what, void* user_data) {
+static void on_work_done(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
     job_t* job = user_data;
@@ -65,7 +65,7 @@
         evhttp_connection_set_closecb(connection, NULL, NULL);
         evhttp_connection_free(connection);
     } else {
-        answer(job);
+        send_answer(job);
     }
     free_job(job);
 }
@@ -81,23 +81,24 @@
 }
 
 static void on_call(struct evhttp_request* request) {
-    asker_broken broken = asker_check(request);
-    unheeded += broken.in_rest || broken.after_leaving;
-    if (fake_strikes(fake.refuse)) {
-        asker_refuse(request, 503);
+    sender_violation violation = sender_check(request);
+    violations += violation.in_backoff || violation.after_drain;
+    if (fake_fault_occurs(fake.refuse)) {
+        sender_refuse(request, 503);
         return;
     }
     bool action = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
     count_run(request, action);
-    if (fake_strikes(fake.fail)) {
+    if (fake_fault_occurs(fake.fail)) {
         wgh_reply_text(request, 500, "text/plain", "failed\n");
         return;
     }
     job_t* job = g_new0(job_t, 1);
     job->request = request;
-    job->cut = fake_strikes(fake.cut);
-    job->timer = evtimer_new(service_base, on_worked, job);
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), on_caller_left, job);
+    job->cut = fake_fault_occurs(fake.cut);
+    job->timer = evtimer_new(service_base, on_work_done, job);
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), on_caller_disconnected,
+                                  job);
     int64_t us = fake.work_us + fake.late_us;
     struct timeval tv = {.tv_sec = us / 1000000, .tv_usec = us % 1000000};
     event_add(job->timer, &tv);
@@ -108,15 +109,15 @@
     GHashTableIter iter;
     gpointer id;
     gpointer num;
-    int most = 0;
+    int max_runs = 0;
     g_hash_table_iter_init(&iter, runs_by_id);
     while (g_hash_table_iter_next(&iter, &id, &num)) {
         json_object_set_new(ids, id, json_integer(GPOINTER_TO_INT(num)));
-        most = MAX(most, GPOINTER_TO_INT(num));
+        max_runs = MAX(max_runs, GPOINTER_TO_INT(num));
     }
     json_t* json = json_pack("{s:I,s:I,s:I,s:i,s:o}", "lookups", (json_int_t)lookups, "actions",
-                             (json_int_t)actions, "unheeded", (json_int_t)unheeded, "most_runs",
-                             most, "runs", ids);
+                             (json_int_t)actions, "unheeded", (json_int_t)violations, "most_runs",
+                             max_runs, "runs", ids);
     wgh_reply_json(request, 200, json);
 }
 
@@ -151,5 +152,5 @@
 }
 
 int main(int argc, char** argv) {
-    return fake_main(argc, argv, setup, on_request);
+    return fake_run(argc, argv, setup, on_request);
 }
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -9,8 +9,8 @@
      run ID              a request ran; the next line is its data centre and time, "NAME TIME"
      drained ID          a drain was acknowledged
      late TIME           a request ran later than DRAIN_BOUND_US after an acknowledged drain
-     cold TIME           more than COLD_BOUND requests came in a second while the target was cold
-     cold-most N         highest number of requests in a second so far while the target was cold
+     cold TIME           more than COLD_ARRIVALS_MAX requests came in a second of the cold time
+     cold-most N         highest number of requests in a second of the cold time so far
      in-rest HOST SINCE TIME         a request came from a host that has to back off
      after-leaving HOST SINCE TIME   a request came from a host that knows of the drain */
 #include <fcntl.h>
@@ -23,10 +23,10 @@
 enum {
     CRASH_STATUS = 70, /* exit status after a request with CRASH_BODY */
     HEARTBEAT_US = 400 * 1000,
-    DRAIN_SERVES_US = 3000 * 1000,
+    DRAIN_SERVE_TIME_US = 3000 * 1000,
     DRAIN_BOUND_US = 2000 * 1000, /* no connected entry host sends a request later */
     ARRIVALS_MAX = 128,           /* arrivals kept for the count per second */
-    COLD_BOUND = 17 /* requests in any second: 8 by each of two coordinators, and one more */
+    COLD_ARRIVALS_MAX = 17 /* requests in any second: 8 by each of two coordinators, and one more */
 };
 
 typedef struct {
@@ -44,21 +44,21 @@
 static const char* data_centre = "dc";
 static wg_time cold_time;
 static wg_time started_at;
-static wg_time lately[ARRIVALS_MAX]; /* arrival times, as a ring */
-static int lately_at;                /* index of the newest arrival */
-static int cold_most;                /* max arrivals in a second while the target was cold */
-static const char* advertised;       /* registered address; NULL: fake_address */
-static char** orders;
+static wg_time arrival_times[ARRIVALS_MAX]; /* a ring */
+static int newest_arrival;                  /* index of the newest arrival */
+static int cold_peak_arrivals;              /* max arrivals in a second while the target was cold */
+static const char* registered_address;      /* NULL: fake_address */
+static char** order_addresses;
 static int runs_fd = -1;
 static int64_t sequence;
-static int64_t born; /* incarnation: start time, Unix time in ms */
-static guint orders_next;
+static int64_t incarnation; /* start time, Unix time in ms */
+static guint order_address_next;
 static bool draining;
 static bool drain_acked;
 static wg_time drain_acked_at;
 static struct event* heartbeat;
 
-static void note(const char* what, const char* id) {
+static void write_record(const char* what, const char* id) {
     char line[160];
     int size = g_snprintf(line, sizeof line, "%s %s\n", what, id);
     if (write(runs_fd, line, (size_t)size) != size) {
@@ -66,21 +66,21 @@
     }
 }
 
-static void note_time(const char* what) {
+static void write_time_record(const char* what) {
     char at[24];
     g_snprintf(at, sizeof at, "%" G_GINT64_FORMAT, wg_now());
-    note(what, at);
+    write_record(what, at);
 }
 
-static wg_time cold_left(void) {
+static wg_time cold_time_left(void) {
     return MAX(started_at + cold_time - wg_now(), 0);
 }
 
 /* Arrivals within the last second, the newest included. */
-static int count_lately(wg_time now) {
+static int count_recent_arrivals(wg_time now) {
     int num = 0;
     while (num < ARRIVALS_MAX) {
-        wg_time at = lately[(lately_at + ARRIVALS_MAX - num) % ARRIVALS_MAX];
+        wg_time at = arrival_times[(newest_arrival + ARRIVALS_MAX - num) % ARRIVALS_MAX];
         if (at < started_at || at <= now - WG_USEC_PER_SEC) {
             break;
         }
@@ -89,65 +89,66 @@
     return num;
 }
 
-/* Records an arrival, and whether a second within the cold time had more than COLD_BOUND. */
-static void count_arrival(void) {
+/* Records an arrival, and whether a second within the cold time had more than COLD_ARRIVALS_MAX. */
+static void record_arrival(void) {
     wg_time now = wg_now();
-    lately_at = (lately_at + 1) % ARRIVALS_MAX;
-    lately[lately_at] = now;
-    if (cold_left() == 0) {
+    newest_arrival = (newest_arrival + 1) % ARRIVALS_MAX;
+    arrival_times[newest_arrival] = now;
+    if (cold_time_left() == 0) {
         return;
     }
-    int num = count_lately(now);
-    if (num > COLD_BOUND) {
-        note_time("cold");
+    int num = count_recent_arrivals(now);
+    if (num > COLD_ARRIVALS_MAX) {
+        write_time_record("cold");
     }
-    if (num > cold_most) {
-        char most[16];
-        cold_most = num;
-        g_snprintf(most, sizeof most, "%d", num);
-        note("cold-most", most);
+    if (num > cold_peak_arrivals) {
+        char count_text[16];
+        cold_peak_arrivals = num;
+        g_snprintf(count_text, sizeof count_text, "%d", num);
+        write_record("cold-most", count_text);
     }
 }
 
 /* ---- heartbeats -------------------------------------------------------------------------------
  */
 
-static void beat(void);
+static void send_heartbeat(void);
 
-static void on_beat_done(struct evhttp_request* request, void* user_data) {
+static void on_heartbeat_done(struct evhttp_request* request, void* user_data) {
     bool drain = user_data != NULL;
     bool good = request && evhttp_request_get_response_code(request) == 200;
     if (!good) {
-        orders_next++;
+        order_address_next++;
     } else if (drain && !drain_acked) {
         drain_acked = true;
         drain_acked_at = wg_now();
-        note("drained", target_id);
-        struct timeval wait = {.tv_sec = DRAIN_SERVES_US / 1000000,
-                               .tv_usec = DRAIN_SERVES_US % 1000000};
+        write_record("drained", target_id);
+        struct timeval wait = {.tv_sec = DRAIN_SERVE_TIME_US / 1000000,
+                               .tv_usec = DRAIN_SERVE_TIME_US % 1000000};
         event_base_loopexit(target_base, &wait);
     }
 }
 
-static void beat(void) {
+static void send_heartbeat(void) {
     char ip[64];
-    g_strlcpy(ip, orders[orders_next % g_strv_length(orders)], sizeof ip);
+    g_strlcpy(ip, order_addresses[order_address_next % g_strv_length(order_addresses)], sizeof ip);
     char* colon = strchr(ip, ':');
     *colon = 0;
     struct evhttp_connection* connection =
         evhttp_connection_base_new(target_base, NULL, ip, (ev_uint16_t)atoi(colon + 1));
     evhttp_connection_set_timeout(connection, 1);
     evhttp_connection_free_on_completion(connection);
-    struct evhttp_request* request = evhttp_request_new(on_beat_done, draining ? &draining : NULL);
+    struct evhttp_request* request =
+        evhttp_request_new(on_heartbeat_done, draining ? &draining : NULL);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "orders");
     evbuffer_add_printf(
         evhttp_request_get_output_buffer(request),
         "{\"service\":\"%s\",\"address\":\"%s\",\"data_centre\":\"%s\",\"version\":\"v1\","
         "\"slots\":%d,\"state\":\"%s\",\"sequence\":%d,\"cold_ms\":%d,\"born\":%" G_GINT64_FORMAT
         "}",
-        target_service, advertised ? advertised : fake_address, data_centre, (int)fake.slots,
-        draining ? "draining" : "ready", (int)++sequence, (int)(cold_left() / WG_USEC_PER_MSEC),
-        born);
+        target_service, registered_address ? registered_address : fake_address, data_centre,
+        (int)fake.slots, draining ? "draining" : "ready", (int)++sequence,
+        (int)(cold_time_left() / WG_USEC_PER_MSEC), incarnation);
     char path[96];
     g_snprintf(path, sizeof path, "/v1/targets/%s", target_id);
     evhttp_make_request(connection, request, EVHTTP_REQ_PUT, path);
@@ -157,7 +158,7 @@
     (void)fd;
     (void)what;
     (void)user_data;
-    beat();
+    send_heartbeat();
 }
 
 static void on_drain(evutil_socket_t fd, short what, void* user_data) {
@@ -166,7 +167,7 @@
     (void)user_data;
     draining = true;
     fake.leaving = 1;
-    beat();
+    send_heartbeat();
 }
 
 /* ---- requests ----------------------------------------------------------------------------------
@@ -177,7 +178,7 @@
     g_free(job);
 }
 
-static void on_left(struct evhttp_connection* connection, void* user_data) {
+static void on_caller_disconnected(struct evhttp_connection* connection, void* user_data) {
     (void)connection;
     job_t* job = user_data;
     wgh_request_lost(job->request);
@@ -189,7 +190,7 @@
     return value ? value : "";
 }
 
-static void cut_off(job_t* job) {
+static void abort_answer(job_t* job) {
     struct evhttp_connection* connection = evhttp_request_get_connection(job->request);
     evhttp_connection_set_closecb(connection, NULL, NULL);
     evhttp_connection_free(connection);
@@ -216,12 +217,12 @@
         job_end(job);
         return;
     }
-    if (fake_strikes(fake.cut)) {
-        cut_off(job);
+    if (fake_fault_occurs(fake.cut)) {
+        abort_answer(job);
         return;
     }
     if (job->last == 0) {
-        bool fails = job->fails || fake_strikes(fake.fail);
+        bool fails = job->fails || fake_fault_occurs(fake.fail);
         evhttp_connection_set_closecb(evhttp_request_get_connection(job->request), NULL, NULL);
         struct evbuffer* out = evbuffer_new();
         evbuffer_add_printf(out, "whole %s", field(job->request, "Walnutgate-Request"));
@@ -241,25 +242,25 @@
     job_end(job);
 }
 
-static void note_broken(const char* what, const char* host, wg_time since) {
+static void write_violation(const char* what, const char* host, wg_time since) {
     char text[96];
     g_snprintf(text, sizeof text, "%s %" G_GINT64_FORMAT " %" G_GINT64_FORMAT, host, since,
                wg_now());
-    note(what, text);
+    write_record(what, text);
 }
 
-static void check_host(struct evhttp_request* request) {
-    const char* host = field(request, ASKER_FIELD);
-    asker_broken broken = asker_check(request);
-    if (broken.in_rest) {
-        note_broken("in-rest", host, broken.since);
+static void check_sender(struct evhttp_request* request) {
+    const char* host = field(request, SENDER_HEADER);
+    sender_violation violation = sender_check(request);
+    if (violation.in_backoff) {
+        write_violation("in-rest", host, violation.since);
     }
-    if (broken.after_leaving) {
-        note_broken("after-leaving", host, broken.since);
+    if (violation.after_drain) {
+        write_violation("after-leaving", host, violation.since);
     }
 }
 
-static bool ends_the_target(struct evhttp_request* request) {
+static bool has_crash_body(struct evhttp_request* request) {
     struct evbuffer* body = evhttp_request_get_input_buffer(request);
     char begin[sizeof CRASH_BODY - 1];
     return evbuffer_copyout(body, begin, sizeof begin) == sizeof begin &&
@@ -278,32 +279,33 @@
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Walnutgate-Request", id);
     if (expected[0] && strcmp(expected, target_id) != 0) {
-        asker_refuse(request, 421);
+        sender_refuse(request, 421);
         return;
     }
-    count_arrival();
-    check_host(request);
-    if (fake_strikes(fake.refuse)) {
-        asker_refuse(request, 503);
+    record_arrival();
+    check_sender(request);
+    if (fake_fault_occurs(fake.refuse)) {
+        sender_refuse(request, 503);
         return;
     }
-    note("run", id);
-    note_time(data_centre);
+    write_record("run", id);
+    write_time_record(data_centre);
     if (drain_acked && wg_now() - drain_acked_at > DRAIN_BOUND_US) {
-        note_time("late");
+        write_time_record("late");
     }
     job_t* job = g_new0(job_t, 1);
     job->request = request;
     job->timer = evtimer_new(target_base, on_job, job);
-    job->crashes = ends_the_target(request);
-    job->fails = strstr(uri, "/stream/") && !job->crashes && fake_strikes(fake.fail);
+    job->crashes = has_crash_body(request);
+    job->fails = strstr(uri, "/stream/") && !job->crashes && fake_fault_occurs(fake.fail);
     if (strstr(uri, "/stream/") && !job->fails) {
         job->next = 1 + atoi(field(request, "Last-Event-ID"));
         job->last = atoi(strstr(uri, "/stream/") + strlen("/stream/"));
         evhttp_add_header(out, "Content-Type", "text/event-stream");
         evhttp_send_reply_start(request, 200, "OK");
     }
-    evhttp_connection_set_closecb(evhttp_request_get_connection(request), on_left, job);
+    evhttp_connection_set_closecb(evhttp_request_get_connection(request), on_caller_disconnected,
+                                  job);
     struct timeval wait = {.tv_usec = fake.work_us};
     event_add(job->timer, &wait);
 }
@@ -311,27 +313,27 @@
 static void setup(struct event_base* base) {
     target_base = base;
     started_at = wg_now();
-    born = g_get_real_time() / WG_USEC_PER_MSEC;
+    incarnation = g_get_real_time() / WG_USEC_PER_MSEC;
     heartbeat = event_new(base, -1, EV_PERSIST, on_heartbeat, NULL);
     struct timeval period = {.tv_usec = HEARTBEAT_US};
     event_add(heartbeat, &period);
-    fake_timer = evsignal_new(base, SIGHUP, on_drain, NULL);
-    event_add(fake_timer, NULL);
-    beat();
+    fake_own_event = evsignal_new(base, SIGHUP, on_drain, NULL);
+    event_add(fake_own_event, NULL);
+    send_heartbeat();
 }
 
 /* Consumes this program's own arguments and leaves those of fake.h in argv; returns their count. */
-static int own_arguments(int argc, char** argv) {
-    int kept = 1;
+static int parse_own_arguments(int argc, char** argv) {
+    int kept_num = 1;
     for (int i = 1; i < argc; i++) {
         if (g_str_has_prefix(argv[i], "id=")) {
             target_id = argv[i] + 3;
         } else if (g_str_has_prefix(argv[i], "service=")) {
             target_service = argv[i] + 8;
         } else if (g_str_has_prefix(argv[i], "orders=")) {
-            orders = g_strsplit(argv[i] + 7, ",", 0);
+            order_addresses = g_strsplit(argv[i] + 7, ",", 0);
         } else if (g_str_has_prefix(argv[i], "advertise=")) {
-            advertised = argv[i] + strlen("advertise=");
+            registered_address = argv[i] + strlen("advertise=");
         } else if (g_str_has_prefix(argv[i], "data_centre=")) {
             data_centre = argv[i] + strlen("data_centre=");
         } else if (g_str_has_prefix(argv[i], "cold_ms=")) {
@@ -339,17 +341,17 @@
         } else if (g_str_has_prefix(argv[i], "runs=")) {
             runs_fd = open(argv[i] + 5, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
         } else {
-            argv[kept++] = argv[i];
+            argv[kept_num++] = argv[i];
         }
     }
-    return kept;
+    return kept_num;
 }
 
 int main(int argc, char** argv) {
-    argc = own_arguments(argc, argv);
-    if (runs_fd < 0 || !orders) {
+    argc = parse_own_arguments(argc, argv);
+    if (runs_fd < 0 || !order_addresses) {
         fprintf(stderr, "fake_target: orders= and runs= are needed\n");
         return 2;
     }
-    return fake_main(argc, argv, setup, on_request);
+    return fake_run(argc, argv, setup, on_request);
 }
