--- a/bench/bench.h
+++ b/bench/bench.h
@@ -1,5 +1,5 @@
 #pragma once
-/* bench.h -- one line a figure: name, value, unit */
+/* bench.h -- measures time and memory, prints one line per figure: name, value, unit */
 #include <stdio.h>
 #include <sys/wait.h>
 #include <time.h>
@@ -12,14 +12,14 @@
     fflush(stdout);
 }
 
-/* Processor time of this process, microseconds. */
+/* CPU time of this process in microseconds. */
 static inline double bench_cpu_us(void) {
     struct timespec ts;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &ts);
     return (double)ts.tv_sec * 1e6 + (double)ts.tv_nsec / 1e3;
 }
 
-/* Resident memory of a process (0: this one), bytes. */
+/* Resident memory of a process in bytes; pid 0: this process. */
 static inline double bench_rss(int pid) {
     char path[48];
     long pages = 0;
@@ -35,8 +35,8 @@
     return (double)resident * (double)sysconf(_SC_PAGESIZE);
 }
 
-/* Resident memory that `work` adds, bytes; measured in a child of its own, where nothing is reused.
- */
+/* Resident memory in bytes that `work` adds; runs it in a child process, so that it cannot reuse
+   memory that was freed before. */
 static inline double bench_memory(void (*work)(int size), int size) {
     int pipe_fds[2];
     double added = 0;
@@ -60,7 +60,7 @@
     return added;
 }
 
-/* Processor time of another process, microseconds. */
+/* CPU time of another process in microseconds. */
 static inline double bench_process_cpu_us(int pid) {
     char path[48];
     unsigned long user = 0;
@@ -77,7 +77,7 @@
     return (double)(user + system) * 1e6 / (double)sysconf(_SC_CLK_TCK);
 }
 
-/* Least-squares line through (x, y): prints intercept and slope. */
+/* Fits a least-squares line through (x, y); prints intercept, slope and largest relative error. */
 static inline void bench_fit(const char* name, const double* x, const double* y, int num,
                              const char* unit) {
     double sx = 0;
--- a/bench/bench_agree.c
+++ b/bench/bench_agree.c
@@ -1,8 +1,8 @@
-/* bench_agree.c -- one load through real processes and through the replay: do the figures agree?
+/* bench_agree.c -- compares real processes with the replay under the same load
 
-   3 routers, 4 engines of 8 slots, 5 ms a token, streams of 60 tokens. Workspace w0 through one
-   router, w1 through all, w2 through two; each always has requests waiting. Weights 100, 300, 200.
- */
+   3 routers, 4 engines of 8 slots, 5 ms per token, streams of 60 tokens. Workspace w0 sends through
+   one router, w1 through all, w2 through two; each always has requests waiting. Weights 100, 300,
+   200. */
 #include "bench.h"
 #include "load.h"
 #include "proc.h"
@@ -50,7 +50,7 @@
     *thread = g_thread_new("load", run_worker, &workers[w]);
 }
 
-/* Widest difference of completed tokens over weight, from the second on at which all have begun. */
+/* Widest difference between workspaces of completed tokens per 100 of weight, once all run. */
 static double watch_gap(void) {
     double base[WORKSPACES] = {0};
     double worst = 0;
@@ -123,8 +123,7 @@
                          proc_state(&fleet, router, "link.bytes_received")) /
                     (SECONDS + 4),
                 "bytes/s");
-    /* evhttp timers make a token take a little longer than asked for: the engines' own pace counts.
-     */
+    /* The engines' own count, as timers make a token take longer than the pace that is set. */
     bench_print("processes: tokens made a second", (double)made / SECONDS, "tokens/s");
     static simf_trace trace;
     GError* error = NULL;
--- a/bench/bench_balance.c
+++ b/bench/bench_balance.c
@@ -1,4 +1,4 @@
-/* bench_balance.c -- what the choice of a target costs as the number of targets rises */
+/* bench_balance.c -- CPU time of choosing a target, by number of targets */
 #include <string.h>
 
 #include "bench.h"
@@ -6,7 +6,7 @@
 
 enum {
     CHOICES = 20000,
-    PLAIN_TARGETS = 6, /* of another service, beside the engines */
+    PLAIN_TARGETS = 6, /* targets of another service */
     HOSTS = 90
 };
 
--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,5 +1,5 @@
-/* bench_capacity.c -- `make bench-capacity`: slopes for docs/CAPACITY.md, each at three sizes or
- * more */
+/* bench_capacity.c -- `make bench-capacity`: cost by size for docs/CAPACITY.md, each figure at
+   three sizes or more with a linear fit */
 #include <glib/gstdio.h>
 #include <signal.h>
 #include <string.h>
@@ -83,7 +83,7 @@
             PLANS = 20
         };
         for (int p = 0; p < PLANS; p++) {
-            /* Demand moves a little between plans. */
+            /* Demand changes slightly between plans. */
             for (int r = 0; r < sizes[i]; r++) {
                 wgf_account account = {.service = 1,
                                        .workspace = (uint32_t)(r % 50) * 3 + 1,
@@ -150,7 +150,7 @@
     bench_fit("fit: plan, x = waiting workspaces", x, y, 3, "us");
 }
 
-/* ---- bytes of messages ----------------------------------------------------------------------- */
+/* ---- message sizes --------------------------------------------------------------------------- */
 
 static double report_bytes(int accounts) {
     Wgpb__Report report = WGPB__REPORT__INIT;
@@ -401,9 +401,9 @@
     bench_fit("fit: a router's payload, x = routers", x, router_bytes, 3, "bytes/s");
 }
 
-/* ---- the exchange in replay ------------------------------------------------------------------ */
+/* ---- control traffic in replay --------------------------------------------------------------- */
 
-/* Each workspace through four routers, all of them backlogged or nearly so. */
+/* Each workspace sends through a few routers, all together more than the fleet's capacity. */
 static void exchange_slopes(void) {
     static const int sizes[] = {20, 60, 180};
     double x[3];
@@ -480,7 +480,7 @@
     bench_fit(line, x, y, num, "bytes");
 }
 
-/* First of all, while this process has touched nothing that a child could use again. */
+/* Runs first, so that a child process inherits no freed memory that it could reuse. */
 static void memory_slopes(void) {
     static const int routers[] = {40, 80, 160, 320};
     static const int workspaces[] = {1000, 5000, 25000};
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -1,4 +1,5 @@
-/* bench_fair.c -- `make bench-fair`: the traces of a folder by each way, as a table and as CSV */
+/* bench_fair.c -- `make bench-fair`: replays the traces of a folder under each scheduling policy,
+   prints a table and writes CSV */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,7 +9,7 @@
     return strcmp(*(char* const*)a, *(char* const*)b);
 }
 
-/* Stated outcomes bind the way that is in use. */
+/* Counts the outcomes stated in a trace that the result misses; for the policy in use only. */
 static int check_expects(const simf_trace* trace, const simf_result* result, double best_tokens) {
     int failed = 0;
     for (int i = 0; i < trace->expects_num; i++) {
@@ -16,7 +17,7 @@
         double value = 0;
         simf_metric(result, expect->metric, &value);
         if (strcmp(expect->metric, "tokens") == 0) {
-            value = value / best_tokens; /* against the omniscient way */
+            value = value / best_tokens; /* relative to the omniscient policy */
         }
         bool good = expect->op == '<' ? value < expect->value : value > expect->value;
         if (!good) {
--- a/bench/bench_faults.c
+++ b/bench/bench_faults.c
@@ -1,4 +1,5 @@
-/* bench_faults.c -- `make bench-faults`: real processes, times and losses for each kind of fault */
+/* bench_faults.c -- `make bench-faults`: recovery times and failed requests of a real fleet, for
+   each kind of fault */
 #include <signal.h>
 #include <string.h>
 
@@ -43,7 +44,7 @@
     bench_print(line, (double)hist->max / 1000, "ms");
 }
 
-/* From the moment that the operator's command begins until each router holds the new version. */
+/* Time from the start of an operator's command until every router has the new table version. */
 static void edits_in_force(void) {
     wg_hist hist = {0};
     for (int e = 0; e < 30; e++) {
@@ -99,7 +100,7 @@
     print_hist(freeze ? "no leader after a freeze (silent cut)" : "no leader after a kill", &hist);
 }
 
-/* What callers see of a fault in the third second of a load. */
+/* A fault that is injected 2 s after a load has begun. */
 static struct {
     void (*fault)(void);
     bool done;
@@ -222,7 +223,7 @@
     bench_print("  of all in the time", (double)result.whole, "requests");
     load_clear(&result);
     proc_faults(proc_find(&fleet, "service2"), "leaving=0");
-    /* What a target said of itself ends by an operator's word. */
+    /* Draining that a target reported itself ends only by an operator's edit. */
     proc_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=1", NULL);
     proc_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=0", NULL);
     proc_sleep(500);
--- a/bench/bench_prefix.c
+++ b/bench/bench_prefix.c
@@ -1,8 +1,8 @@
-/* bench_prefix.c -- choice of target: prefix hits and balance, against chance and least-loaded
+/* bench_prefix.c -- prefix hits and balance of prefix affinity, random and least-loaded choice
 
-   20 targets, each caching 64 prompt prefixes; 400 prefixes, some far more frequent than others; a
-   request with a cached prefix takes half the time. Cache events (a prefix was dropped) come late
-   and every third is lost. Virtual time, one router. */
+   One router, virtual time. 20 targets each cache 64 of 400 prompt prefixes, whose frequency falls
+   with their rank; a request with a cached prefix takes half the time. Every third notice of a
+   dropped prefix is lost. */
 #include <math.h>
 #include <string.h>
 
@@ -70,7 +70,7 @@
     return hit;
 }
 
-/* Frequency falls with rank: prefix k about as often as 1/k. */
+/* Prefix k has a frequency proportional to 1/k. */
 static uint64_t draw_prefix(uint64_t request) {
     double u = (double)(wg_jitter(5, request) >> 11) / 9007199254740992.0;
     uint64_t rank = (uint64_t)exp(u * log(PREFIXES + 1.0));
@@ -107,8 +107,8 @@
     double spread = 0;
     wg_time now = 1;
     for (uint64_t i = 0; i < REQUESTS; i++) {
-        now += 1 +
-               (wg_time)(wg_jitter(2, i) % 2); /* about two thirds of the slots busy without hits */
+        /* Without hits, about two thirds of the slots are busy. */
+        now += 1 + (wg_time)(wg_jitter(2, i) % 2);
         finish_until(now);
         uint64_t prefix = draw_prefix(i);
         uint32_t id = choose(by, prefix, now, i);
--- a/bench/bench_queue.c
+++ b/bench/bench_queue.c
@@ -1,4 +1,4 @@
-/* bench_queue.c -- cost of the decision logic on one core, at several sizes */
+/* bench_queue.c -- CPU time and memory of queue and target choice, at several sizes */
 #include "bench.h"
 #include "wg_place.h"
 #include "wg_queue.h"
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -1,4 +1,5 @@
-/* bench_router.c -- one router between callers and a stand-in, against the stand-in alone */
+/* bench_router.c -- throughput and latency through one router, compared with a target alone; idle
+   cost of the daemons */
 #include <signal.h>
 
 #include "bench.h"
@@ -25,7 +26,7 @@
     return NULL;
 }
 
-/* The same load from several threads; results are added up. */
+/* Runs the load from several threads at once and returns the sum of their results. */
 static load_result run(const load_desc* desc, int threads) {
     static worker workers[THREADS];
     GThread* handles[THREADS];
--- a/tests/fuzz/fuzz_csv.c
+++ b/tests/fuzz/fuzz_csv.c
@@ -1,4 +1,5 @@
-/* fuzz_csv.c -- libFuzzer: the table as CSV, each kind; what is read must be writable and equal */
+/* fuzz_csv.c -- libFuzzer: CSV of each kind of table row; rows that are read must pack and unpack
+ */
 #include "wg_table.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size);
--- a/tests/fuzz/fuzz_frame.c
+++ b/tests/fuzz/fuzz_frame.c
@@ -1,4 +1,4 @@
-/* fuzz_frame.c -- libFuzzer: the frame decoder and the messages behind it */
+/* fuzz_frame.c -- libFuzzer: frame decoder and unpacking of messages */
 #include "wg_wire.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size);
--- a/tests/fuzz/fuzz_sse.c
+++ b/tests/fuzz/fuzz_sse.c
@@ -1,4 +1,4 @@
-/* fuzz_sse.c -- libFuzzer: server-sent events out of a target's stream */
+/* fuzz_sse.c -- libFuzzer: splitting of a target's stream into server-sent events */
 #include "wg_sse.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size);
