--- a/bench/bench_agree.c
+++ b/bench/bench_agree.c
@@ -51,25 +51,26 @@
 }
 
 /* Widest difference between workspaces of completed tokens per 100 of weight, once all run. */
-static double watch_gap(void) {
+static double measure_max_gap(void) {
     double base[WORKSPACES] = {0};
-    double worst = 0;
+    double max_gap = 0;
     for (int step = 0; step < SECONDS * 10 - 10; step++) {
-        double normal[WORKSPACES];
+        double weighted_tokens[WORKSPACES];
         proc_sleep(100);
         for (int w = 0; w < WORKSPACES; w++) {
-            normal[w] = (double)workers[w].result.whole * TOKENS * 100.0 / weights[w];
+            weighted_tokens[w] = (double)workers[w].result.whole * TOKENS * 100.0 / weights[w];
             if (step <= 20) {
-                base[w] = normal[w];
+                base[w] = weighted_tokens[w];
             }
         }
         for (int a = 0; a < WORKSPACES; a++) {
             for (int b = 0; b < WORKSPACES; b++) {
-                worst = MAX(worst, (normal[a] - base[a]) - (normal[b] - base[b]));
+                max_gap =
+                    MAX(max_gap, (weighted_tokens[a] - base[a]) - (weighted_tokens[b] - base[b]));
             }
         }
     }
-    return worst;
+    return max_gap;
 }
 
 int main(void) {
@@ -86,24 +87,24 @@
         g_snprintf(weight, sizeof weight, "weight=%d", weights[w]);
         proc_ctl(&fleet, NULL, "table", "set", "workspaces", name, weight, NULL);
     }
-    int64_t made = 0;
+    int64_t tokens_made = 0;
     for (int e = 1; e <= 4; e++) {
         char name[16];
         g_snprintf(name, sizeof name, "engine%d", e);
-        made -= proc_journal(proc_find(&fleet, name), "tokens");
+        tokens_made -= proc_journal(proc_find(&fleet, name), "tokens");
     }
     GThread* threads[WORKSPACES];
     for (int w = 0; w < WORKSPACES; w++) {
         start_worker(w, &threads[w]);
     }
-    double gap = watch_gap();
+    double gap = measure_max_gap();
     for (int w = 0; w < WORKSPACES; w++) {
         g_thread_join(threads[w]);
     }
     for (int e = 1; e <= 4; e++) {
         char name[16];
         g_snprintf(name, sizeof name, "engine%d", e);
-        made += proc_journal(proc_find(&fleet, name), "tokens");
+        tokens_made += proc_journal(proc_find(&fleet, name), "tokens");
     }
     double sum = 0;
     for (int w = 0; w < WORKSPACES; w++) {
@@ -124,7 +125,7 @@
                     (SECONDS + 4),
                 "bytes/s");
     /* The engines' own count, as timers make a token take longer than the pace that is set. */
-    bench_print("processes: tokens made a second", (double)made / SECONDS, "tokens/s");
+    bench_print("processes: tokens made a second", (double)tokens_made / SECONDS, "tokens/s");
     static simf_trace trace;
     GError* error = NULL;
     if (!simf_trace_parse("fleet seed=1 routers=3 targets=4 slots=8 pace_ms=5 duration_s=20\n"
--- a/bench/bench_balance.c
+++ b/bench/bench_balance.c
@@ -19,7 +19,7 @@
     wg_registry_apply(registry, 0, &t);
 }
 
-static void choice_cost(int targets) {
+static void measure_choice(int targets) {
     wg_registry* registry = wg_registry_setup(&(wg_registry_desc){0});
     wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = "a", .seed = 3});
     for (int i = 0; i < targets; i++) {
@@ -52,8 +52,8 @@
 }
 
 int main(void) {
-    choice_cost(20);
-    choice_cost(200);
-    choice_cost(700);
+    measure_choice(20);
+    measure_choice(200);
+    measure_choice(700);
     return 0;
 }
--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -19,7 +19,7 @@
     PLAN_TARGETS = 700,
     PLAN_SERVICES = 3,
     PLAN_WORKSPACES = 2500,
-    ROUTERS_OF_WORKSPACE = 4
+    ROUTERS_PER_WORKSPACE = 4
 };
 
 static wgf_share* plan_setup(int routers, int workspaces, wgf_router* handles) {
@@ -39,7 +39,7 @@
         wgf_report(s, 4 * (wg_time)WG_USEC_PER_SEC, handles[r], &(wgf_report_desc){.full = true});
     }
     for (int w = 0; w < workspaces; w++) {
-        for (int i = 0; i < ROUTERS_OF_WORKSPACE; i++) {
+        for (int i = 0; i < ROUTERS_PER_WORKSPACE; i++) {
             int r = (int)(wg_jitter((uint64_t)w, (uint64_t)i) % (uint64_t)routers);
             wgf_account account = {.service = 1 + (uint32_t)w % PLAN_SERVICES,
                                    .workspace = (uint32_t)w + 1,
@@ -320,7 +320,7 @@
 
 /* ---- real fleets ----------------------------------------------------------------------------- */
 
-static bool all_hold(proc_fleet* fleet, int64_t version) {
+static bool all_routers_have(proc_fleet* fleet, int64_t version) {
     for (int i = 0; i < fleet->num; i++) {
         proc_process* p = &fleet->processes[i];
         if (p->name[0] == 'r' && proc_state(fleet, p, "table_version") < version) {
@@ -386,7 +386,7 @@
             proc_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL);
             gint64 begin = g_get_monotonic_time();
             int64_t version = proc_number(out, "version");
-            while (!all_hold(&fleet, version)) {
+            while (!all_routers_have(&fleet, version)) {
             }
             wg_hist_add(&in_force, g_get_monotonic_time() - begin);
             g_free(out);
--- a/bench/bench_faults.c
+++ b/bench/bench_faults.c
@@ -45,7 +45,7 @@
 }
 
 /* Time from the start of an operator's command until every router has the new table version. */
-static void edits_in_force(void) {
+static void measure_edit_propagation(void) {
     wg_hist hist = {0};
     for (int e = 0; e < 30; e++) {
         char weight[32];
@@ -66,7 +66,7 @@
     print_hist("edit: command to in force at every router", &hist);
 }
 
-static bool others_lead(proc_process* old) {
+static bool another_leads(proc_process* old) {
     for (int i = 0; i < fleet.desc.controls; i++) {
         proc_process* p = &fleet.processes[i];
         if (p != old && p->pid && metric(p, "walnutgate_leads") == 1) {
@@ -76,28 +76,28 @@
     return false;
 }
 
-static void leader_losses(bool freeze) {
+static void measure_leader_outages(bool stall) {
     wg_hist hist = {0};
     for (int i = 0; i < 8; i++) {
         proc_process* leader = proc_leader(&fleet);
         gint64 begin = g_get_monotonic_time();
-        if (freeze) {
+        if (stall) {
             proc_signal(leader, SIGSTOP);
         } else {
             proc_kill(leader);
         }
-        while (!others_lead(leader)) {
+        while (!another_leads(leader)) {
             proc_sleep(2);
         }
         wg_hist_add(&hist, g_get_monotonic_time() - begin);
-        if (freeze) {
+        if (stall) {
             proc_signal(leader, SIGCONT);
         } else {
             proc_start(&fleet, leader);
         }
         proc_sleep(1500);
     }
-    print_hist(freeze ? "no leader after a freeze (silent cut)" : "no leader after a kill", &hist);
+    print_hist(stall ? "no leader after a freeze (silent cut)" : "no leader after a kill", &hist);
 }
 
 /* A fault that is injected 2 s after a load has begun. */
@@ -106,7 +106,7 @@
     bool done;
 } scenario;
 
-static void strike(void* user_data, wg_time since) {
+static void inject_fault(void* user_data, wg_time since) {
     (void)user_data;
     if (!scenario.done && since > 2 * (wg_time)WG_USEC_PER_SEC) {
         scenario.done = true;
@@ -133,11 +133,11 @@
     proc_kill(proc_find(&fleet, "service1"));
 }
 
-static void losses(const char* name, void (*fault)(void), load_kind kind) {
+static void measure_fault(const char* name, void (*fault)(void), load_kind kind) {
     scenario.fault = fault;
     scenario.done = false;
     load_desc desc = callers(kind, 16, 6, "key-w0");
-    desc.on_tick = strike;
+    desc.on_tick = inject_fault;
     load_result result;
     load_run(&desc, &result);
     char line[80];
@@ -153,7 +153,7 @@
     load_clear(&result);
 }
 
-static void attempts_under_failure(int percent) {
+static void measure_attempts(int percent) {
     char faults[32];
     g_snprintf(faults, sizeof faults, "fail=0&refuse=%d", percent);
     proc_faults(proc_find(&fleet, "service1"), faults);
@@ -184,10 +184,10 @@
     proc_faults(proc_find(&fleet, "service2"), "fail=0&refuse=0");
 }
 
-static void catch_up_after_changes(void) {
+static void measure_catch_up(void) {
     proc_process* leader = proc_leader(&fleet);
-    proc_process* away = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
-    proc_kill(away);
+    proc_process* stopped = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
+    proc_kill(stopped);
     for (int n = 0; n < 1000; n++) {
         char* body =
             g_strdup_printf("{\"edit_id\":\"%032x\",\"rows\":[{\"kind_of_row\":\"workspace\","
@@ -201,17 +201,17 @@
     }
     int64_t commit = proc_state(&fleet, leader, "log.commit");
     gint64 begin = g_get_monotonic_time();
-    proc_start(&fleet, away);
-    while (proc_state(&fleet, away, "log.commit") < commit) {
+    proc_start(&fleet, stopped);
+    while (proc_state(&fleet, stopped, "log.commit") < commit) {
         proc_sleep(2);
     }
     bench_print("restart after 1,000 changes: caught up after",
                 (double)(g_get_monotonic_time() - begin) / 1000, "ms");
     bench_print("log on disk after 1,000 changes",
-                (double)proc_state(&fleet, away, "store.log_bytes"), "bytes");
+                (double)proc_state(&fleet, stopped, "store.log_bytes"), "bytes");
 }
 
-static void drain(void) {
+static void measure_drain(void) {
     proc_faults(proc_find(&fleet, "service2"), "leaving=1");
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, 4, "key-w1");
     load_result result;
@@ -232,25 +232,25 @@
 int main(void) {
     proc_fleet_start(&fleet,
                      &(proc_desc){.controls = 3, .routers = 3, .engines = 2, .services = 2});
-    edits_in_force();
-    attempts_under_failure(0);
-    attempts_under_failure(10);
-    attempts_under_failure(50);
-    attempts_under_failure(100);
-    leader_losses(false);
-    leader_losses(true);
-    losses("leader killed under streams", kill_leader, LOAD_KIND_STREAM);
-    losses("leader killed under lookups", kill_leader, LOAD_KIND_DEFAULT);
-    losses("router killed under streams", kill_router, LOAD_KIND_STREAM);
-    losses("router killed under lookups", kill_router, LOAD_KIND_DEFAULT);
-    losses("router stopped in the planned way", stop_router, LOAD_KIND_STREAM);
+    measure_edit_propagation();
+    measure_attempts(0);
+    measure_attempts(10);
+    measure_attempts(50);
+    measure_attempts(100);
+    measure_leader_outages(false);
+    measure_leader_outages(true);
+    measure_fault("leader killed under streams", kill_leader, LOAD_KIND_STREAM);
+    measure_fault("leader killed under lookups", kill_leader, LOAD_KIND_DEFAULT);
+    measure_fault("router killed under streams", kill_router, LOAD_KIND_STREAM);
+    measure_fault("router killed under lookups", kill_router, LOAD_KIND_DEFAULT);
+    measure_fault("router stopped in the planned way", stop_router, LOAD_KIND_STREAM);
     proc_wait(proc_find(&fleet, "r2"));
     proc_start(&fleet, proc_find(&fleet, "r2"));
     proc_sleep(1000);
-    drain();
-    losses("application target killed", kill_target, LOAD_KIND_DEFAULT);
+    measure_drain();
+    measure_fault("application target killed", kill_target, LOAD_KIND_DEFAULT);
     proc_start(&fleet, proc_find(&fleet, "service1"));
-    catch_up_after_changes();
+    measure_catch_up();
     proc_fleet_kill(&fleet);
     return 0;
 }
--- a/bench/bench_queue.c
+++ b/bench/bench_queue.c
@@ -8,7 +8,7 @@
     ROUNDS = 400000
 };
 
-static void queue_cost(int workspaces, const char* name) {
+static void measure_queue(int workspaces, const char* name) {
     double before = bench_rss(0);
     wgq_queue* q = wgq_setup(&(wgq_desc){.flows_max = 32768, .requests_max = 60000}, NULL);
     wgq_refusal refusal;
@@ -44,7 +44,7 @@
     wgq_shutdown(q);
 }
 
-static void place_cost(int targets) {
+static void measure_place(int targets) {
     wgp_place* p = wgp_setup(&(wgp_desc){.seed = 1}, NULL);
     wgp_config_begin(p);
     for (int t = 0; t < targets; t++) {
@@ -67,11 +67,11 @@
 }
 
 int main(void) {
-    queue_cost(10, "10");
-    queue_cost(2500, "2,500");
-    queue_cost(25000, "25,000");
-    place_cost(20);
-    place_cost(200);
-    place_cost(700);
+    measure_queue(10, "10");
+    measure_queue(2500, "2,500");
+    measure_queue(25000, "25,000");
+    measure_place(20);
+    measure_place(200);
+    measure_place(700);
     return 0;
 }
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -57,7 +57,7 @@
     return sum;
 }
 
-static load_desc direct(const proc_process* target, load_kind kind, int callers) {
+static load_desc load_of(const proc_process* target, load_kind kind, int callers) {
     return (load_desc){.hosts = {target->address},
                        .hosts_num = 1,
                        .kind = kind,
@@ -75,12 +75,12 @@
     return hist->num ? (double)hist->sum / (double)hist->num : 0;
 }
 
-static void small_requests(void) {
+static void measure_small_requests(void) {
     proc_process* router = proc_find(&fleet, "r1");
     proc_process* target = proc_find(&fleet, "service1");
-    load_desc desc = direct(target, LOAD_KIND_PLAIN, 16);
+    load_desc desc = load_of(target, LOAD_KIND_PLAIN, 16);
     load_result alone = run(&desc, THREADS);
-    desc = direct(router, LOAD_KIND_DEFAULT, 16);
+    desc = load_of(router, LOAD_KIND_DEFAULT, 16);
     double cpu = bench_process_cpu_us(router->pid);
     load_result routed = run(&desc, THREADS);
     cpu = bench_process_cpu_us(router->pid) - cpu;
@@ -90,9 +90,9 @@
     bench_print("  processor time of the router a request", cpu / (double)routed.whole, "us");
     bench_print("  so one core carries", 1e6 * (double)routed.whole / cpu, "requests/s");
     bench_print("  failed", (double)routed.failed, "requests");
-    desc = direct(target, LOAD_KIND_PLAIN, 2);
+    desc = load_of(target, LOAD_KIND_PLAIN, 2);
     alone = run(&desc, 1);
-    desc = direct(router, LOAD_KIND_DEFAULT, 2);
+    desc = load_of(router, LOAD_KIND_DEFAULT, 2);
     routed = run(&desc, 1);
     bench_print("small requests below saturation, alone, mean", mean(&alone.latency) / 1000, "ms");
     bench_print("  added by the router, mean",
@@ -109,12 +109,12 @@
                 "ms");
 }
 
-static void streams(void) {
+static void measure_streams(void) {
     proc_process* router = proc_find(&fleet, "r1");
     proc_process* target = proc_find(&fleet, "engine1");
-    load_desc desc = direct(target, LOAD_KIND_PLAIN_STREAM, 16);
+    load_desc desc = load_of(target, LOAD_KIND_PLAIN_STREAM, 16);
     load_result alone = run(&desc, 1);
-    desc = direct(router, LOAD_KIND_STREAM, 16);
+    desc = load_of(router, LOAD_KIND_STREAM, 16);
     double cpu = bench_process_cpu_us(router->pid);
     load_result routed = run(&desc, 1);
     cpu = bench_process_cpu_us(router->pid) - cpu;
@@ -128,7 +128,7 @@
     bench_print("  processor time of the router a token", cpu / (double)routed.whole / 50, "us");
 }
 
-static void idle_connections(void) {
+static void measure_idle_connections(void) {
     enum {
         CONNECTIONS = 2000
     };
@@ -153,14 +153,14 @@
     }
 }
 
-static void idle_daemons(void) {
+static void measure_idle_daemons(void) {
     enum {
         SECONDS = 8
     };
     static const char* names[] = {"c1", "c2", "r1"};
     double cpu[3];
     int64_t bytes[3];
-    for (int turn = 0; turn < 2; turn++) {
+    for (int sample = 0; sample < 2; sample++) {
         for (int i = 0; i < 3; i++) {
             proc_process* p = proc_find(&fleet, names[i]);
             const char* prefix = names[i][0] == 'c' ? "links." : "link.";
@@ -170,7 +170,7 @@
             g_snprintf(received, sizeof received, "%sbytes_received", prefix);
             double cpu_now = bench_process_cpu_us(p->pid);
             int64_t bytes_now = proc_state(&fleet, p, sent) + proc_state(&fleet, p, received);
-            if (turn == 1) {
+            if (sample == 1) {
                 char line[64];
                 g_snprintf(line, sizeof line, "idle %s: control payload, both ways", names[i]);
                 bench_print(line, (double)(bytes_now - bytes[i]) / SECONDS, "bytes/s");
@@ -182,7 +182,7 @@
             cpu[i] = cpu_now;
             bytes[i] = bytes_now;
         }
-        if (turn == 0) {
+        if (sample == 0) {
             proc_sleep(SECONDS * 1000);
         }
     }
@@ -196,10 +196,10 @@
                                           .engine_slots = 64,
                                           .engine_pace_us = 2000});
     proc_faults(proc_find(&fleet, "service1"), "work_us=0");
-    small_requests();
-    streams();
-    idle_connections();
-    idle_daemons();
+    measure_small_requests();
+    measure_streams();
+    measure_idle_connections();
+    measure_idle_daemons();
     proc_fleet_kill(&fleet);
     return 0;
 }
