--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -350,7 +350,7 @@
 int main(int argc, char** argv) {
     argc = parse_own_arguments(argc, argv);
     if (runs_fd < 0 || !order_addresses) {
-        fprintf(stderr, "fake_target: orders= and runs= are needed\n");
+        fprintf(stderr, "fake_target: arguments orders= and runs= are required\n");
         return 2;
     }
     return fake_run(argc, argv, setup, on_request);
