--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,5 +1,5 @@
-/* bench_capacity.c -- `make bench-capacity`: slopes for docs/CAPACITY.md, each at three sizes or
- * more */
+/* bench_capacity.c -- `make bench-capacity`: cost by size for docs/CAPACITY.md, each figure at
+   three sizes or more with a linear fit */
 #include <glib/gstdio.h>
 #include <signal.h>
 #include <string.h>
@@ -19,7 +19,7 @@
     PLAN_TARGETS = 700,
     PLAN_SERVICES = 3,
     PLAN_WORKSPACES = 2500,
-    ROUTERS_OF_WORKSPACE = 4
+    ROUTERS_PER_WORKSPACE = 4
 };
 
 static wgf_share* plan_setup(int routers, int workspaces, wgf_router* handles) {
@@ -39,7 +39,7 @@
         wgf_report(s, 4 * (wg_time)WG_USEC_PER_SEC, handles[r], &(wgf_report_desc){.full = true});
     }
     for (int w = 0; w < workspaces; w++) {
-        for (int i = 0; i < ROUTERS_OF_WORKSPACE; i++) {
+        for (int i = 0; i < ROUTERS_PER_WORKSPACE; i++) {
             int r = (int)(wg_jitter((uint64_t)w, (uint64_t)i) % (uint64_t)routers);
             wgf_account account = {.service = 1 + (uint32_t)w % PLAN_SERVICES,
                                    .workspace = (uint32_t)w + 1,
@@ -83,7 +83,7 @@
             PLANS = 20
         };
         for (int p = 0; p < PLANS; p++) {
-            /* Demand moves a little between plans. */
+            /* Demand changes slightly between plans. */
             for (int r = 0; r < sizes[i]; r++) {
                 wgf_account account = {.service = 1,
                                        .workspace = (uint32_t)(r % 50) * 3 + 1,
@@ -150,7 +150,7 @@
     bench_fit("fit: plan, x = waiting workspaces", x, y, 3, "us");
 }
 
-/* ---- bytes of messages ----------------------------------------------------------------------- */
+/* ---- message sizes --------------------------------------------------------------------------- */
 
 static double report_bytes(int accounts) {
     Wgpb__Report report = WGPB__REPORT__INIT;
@@ -320,7 +320,7 @@
 
 /* ---- real fleets ----------------------------------------------------------------------------- */
 
-static bool all_hold(proc_fleet* fleet, int64_t version) {
+static bool all_routers_have(proc_fleet* fleet, int64_t version) {
     for (int i = 0; i < fleet->num; i++) {
         proc_process* p = &fleet->processes[i];
         if (p->name[0] == 'r' && proc_state(fleet, p, "table_version") < version) {
@@ -386,7 +386,7 @@
             proc_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL);
             gint64 begin = g_get_monotonic_time();
             int64_t version = proc_number(out, "version");
-            while (!all_hold(&fleet, version)) {
+            while (!all_routers_have(&fleet, version)) {
             }
             wg_hist_add(&in_force, g_get_monotonic_time() - begin);
             g_free(out);
@@ -401,9 +401,9 @@
     bench_fit("fit: a router's payload, x = routers", x, router_bytes, 3, "bytes/s");
 }
 
-/* ---- the exchange in replay ------------------------------------------------------------------ */
+/* ---- control traffic in replay --------------------------------------------------------------- */
 
-/* Each workspace through four routers, all of them backlogged or nearly so. */
+/* Each workspace sends through a few routers, all together more than the fleet's capacity. */
 static void exchange_slopes(void) {
     static const int sizes[] = {20, 60, 180};
     double x[3];
@@ -480,7 +480,7 @@
     bench_fit(line, x, y, num, "bytes");
 }
 
-/* First of all, while this process has touched nothing that a child could use again. */
+/* Runs first, so that a child process inherits no freed memory that it could reuse. */
 static void memory_slopes(void) {
     static const int routers[] = {40, 80, 160, 320};
     static const int workspaces[] = {1000, 5000, 25000};
--- a/tests/fakes/fake_asker.h
+++ b/tests/fakes/fake_asker.h
@@ -1,126 +1,126 @@
 #pragma once
 /*
-    fake_asker.h -- what a target stand-in asked of each host, and whether the host keeps to it
+    fake_asker.h -- checks that hosts obey the backoff hints and the draining notice of a target
 
-    Requests name the host that they were sent to in the field ASKER_FIELD. A host that was asked
-    for rest may send two requests from half a second after the answer until the rest is over; one
-    that was told that the target leaves may send none later than ASKER_LEAVES_US afterwards.
+    The header SENDER_HEADER names the host that forwarded a request. A host that got a backoff
+    hint may send SENDER_BACKOFF_REQUESTS_MAX requests from SENDER_IN_FLIGHT_US after the answer
+    until the backoff period ends. A host that was notified that the target is draining may send
+    none later than SENDER_DRAIN_US afterwards.
 */
 #include "fake.h"
 
-#define ASKER_FIELD "Asked-Host"
+#define SENDER_HEADER "Asked-Host"
 
 enum {
-    ASKERS_MAX = 64,       /* hosts */
-    ASKER_RESTS_MAX = 512, /* that one host was asked for and that are not over */
-    ASKER_ON_ITS_WAY_US = 500 * WG_USEC_PER_MSEC,
-    ASKER_MOST = 2, /* requests within a rest */
-    /* 2 s as of a drain, and what a request may have waited at its host. */
-    ASKER_LEAVES_US = 2200 * WG_USEC_PER_MSEC
+    SENDERS_MAX = 64,
+    SENDER_BACKOFFS_MAX = 512,                    /* current backoff periods per host */
+    SENDER_IN_FLIGHT_US = 500 * WG_USEC_PER_MSEC, /* grace for requests in flight */
+    SENDER_BACKOFF_REQUESTS_MAX = 2,              /* requests allowed in a backoff period */
+    /* 2 s for the notice to spread, and the time that a request may have waited at its host. */
+    SENDER_DRAIN_US = 2200 * WG_USEC_PER_MSEC
 };
 
-/* From half a second after the answer that asked for it. */
 typedef struct {
-    wg_time from;
+    wg_time from; /* the answer's time plus SENDER_IN_FLIGHT_US */
     wg_time until;
     int arrivals;
-} asker_rest;
+} sender_backoff;
 
 typedef struct {
     char name[32];
-    asker_rest rests[ASKER_RESTS_MAX];
-    int rests_num;
-    wg_time told_leaving_at; /* 0: not told */
-} asker;
+    sender_backoff backoffs[SENDER_BACKOFFS_MAX];
+    int backoffs_num;
+    wg_time drain_notified_at; /* 0: not notified */
+} sender;
 
-/* What an arrival breaks; the times tell which answer it broke. */
+/* The rules that a request violates. */
 typedef struct {
-    bool in_rest;
-    bool after_leaving;
-    wg_time since; /* the first moment from which on it was not allowed */
-} asker_broken;
+    bool in_backoff;
+    bool after_drain;
+    wg_time since; /* start of the backoff period, or time of the notice */
+} sender_violation;
 
-static asker askers[ASKERS_MAX];
-static int askers_num;
+static sender senders[SENDERS_MAX];
+static int senders_num;
 
-static asker* asker_find(const char* name) {
-    for (int i = 0; i < askers_num; i++) {
-        if (strcmp(askers[i].name, name) == 0) {
-            return &askers[i];
+static sender* sender_find(const char* name) {
+    for (int i = 0; i < senders_num; i++) {
+        if (strcmp(senders[i].name, name) == 0) {
+            return &senders[i];
         }
     }
-    WG_ASSERT(askers_num < ASKERS_MAX);
-    asker* a = &askers[askers_num++];
-    g_strlcpy(a->name, name, sizeof a->name);
-    return a;
+    WG_ASSERT(senders_num < SENDERS_MAX);
+    sender* s = &senders[senders_num++];
+    g_strlcpy(s->name, name, sizeof s->name);
+    return s;
 }
 
-static void asker_drop_over(asker* a, wg_time now) {
-    int kept = 0;
-    for (int i = 0; i < a->rests_num; i++) {
-        if (a->rests[i].until >= now) {
-            a->rests[kept++] = a->rests[i];
+static void sender_drop_expired(sender* s, wg_time now) {
+    int kept_num = 0;
+    for (int i = 0; i < s->backoffs_num; i++) {
+        if (s->backoffs[i].until >= now) {
+            s->backoffs[kept_num++] = s->backoffs[i];
         }
     }
-    a->rests_num = kept;
+    s->backoffs_num = kept_num;
 }
 
-static void asker_ask_for_rest(asker* a, wg_time now, wg_time rest) {
-    asker_drop_over(a, now);
-    if (a->rests_num < ASKER_RESTS_MAX && rest > ASKER_ON_ITS_WAY_US) {
-        a->rests[a->rests_num++] =
-            (asker_rest){.from = now + ASKER_ON_ITS_WAY_US, .until = now + rest};
+static void sender_begin_backoff(sender* s, wg_time now, wg_time backoff) {
+    sender_drop_expired(s, now);
+    if (s->backoffs_num < SENDER_BACKOFFS_MAX && backoff > SENDER_IN_FLIGHT_US) {
+        s->backoffs[s->backoffs_num++] =
+            (sender_backoff){.from = now + SENDER_IN_FLIGHT_US, .until = now + backoff};
     }
 }
 
-static void asker_tell_leaving(asker* a, wg_time now) {
-    a->told_leaving_at = a->told_leaving_at ? a->told_leaving_at : now;
+static void sender_notify_drain(sender* s, wg_time now) {
+    s->drain_notified_at = s->drain_notified_at ? s->drain_notified_at : now;
 }
 
-static asker_broken asker_note_arrival(asker* a, wg_time now) {
-    asker_broken broken = {0};
-    for (int i = 0; i < a->rests_num; i++) {
-        asker_rest* r = &a->rests[i];
+static sender_violation sender_record_request(sender* s, wg_time now) {
+    sender_violation violation = {0};
+    for (int i = 0; i < s->backoffs_num; i++) {
+        sender_backoff* r = &s->backoffs[i];
         r->arrivals += now >= r->from && now <= r->until;
-        if (r->arrivals == ASKER_MOST + 1) {
-            broken.in_rest = true;
-            broken.since = r->from;
+        if (r->arrivals == SENDER_BACKOFF_REQUESTS_MAX + 1) {
+            violation.in_backoff = true;
+            violation.since = r->from;
         }
     }
-    if (a->told_leaving_at && now - a->told_leaving_at > ASKER_LEAVES_US) {
-        broken.after_leaving = true;
-        broken.since = a->told_leaving_at;
+    if (s->drain_notified_at && now - s->drain_notified_at > SENDER_DRAIN_US) {
+        violation.after_drain = true;
+        violation.since = s->drain_notified_at;
     }
-    return broken;
+    return violation;
 }
 
-static asker* asker_of(struct evhttp_request* request) {
-    const char* name = evhttp_find_header(evhttp_request_get_input_headers(request), ASKER_FIELD);
-    return asker_find(name ? name : "");
+static sender* sender_of(struct evhttp_request* request) {
+    const char* name = evhttp_find_header(evhttp_request_get_input_headers(request), SENDER_HEADER);
+    return sender_find(name ? name : "");
 }
 
-/* A request has come: does its host keep to what it was asked for? Where the target leaves, the
-   answer says so. */
-static asker_broken asker_check(struct evhttp_request* request) {
+/* Checks a request against what its host was asked for; while the target is draining, adds the
+   notice to the answer. */
+static sender_violation sender_check(struct evhttp_request* request) {
     wg_time now = wg_now();
-    asker* a = asker_of(request);
-    asker_broken broken = asker_note_arrival(a, now);
+    sender* s = sender_of(request);
+    sender_violation violation = sender_record_request(s, now);
     if (fake.leaving) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Target-Leaving", "1");
-        asker_tell_leaving(a, now);
+        sender_notify_drain(s, now);
     }
-    return broken;
+    return violation;
 }
 
-/* Turn a request away as not run; a 503 asks for rest, as the faults say. */
-static void asker_refuse(struct evhttp_request* request, int status) {
+/* Refuses a request as not run; a 503 carries a backoff hint if fault rest_ms is set. */
+static void sender_refuse(struct evhttp_request* request, int status) {
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Target-Not-Run", "1");
     if (status == 503 && fake.rest_ms > 0) {
         char seconds[32];
         g_snprintf(seconds, sizeof seconds, "%.3f", (double)fake.rest_ms / 1000);
         evhttp_add_header(out, "Retry-After", seconds);
-        asker_ask_for_rest(asker_of(request), wg_now(), fake.rest_ms * WG_USEC_PER_MSEC);
+        sender_begin_backoff(sender_of(request), wg_now(), fake.rest_ms * WG_USEC_PER_MSEC);
     }
     wgh_reply_text(request, status, "text/plain", "not run\n");
 }
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -1,4 +1,5 @@
-/* test_call.c -- one request's life: verdicts, retries, claims, resumes, late events */
+/* test_call.c -- state machine of one request: verdicts, retries, claims, resumed streams, events
+   of abandoned attempts */
 #include "wg_call.h"
 #include "wg_test.h"
 
@@ -35,7 +36,7 @@
 }
 END_TEST
 
-/* The code says what became of it: nothing ran anywhere, or a target may have run it. */
+/* The error code tells a request that ran nowhere from one that a target may have run. */
 START_TEST(a_call_that_no_target_takes_in_time_ends_at_once) {
     begin(true, false, false);
     wgc_action end = step(WGC_EVENT_NO_TARGET);
@@ -119,10 +120,10 @@
     step(WGC_EVENT_WAITED);
     step(WGC_EVENT_SLOT);
     ck_assert_int_eq(call.attempt, 2);
-    wgc_event late = {.type = WGC_EVENT_COMPLETE, .attempt = 1};
-    ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
-    late.type = WGC_EVENT_HEAD;
-    ck_assert_int_eq(wgc_step(&call, SECOND, &late).type, WGC_ACTION_DEFAULT);
+    wgc_event stale = {.type = WGC_EVENT_COMPLETE, .attempt = 1};
+    ck_assert_int_eq(wgc_step(&call, SECOND, &stale).type, WGC_ACTION_DEFAULT);
+    stale.type = WGC_EVENT_HEAD;
+    ck_assert_int_eq(wgc_step(&call, SECOND, &stale).type, WGC_ACTION_DEFAULT);
     ck_assert_int_eq(step(WGC_EVENT_COMPLETE).type, WGC_ACTION_FINISH);
     ck_assert_int_eq(step(WGC_EVENT_FAILED).type, WGC_ACTION_DEFAULT);
 }
@@ -139,14 +140,14 @@
     step(WGC_EVENT_WAITED);
     wgc_action send = step(WGC_EVENT_SLOT);
     ck_assert_int_eq(send.resume_from, 17);
-    /* Without the service's leave it is cut, and said to be. */
+    /* A broken stream that may not be resumed is aborted with verdict may-have-run. */
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
     step(WGC_EVENT_HEAD);
-    wgc_action cut = step(WGC_EVENT_FAILED);
-    ck_assert_int_eq(cut.type, WGC_ACTION_ABORT);
-    ck_assert_int_eq(cut.verdict, WG_VERDICT_MAY_HAVE_RUN);
+    wgc_action aborted = step(WGC_EVENT_FAILED);
+    ck_assert_int_eq(aborted.type, WGC_ACTION_ABORT);
+    ck_assert_int_eq(aborted.verdict, WG_VERDICT_MAY_HAVE_RUN);
 }
 END_TEST
 
@@ -173,7 +174,7 @@
     step(WGC_EVENT_SLOT);
     wgc_action refused = step(WGC_EVENT_CLAIM_REFUSED);
     ck_assert_int_eq(refused.verdict, WG_VERDICT_NOT_RUN);
-    /* It may have been accepted without our knowing. */
+    /* The claim may have been recorded although its answer was lost, so it is ended. */
     ck_assert(refused.end_claim);
     ck_assert_int_eq(step(WGC_EVENT_CLAIMED).type, WGC_ACTION_DEFAULT);
 }
@@ -189,14 +190,15 @@
 }
 END_TEST
 
-/* Any order of events: what may not be repeated is sent once after a byte left, verdicts hold. */
+/* Whatever the order of events, an unrepeatable request is not sent again after a byte of it was
+   sent, and is then not reported as not run. */
 START_TEST(random_orders_keep_the_promises) {
     for (uint64_t run = 0; run < 20000; run++) {
         bool repeatable = run % 3 == 0;
         begin(repeatable, run % 2 == 0, run % 5 == 0);
         int sends_after_byte = 0;
-        bool byte = false;
-        bool said = false;
+        bool byte_sent = false;
+        bool reported_not_run = false;
         for (uint64_t i = 0; i < 30 && call.state != WGC_STATE_DONE; i++) {
             wgc_event_type type = (wgc_event_type)(wg_jitter(run, i) % (WGC_EVENT_NUM - 1) + 1);
             bool slot_due = call.state == WGC_STATE_QUEUED;
@@ -206,20 +208,20 @@
             wgc_event event = {.type = type, .attempt = call.attempt, .tokens = call.tokens + 1};
             bool running = call.state == WGC_STATE_RUNNING;
             if (type == WGC_EVENT_HEAD && !call.written) {
-                continue; /* an answer comes after a request */
+                continue; /* no answer before a byte of the request was sent */
             }
             if (type == WGC_EVENT_NOT_RUN_REPORTED && call.head_relayed) {
                 continue;
             }
-            byte = byte || (running && type == WGC_EVENT_WRITTEN);
-            said = running && type == WGC_EVENT_NOT_RUN_REPORTED;
+            byte_sent = byte_sent || (running && type == WGC_EVENT_WRITTEN);
+            reported_not_run = running && type == WGC_EVENT_NOT_RUN_REPORTED;
             wgc_action action = wgc_step(&call, SECOND, &event);
-            if (said) {
-                byte = false;
+            if (reported_not_run) {
+                byte_sent = false;
             }
-            sends_after_byte += action.type == WGC_ACTION_SEND && byte;
+            sends_after_byte += action.type == WGC_ACTION_SEND && byte_sent;
             if (action.type == WGC_ACTION_ANSWER && action.verdict == WG_VERDICT_NOT_RUN) {
-                ck_assert(!byte || repeatable);
+                ck_assert(!byte_sent || repeatable);
             }
         }
         ck_assert(repeatable || sends_after_byte == 0);
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -1,10 +1,10 @@
-/* test_fleet_control.c -- real processes: controls, table, leases, membership under failure */
+/* test_fleet_control.c -- real processes: controls, table, leases and membership under failure */
 #include <sys/resource.h>
 #include <sys/wait.h>
 
 #include "fleet_common.h"
 
-static bool proof_was_refused(void* user_data) {
+static bool proof_is_rejected(void* user_data) {
     (void)user_data;
     return proc_state(&fleet, proc_find(&fleet, "c1"), "links.proofs_bad") >= 1;
 }
@@ -18,7 +18,7 @@
     ck_assert(g_file_set_contents(path, "another-key-altogether\n", -1, NULL));
     g_free(path);
     proc_start(&fleet, router);
-    ck_assert(proc_until(proof_was_refused, NULL, 20));
+    ck_assert(proc_until(proof_is_rejected, NULL, 20));
     proc_sleep(1500);
     proc_answer answer = proc_ask(router->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     ck_assert_int_eq(answer.status, 503);
@@ -28,7 +28,8 @@
 }
 END_TEST
 
-/* Kill the leader again and again while operators edit: what was accepted stays, in order. */
+/* Accepted edits survive repeated kills and stalls of the leader, and no router's table version
+   decreases. */
 static struct {
     int64_t accepted;
     int64_t versions[8];
@@ -74,7 +75,7 @@
             char name[8];
             g_snprintf(name, sizeof name, "r%d", i);
             int64_t at = proc_state(&fleet, proc_find(&fleet, name), "table_version");
-            ck_assert_int_ge(at, edits.versions[i]); /* never back */
+            ck_assert_int_ge(at, edits.versions[i]);
             edits.versions[i] = at;
         }
     }
@@ -82,7 +83,7 @@
 }
 END_TEST
 
-static bool router_takes_work(void* user_data) {
+static bool router_is_ready(void* user_data) {
     proc_process* router = user_data;
     proc_answer answer = proc_ask(router->operators, "GET", "/readyz", NULL, NULL, NULL);
     bool ready = answer.status == 200;
@@ -94,44 +95,44 @@
     (void)user_data;
     char* out = NULL;
     proc_ctl(&fleet, &out, "status", NULL);
-    int whole = 0;
+    int complete = 0;
     for (const char* at = out; at && (at = strstr(at, "replicas=3")); at++) {
-        whole++;
+        complete++;
     }
     g_free(out);
-    return whole == 3;
+    return complete == 3;
 }
 
 START_TEST(lost_disk_is_replaced_by_one_command) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
-    proc_process* lost = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
+    proc_process* wiped = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     proc_process* third = NULL;
     for (int i = 0; i < 3; i++) {
-        if (&fleet.processes[i] != leader && &fleet.processes[i] != lost) {
+        if (&fleet.processes[i] != leader && &fleet.processes[i] != wiped) {
             third = &fleet.processes[i];
         }
     }
-    proc_kill(lost);
-    proc_wipe(&fleet, lost);
+    proc_kill(wiped);
+    proc_wipe(&fleet, wiped);
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "weight=7", NULL),
                      0);
-    proc_start(&fleet, lost);
-    /* Its empty folder does not count: without the third there is no majority. */
+    proc_start(&fleet, wiped);
+    /* A replica with an empty data folder has no vote: without the third there is no majority. */
     proc_kill(third);
     proc_sleep(2500);
     ck_assert_int_eq(proc_state(&fleet, leader, "leads"), 0);
-    ck_assert_int_eq(proc_state(&fleet, lost, "leads"), 0);
+    ck_assert_int_eq(proc_state(&fleet, wiped, "leads"), 0);
     proc_start(&fleet, third);
     proc_leader(&fleet);
-    bool begun = false;
-    for (int i = 0; i < 100 && !begun; i++) {
-        begun = proc_ctl(&fleet, NULL, "replica", "replace", lost->name, NULL) == 0;
+    bool replace_accepted = false;
+    for (int i = 0; i < 100 && !replace_accepted; i++) {
+        replace_accepted = proc_ctl(&fleet, NULL, "replica", "replace", wiped->name, NULL) == 0;
         proc_sleep(50);
     }
-    ck_assert(begun);
+    ck_assert(replace_accepted);
     ck_assert(proc_until(three_voters, NULL, 30));
-    /* A second failure right after the repair. */
+    /* The repaired replica set survives another failure. */
     proc_kill(third);
     char* out = NULL;
     ck_assert_int_eq(proc_ctl(&fleet, &out, "table", "get", "workspaces", NULL), 0);
@@ -143,20 +144,20 @@
 
 START_TEST(folder_of_another_cluster_is_refused) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
-    proc_process* one =
+    proc_process* reinitialised =
         proc_leader(&fleet) == &fleet.processes[0] ? &fleet.processes[1] : &fleet.processes[0];
-    proc_kill(one);
-    proc_wipe(&fleet, one);
-    /* An operator who begins a new cluster by mistake must not bring the old one down. */
+    proc_kill(reinitialised);
+    proc_wipe(&fleet, reinitialised);
+    /* A new cluster initialised by mistake must not disturb the existing one. */
     char* command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings %s --init",
-                                    fleet.folder, fleet.bin, one->settings);
+                                    fleet.folder, fleet.bin, reinitialised->settings);
     ck_assert_int_eq(system(command), 0);
     g_free(command);
-    proc_start(&fleet, one);
+    proc_start(&fleet, reinitialised);
     proc_sleep(1500);
     proc_process* leader = proc_leader(&fleet);
     for (int i = 0; i < 3; i++) {
-        if (&fleet.processes[i] != one) {
+        if (&fleet.processes[i] != reinitialised) {
             ck_assert_int_ge(proc_state(&fleet, &fleet.processes[i], "table.workspaces"), 3);
         }
     }
@@ -185,7 +186,7 @@
 }
 END_TEST
 
-static bool refuses_for_its_lease(void* user_data) {
+static bool refuses_without_lease(void* user_data) {
     proc_answer answer = proc_ask(user_data, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     bool refuses = answer.status == 503 && strstr(answer.body, "table_not_in_force");
     proc_answer_clear(&answer);
@@ -197,7 +198,7 @@
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGSTOP);
     }
-    ck_assert(proc_until(refuses_for_its_lease, proc_find(&fleet, "r1")->address, 20));
+    ck_assert(proc_until(refuses_without_lease, proc_find(&fleet, "r1")->address, 20));
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGCONT);
     }
@@ -212,7 +213,7 @@
 }
 END_TEST
 
-/* Lookups that come to the service while callers send through the fleet for a second. */
+/* Returns how many lookups reach the service while callers send requests for 1 s. */
 static int64_t lookups_at(const char* service) {
     int64_t before = proc_journal(proc_find(&fleet, service), "lookups");
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, SECOND);
@@ -243,50 +244,50 @@
     command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings c1.ini 2>why.txt",
                               fleet.folder, fleet.bin);
     status = system(command);
-    ck_assert_int_eq(WEXITSTATUS(status), 2); /* its folder is in use */
+    ck_assert_int_eq(WEXITSTATUS(status), 2); /* its data folder is in use */
     char* path = g_build_filename(fleet.folder, "why.txt", NULL);
-    char* why = NULL;
-    g_file_get_contents(path, &why, NULL, NULL);
-    ck_assert_ptr_nonnull(strstr(why, "another process uses"));
-    g_free(why);
+    char* errors = NULL;
+    g_file_get_contents(path, &errors, NULL, NULL);
+    ck_assert_ptr_nonnull(strstr(errors, "another process uses"));
+    g_free(errors);
     g_free(path);
     g_free(command);
     proc_fleet_stop(&fleet);
 }
 END_TEST
 
-/* It has not what the leader has: it stands aside, or tries again and fails. */
-static bool is_behind(void* user_data) {
+/* Whether the committed log of a control is shorter than the leader's. */
+static bool log_is_behind(void* user_data) {
     int64_t commit = proc_state(&fleet, proc_leader(&fleet), "log.commit");
     return proc_state(&fleet, user_data, "log.commit") < commit;
 }
 
-static void limit_files(const proc_process* control, rlim_t bytes) {
+static void limit_file_size(const proc_process* control, rlim_t bytes) {
     struct rlimit limit;
     ck_assert_int_eq(prlimit(control->pid, RLIMIT_FSIZE, NULL, &limit), 0);
     limit.rlim_cur = MIN(bytes, limit.rlim_max);
     ck_assert_int_eq(prlimit(control->pid, RLIMIT_FSIZE, &limit, NULL), 0);
 }
 
-/* A control whose disk is full stands aside, the others go on, and it takes part again when there
-   is room, in the same process. */
+/* A control whose disk is full stops replicating while the others continue, and rejoins without a
+   restart when there is space again. */
 START_TEST(full_disk_stops_a_control_and_no_more) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
     proc_process* full = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     pid_t pid = full->pid;
-    limit_files(full, 4096); /* a file of more cannot be written */
+    limit_file_size(full, 4096); /* no file can grow beyond this size */
     for (int i = 0; i < 60; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "more%d", i);
         ck_assert_int_eq(
             proc_ctl(&fleet, NULL, "table", "set", "workspaces", name, "weight=5", NULL), 0);
     }
-    ck_assert(proc_until(is_behind, full, 30));
+    ck_assert(proc_until(log_is_behind, full, 30));
     proc_sleep(1000);
-    ck_assert(is_behind(full));                       /* for good, while there is no room */
-    ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends nothing */
-    limit_files(full, RLIM_INFINITY);
+    ck_assert(log_is_behind(full));                   /* as long as the disk is full */
+    ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends no process */
+    limit_file_size(full, RLIM_INFINITY);
     ck_assert(proc_until(three_voters, NULL, 30));
     ck_assert_int_eq(full->pid, pid);
     ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0);
@@ -314,13 +315,13 @@
     ck_assert_int_eq(ask_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
     ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     ck_assert_int_eq(proc_state(&fleet, router, "link.row_queries"), queries);
-    /* A router that starts afresh holds only what it was asked for. */
+    /* A restarted router holds only the rows that requests needed since. */
     proc_kill(router);
     proc_start(&fleet, router);
-    ck_assert(proc_until(router_takes_work, router, 20));
+    ck_assert(proc_until(router_is_ready, router, 20));
     ck_assert_int_eq(ask_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
     ck_assert_int_le(proc_state(&fleet, router, "table.workspaces"), 2);
-    /* A key that was unknown is found as soon as an operator gave it. */
+    /* An unknown key is accepted once an operator has added it. */
     ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     uint8_t hash[WG_KEY_HASH_SIZE];
     char keys[80] = "keys=";
@@ -363,7 +364,7 @@
     ck_assert_int_eq(lookups_at("service2"), 0);
     set_hosts(4, "live"); /* an older list */
     ck_assert_int_eq(lookups_at("service2"), 0);
-    set_hosts(6, "live"); /* the same version cannot take it back */
+    set_hosts(6, "live"); /* a list of the same version changes nothing */
     ck_assert_int_eq(lookups_at("service2"), 0);
     set_hosts(7, "live");
     ck_assert_int_gt(lookups_at("service2"), 0);
