--- a/lib/config/wg_config.c
+++ b/lib/config/wg_config.c
@@ -52,7 +52,7 @@
         return wg_config_fail(error, "service", name, "has no name");
     }
     service->name = g_strdup(name);
-    service->tightest = WG_TIME_NEVER;
+    service->tightest_objective = WG_TIME_NEVER;
     service->connections = (int)wg_json_number(json, "connections", WG_CONNECTIONS_DEFAULT);
     if (!wg_parse_cold_start(json, service, error)) {
         return false;
@@ -106,7 +106,8 @@
     route->weight_sum += (int)weight;
     if (weight > 0) {
         wg_service* split_service = &c->services[index];
-        split_service->tightest = MIN(split_service->tightest, route->objective);
+        split_service->tightest_objective =
+            MIN(split_service->tightest_objective, route->objective);
     }
     return true;
 }
@@ -387,7 +388,7 @@
     return -1;
 }
 
-wg_time wg_config_cold_time(const wg_config* c) {
+wg_time wg_config_cold_time_max(const wg_config* c) {
     wg_time max_cold_time = 0;
     for (int i = 0; i < c->services_num; i++) {
         max_cold_time = MAX(max_cold_time, c->services[i].cold_time);
--- a/lib/config/wg_config.h
+++ b/lib/config/wg_config.h
@@ -38,16 +38,16 @@
 
 typedef struct {
     char* name;
-    int connections;       /* maximum connections to one target, from all callers */
-    bool engine;           /* the targets are model engines */
-    int slots;             /* requests that an engine runs concurrently */
-    int64_t memory_tokens; /* tokens that fit into the cache of an engine */
-    bool copies;           /* engines can copy cached prompt parts from each other */
-    wg_time tightest;      /* shortest objective of its routes; WG_TIME_NEVER without routes */
-    int event_tokens;      /* tokens in one event of a stream */
-    int event_calls;       /* concurrent waiting calls for cache events per engine */
-    wg_time cold_time;     /* time after a target starts during which it is cold; 0: never */
-    double cold_rate;      /* maximum requests per second to a cold target; 0: no limit */
+    int connections;            /* maximum connections to one target, from all callers */
+    bool engine;                /* the targets are model engines */
+    int slots;                  /* requests that an engine runs concurrently */
+    int64_t memory_tokens;      /* tokens that fit into the cache of an engine */
+    bool copies;                /* engines can copy cached prompt parts from each other */
+    wg_time tightest_objective; /* shortest objective of its routes; WG_TIME_NEVER without routes */
+    int event_tokens;           /* tokens in one event of a stream */
+    int event_calls;            /* concurrent waiting calls for cache events per engine */
+    wg_time cold_time;          /* time after a target starts during which it is cold; 0: never */
+    double cold_rate;           /* maximum requests per second to a cold target; 0: no limit */
 } wg_service;
 
 typedef struct {
@@ -113,7 +113,7 @@
 /* Find the index of a service by its name, or -1. */
 int wg_config_service(const wg_config* config, const char* name);
 /* Maximum cold time of all services. */
-wg_time wg_config_cold_time(const wg_config* config);
+wg_time wg_config_cold_time_max(const wg_config* config);
 /* Select the service of a request, by the weights of the route and a random number. */
 int wg_route_pick(const wg_route* route, uint64_t random);
 /* Whether a request on the route may be sent again although it may have run. */
--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -137,7 +137,7 @@
     if (peer->cluster == 0 || own == peer->cluster) {
         return true;
     }
-    if (own != 0 && !wgs_is_blank(c->store)) {
+    if (own != 0 && !wgs_is_empty(c->store)) {
         return false; /* only a blank store may change its cluster */
     }
     GError* error = NULL;
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -76,8 +76,8 @@
     uint64_t cluster = wg_hash(&content->cluster, sizeof content->cluster, term) | 1;
     wgr_entry entry = {.index = stats.last_index + 1, .term = term, .kind = WGR_ENTRY_REPLICAS};
     entry.data = wgr_set_pack(&set);
-    bool good =
-        wgs_leave_cluster(c->store, cluster, term, error) && wgs_append(c->store, &entry, 1, error);
+    bool good = wgs_switch_cluster(c->store, cluster, term, error) &&
+                wgs_append(c->store, &entry, 1, error);
     g_bytes_unref(entry.data);
     return good;
 }
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -74,7 +74,7 @@
     const wgs_content* content = wgs_query_content(c->store);
     wg_log(WG_EVENT_STORE_OPENED, "identity=%016" G_GINT64_MODIFIER "x entries=%d fresh=%d",
            content->identity, content->restored.entries_num, content->fresh);
-    if (content->tail_cut) {
+    if (content->tail_truncated) {
         wg_log(WG_EVENT_STORE_TAIL_CUT, "%s", "");
     }
     c->registry = wg_registry_setup(&(wg_registry_desc){0});
@@ -97,7 +97,7 @@
                                     .losses = (int)CLAMP(s->losses, 1, _WGCO_LOSSES_MAX),
                                     .log_keep = (int)s->log_keep},
                         error);
-    wgs_forget_content(c->store);
+    wgs_release_content(c->store);
     return c->node != NULL;
 }
 
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -68,17 +68,18 @@
     const wg_entry* e = call->entry;
     bool counts = wg_call_is_charged(call);
     wg_time objective = call->route->objective;
-    return (wg_policy_terms){.counts = counts,
-                             .used = counts ? wg_call_usage(call) : 0,
-                             .levels = wg_usage_levels(e->usage),
-                             .margin = &e->margin,
-                             .has_prompt = call->has_prompt,
-                             .sent_before = call->attempts > 0,
-                             .relaxed = call->relaxed,
-                             .started = call->started,
-                             .objective = objective,
-                             .tightest =
-                                 MIN(call->config->services[call->service].tightest, objective)};
+    return (wg_policy_terms){
+        .counts = counts,
+        .used = counts ? wg_call_usage(call) : 0,
+        .levels = wg_usage_levels(e->usage),
+        .margin = &e->margin,
+        .has_prompt = call->has_prompt,
+        .sent_before = call->attempts > 0,
+        .relaxed = call->relaxed,
+        .started = call->started,
+        .objective = objective,
+        .tightest_objective =
+            MIN(call->config->services[call->service].tightest_objective, objective)};
 }
 
 /* ---- helpers: attempts ----------------------------------------------------------------------- */
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -279,7 +279,7 @@
     Wgpb__Evacuation evacuation = WGPB__EVACUATION__INIT;
     evacuation.data_centre = name;
     evacuation.begins = begins;
-    evacuation.cold_us = (uint64_t)(e->config ? wg_config_cold_time(e->config) : 0);
+    evacuation.cold_us = (uint64_t)(e->config ? wg_config_cold_time_max(e->config) : 0);
     Wgpb__Order order = WGPB__ORDER__INIT;
     order.evacuation = &evacuation;
     wg_entry_order_begin(e, request, &order);
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -51,7 +51,7 @@
     double confidence = wg_fair_confidence(t->margin);
     double limit = _WG_POLICY_LIMIT * (_WG_POLICY_NO_CONFIDENCE_FACTOR +
                                        (1 - _WG_POLICY_NO_CONFIDENCE_FACTOR) * confidence);
-    return (wg_time)(limit * (double)MIN(left, t->tightest));
+    return (wg_time)(limit * (double)MIN(left, t->tightest_objective));
 }
 
 wg_time wg_policy_plain_limit(const wg_policy_terms* t, wg_time now) {
@@ -64,7 +64,7 @@
     double total = (double)wg_policy_limit(t, now);
     double tolerance = _wg_policy_tolerance(t);
     double factor = t->relaxed ? _WG_POLICY_RELAXED_FACTOR : 1;
-    double large = _WG_POLICY_LARGE_LIMIT * (double)t->tightest;
+    double large = _WG_POLICY_LARGE_LIMIT * (double)t->tightest_objective;
     bool behind = t->counts && wg_fair_is_behind(t->used, t->levels);
     return (wg_admit_limits){.total = (wg_time)(factor * total),
                              .ahead = (wg_time)(factor * tolerance * total),
--- a/lib/policy/wg_policy.h
+++ b/lib/policy/wg_policy.h
@@ -34,8 +34,8 @@
     /* no target would answer in time, and the request is sent late rather than refused */
     bool relaxed;
     wg_time started;
-    wg_time objective; /* objective of the request's route for the first event */
-    wg_time tightest;  /* the tightest objective of any route of the service */
+    wg_time objective;          /* objective of the request's route for the first event */
+    wg_time tightest_objective; /* the tightest objective of any route of the service */
 } wg_policy_terms;
 
 /* Longest time that a request may be queued on this host before it is refused. */
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -125,7 +125,7 @@
         for (int kind = WGT_KIND_WORKSPACE; kind < WGT_KIND_NUM; kind++) {
             int at = -1;
             for (const wgt_row* row; (row = wgt_next(r->table, (wgt_kind)kind, &at));) {
-                wgt_forget(r->table, (wgt_kind)kind, row->name);
+                wgt_remove(r->table, (wgt_kind)kind, row->name);
             }
         }
     }
--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -306,7 +306,7 @@
                 good = _wgs_corrupt(error, name, "a synced record is truncated or corrupt");
                 break;
             }
-            s->content.tail_cut = true;
+            s->content.tail_truncated = true;
             if (_wgs_truncate_file(segment->fd, (off_t)at) != 0 ||
                 _wgs_sync_data(segment->fd) != 0) {
                 good = _wgs_fail(error, "cannot truncate the torn tail of", name);
@@ -474,7 +474,7 @@
 }
 
 void wgs_close(wgs_store* s) {
-    wgs_forget_content(s);
+    wgs_release_content(s);
     g_ptr_array_unref(s->segments);
     g_array_unref(s->entries);
     if (s->synced_fd >= 0) {
@@ -493,7 +493,7 @@
     return &s->content;
 }
 
-void wgs_forget_content(wgs_store* s) {
+void wgs_release_content(wgs_store* s) {
     g_array_set_size(s->entries, 0);
     if (s->content.restored.snapshot) {
         g_bytes_unref(s->content.restored.snapshot);
@@ -512,12 +512,12 @@
 }
 
 bool wgs_save_cluster(wgs_store* s, uint64_t cluster, GError** error) {
-    WG_ASSERT(s->content.cluster == 0 || s->content.cluster == cluster || wgs_is_blank(s));
+    WG_ASSERT(s->content.cluster == 0 || s->content.cluster == cluster || wgs_is_empty(s));
     s->content.cluster = cluster;
     return _wgs_write_state(s, error);
 }
 
-bool wgs_leave_cluster(wgs_store* s, uint64_t cluster, uint64_t term, GError** error) {
+bool wgs_switch_cluster(wgs_store* s, uint64_t cluster, uint64_t term, GError** error) {
     WG_ASSERT(term > s->term);
     s->content.cluster = cluster;
     s->term = term;
@@ -525,7 +525,7 @@
     return _wgs_write_state(s, error);
 }
 
-bool wgs_is_blank(const wgs_store* s) {
+bool wgs_is_empty(const wgs_store* s) {
     return s->snapshot_index == 0 && s->segments->len == 0;
 }
 
--- a/lib/store/wg_store.h
+++ b/lib/store/wg_store.h
@@ -26,7 +26,7 @@
         4. wgs_close(s);
 
     THE CALLER OWNS
-        entries and bytes passed in. The content belongs to the store until wgs_forget_content().
+        entries and bytes passed in. The content belongs to the store until wgs_release_content().
 */
 #include "wg_quorum.h"
 
@@ -46,8 +46,8 @@
 typedef struct {
     uint64_t identity;
     uint64_t cluster;
-    bool fresh;    /* the folder was empty */
-    bool tail_cut; /* a torn record at the end of the log was removed */
+    bool fresh;          /* the folder was empty */
+    bool tail_truncated; /* a torn record at the end of the log was removed */
     wgr_restored restored;
 } wgs_content;
 
@@ -67,7 +67,7 @@
 void wgs_close(wgs_store* store);
 const wgs_content* wgs_query_content(const wgs_store* store);
 /* Release the entries and the snapshot that wgs_open() read. */
-void wgs_forget_content(wgs_store* store);
+void wgs_release_content(wgs_store* store);
 
 /* Save term and vote. The term must not decrease, and within one term a vote must not change. */
 bool wgs_save_hard_state(wgs_store* store, uint64_t term, uint64_t voted_for, GError** error);
@@ -76,9 +76,9 @@
 bool wgs_save_cluster(wgs_store* store, uint64_t cluster, GError** error);
 /* Switch to another cluster, keeping log and snapshot. `term` must exceed the current term; the
    vote is cleared. */
-bool wgs_leave_cluster(wgs_store* store, uint64_t cluster, uint64_t term, GError** error);
+bool wgs_switch_cluster(wgs_store* store, uint64_t cluster, uint64_t term, GError** error);
 /* Whether the store has neither a log nor a snapshot. */
-bool wgs_is_blank(const wgs_store* store);
+bool wgs_is_empty(const wgs_store* store);
 /* Append entries and sync them. Their indexes must continue the log. */
 bool wgs_append(wgs_store* store, const wgr_entry* entries, int num, GError** error);
 /* Remove the entries at index `from` and later. */
--- a/lib/table/wg_table.c
+++ b/lib/table/wg_table.c
@@ -434,7 +434,7 @@
     return stored;
 }
 
-void wgt_forget(wgt_table* t, wgt_kind kind, const char* name) {
+void wgt_remove(wgt_table* t, wgt_kind kind, const char* name) {
     int slot = _wgt_find_slot(t, kind, name);
     if (slot >= 0) {
         _wgt_remove_slot(t, slot);
--- a/lib/table/wg_table.h
+++ b/lib/table/wg_table.h
@@ -185,7 +185,7 @@
    when the table is full. */
 bool wgt_put(wgt_table* table, const wgt_row* row);
 /* Remove a row from a copy without retaining it as a deleted row. */
-void wgt_forget(wgt_table* table, wgt_kind kind, const char* name);
+void wgt_remove(wgt_table* table, wgt_kind kind, const char* name);
 /* Record that a copy has all changes up to this version, which must not decrease. */
 void wgt_set_version(wgt_table* table, uint64_t version);
 
--- a/tests/fakes/fake_asker.h
+++ b/tests/fakes/fake_sender.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-    fake_asker.h -- checks that hosts obey the backoff hints and the draining notice of a target
+    fake_sender.h -- checks that hosts obey the backoff hints and the draining notice of a target
 
     The header SENDER_HEADER names the host that forwarded a request. A host that got a backoff
     hint may send SENDER_BACKOFF_REQUESTS_MAX requests from SENDER_IN_FLIGHT_US after the answer
--- a/tests/fakes/fake_service.c
+++ b/tests/fakes/fake_service.c
@@ -1,6 +1,6 @@
 /* fake_service.c -- stand-in for a plain service: repeatable lookups, and actions (POST) that it
    counts by the id of the request; also serves the platform's host list */
-#include "fake_asker.h"
+#include "fake_sender.h"
 
 typedef struct {
     struct evhttp_request* request;
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -16,7 +16,7 @@
 #include <fcntl.h>
 #include <unistd.h>
 
-#include "fake_asker.h"
+#include "fake_sender.h"
 
 #define CRASH_BODY "ends the target"
 
--- a/tests/test_call.c
+++ b/tests/test_call.c
@@ -21,7 +21,7 @@
     return wgc_step(&call, SECOND, &(wgc_event){.type = type, .attempt = call.attempt});
 }
 
-START_TEST(refused_connection_is_not_run_and_tried_again) {
+START_TEST(refused_connection_is_not_run_and_retried) {
     begin(false, true, false);
     ck_assert_int_eq(step(WGC_EVENT_SLOT).type, WGC_ACTION_CLAIM);
     ck_assert_int_eq(step(WGC_EVENT_CLAIMED).type, WGC_ACTION_SEND);
@@ -37,7 +37,7 @@
 END_TEST
 
 /* The error code tells a request that ran nowhere from one that a target may have run. */
-START_TEST(a_call_that_no_target_takes_in_time_ends_at_once) {
+START_TEST(call_without_a_target_in_time_ends_at_once) {
     begin(true, false, false);
     wgc_action end = step(WGC_EVENT_NO_TARGET);
     ck_assert_int_eq(end.type, WGC_ACTION_ANSWER);
@@ -62,7 +62,7 @@
 }
 END_TEST
 
-START_TEST(a_byte_ends_retries_of_what_may_not_be_repeated) {
+START_TEST(sent_byte_ends_retries_of_an_unrepeatable_request) {
     begin(false, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
@@ -72,7 +72,7 @@
 }
 END_TEST
 
-START_TEST(target_may_say_that_it_did_not_run) {
+START_TEST(target_may_report_not_run) {
     begin(false, true, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_CLAIMED);
@@ -112,7 +112,7 @@
 }
 END_TEST
 
-START_TEST(events_of_an_attempt_given_up_do_nothing) {
+START_TEST(events_of_an_abandoned_attempt_are_ignored) {
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
@@ -151,7 +151,7 @@
 }
 END_TEST
 
-START_TEST(given_up_in_the_queue_is_not_run) {
+START_TEST(deadline_in_the_queue_is_not_run) {
     begin(false, true, false);
     wgc_action end = step(WGC_EVENT_DEADLINE);
     ck_assert_int_eq(end.type, WGC_ACTION_ANSWER);
@@ -180,7 +180,7 @@
 }
 END_TEST
 
-START_TEST(caller_who_leaves_cancels) {
+START_TEST(caller_disconnect_cancels_the_attempt) {
     begin(true, false, false);
     step(WGC_EVENT_SLOT);
     step(WGC_EVENT_WRITTEN);
@@ -192,7 +192,7 @@
 
 /* Whatever the order of events, an unrepeatable request is not sent again after a byte of it was
    sent, and is then not reported as not run. */
-START_TEST(random_orders_keep_the_promises) {
+START_TEST(random_event_orders_keep_verdicts_true) {
     for (uint64_t run = 0; run < 20000; run++) {
         bool repeatable = run % 3 == 0;
         begin(repeatable, run % 2 == 0, run % 5 == 0);
@@ -229,9 +229,10 @@
 }
 END_TEST
 
-WG_TEST_MAIN("call", refused_connection_is_not_run_and_tried_again,
-             a_call_that_no_target_takes_in_time_ends_at_once,
-             a_byte_ends_retries_of_what_may_not_be_repeated, target_may_say_that_it_did_not_run,
-             budget_bounds_retries, events_of_an_attempt_given_up_do_nothing,
-             broken_stream_resumes_after_its_last_token, given_up_in_the_queue_is_not_run,
-             claims_decide_who_runs, caller_who_leaves_cancels, random_orders_keep_the_promises)
+WG_TEST_MAIN("call", refused_connection_is_not_run_and_retried,
+             call_without_a_target_in_time_ends_at_once,
+             sent_byte_ends_retries_of_an_unrepeatable_request, target_may_report_not_run,
+             budget_bounds_retries, events_of_an_abandoned_attempt_are_ignored,
+             broken_stream_resumes_after_its_last_token, deadline_in_the_queue_is_not_run,
+             claims_decide_who_runs, caller_disconnect_cancels_the_attempt,
+             random_event_orders_keep_verdicts_true)
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -46,12 +46,12 @@
     ck_assert_int_eq(c->limits.head_bytes, 99);
     ck_assert_int_eq(c->limits.idle_time, 15 * SECOND);
     ck_assert_int_eq(c->services[0].slots, 64);
-    ck_assert_int_eq(c->services[0].tightest, 600 * MSEC);
+    ck_assert_int_eq(c->services[0].tightest_objective, 600 * MSEC);
     ck_assert(c->services[0].engine && !c->services[1].engine);
     ck_assert_int_eq(c->services[0].cold_time, 3500 * MSEC);
     ck_assert_double_eq(c->services[0].cold_rate, 9.8);
     ck_assert_double_eq(c->services[1].cold_rate, 0);
-    ck_assert_int_eq(wg_config_cold_time(c), 3500 * MSEC);
+    ck_assert_int_eq(wg_config_cold_time_max(c), 3500 * MSEC);
     const wg_route* r = wg_config_route(c, text_of("A.EXAMPLE:8080"), text_of("/x/y/z?q=/"));
     ck_assert_str_eq(r->name, "long");
     ck_assert(wg_route_is_repeatable(r));
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -9,7 +9,7 @@
     return proc_state(&fleet, proc_find(&fleet, "c1"), "links.proofs_bad") >= 1;
 }
 
-START_TEST(wrong_fleet_key_is_kept_out) {
+START_TEST(wrong_fleet_key_is_rejected) {
     start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     proc_process* router = proc_find(&fleet, "r1");
     proc_signal(router, SIGTERM);
@@ -193,7 +193,7 @@
     return refuses;
 }
 
-START_TEST(router_without_a_leader_stops_taking_work) {
+START_TEST(router_without_a_leader_refuses_requests) {
     start(&(proc_desc){.controls = 3, .routers = 2, .services = 1, .engines = 1});
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGSTOP);
@@ -224,7 +224,7 @@
     return proc_journal(proc_find(&fleet, service), "lookups") - before;
 }
 
-START_TEST(leaving_target_gets_no_new_work) {
+START_TEST(draining_target_gets_no_new_requests) {
     start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 1});
     ck_assert_int_eq(
         proc_ctl(&fleet, NULL, "table", "set", "targets", "service1", "leaving=1", NULL), 0);
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-START_TEST(daemons_say_why_they_do_not_start) {
+START_TEST(daemons_report_startup_errors) {
     start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     char* command = g_strdup_printf("cd %s && %s/walnutgate-routerd --settings r1.ini 2>why.txt",
                                     fleet.folder, fleet.bin);
@@ -271,7 +271,7 @@
 
 /* A control whose disk is full stops replicating while the others continue, and rejoins without a
    restart when there is space again. */
-START_TEST(full_disk_stops_a_control_and_no_more) {
+START_TEST(full_disk_stops_only_its_control) {
     start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
     proc_process* full = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
@@ -351,7 +351,7 @@
     proc_sleep(2000);
 }
 
-START_TEST(host_list_that_steps_back_or_vanishes) {
+START_TEST(older_host_list_is_ignored) {
     start(&(proc_desc){.controls = 1,
                        .routers = 1,
                        .services = 2,
@@ -372,9 +372,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("fleet control", wrong_fleet_key_is_kept_out, accepted_edits_survive_leader_kills,
+WG_TEST_MAIN("fleet control", wrong_fleet_key_is_rejected, accepted_edits_survive_leader_kills,
              lost_disk_is_replaced_by_one_command, folder_of_another_cluster_is_refused,
              without_a_majority_actions_are_refused_as_not_run,
-             router_without_a_leader_stops_taking_work, leaving_target_gets_no_new_work,
-             daemons_say_why_they_do_not_start, full_disk_stops_a_control_and_no_more,
-             rows_on_demand, host_list_that_steps_back_or_vanishes)
+             router_without_a_leader_refuses_requests, draining_target_gets_no_new_requests,
+             daemons_report_startup_errors, full_disk_stops_only_its_control, rows_on_demand,
+             older_host_list_is_ignored)
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -54,7 +54,7 @@
 }
 END_TEST
 
-START_TEST(malformed_bytes_leave_the_daemons_up) {
+START_TEST(malformed_input_does_not_stop_daemons) {
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 1});
     static const char* requests[] = {
         "\r\n\r\n",
@@ -205,7 +205,7 @@
 }
 END_TEST
 
-START_TEST(every_caller_gets_its_own_whole_answer_or_an_error) {
+START_TEST(every_caller_gets_its_own_complete_answer_or_an_error) {
     start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 3});
     proc_faults(proc_find(&fleet, "engine1"), "cut=40");
     proc_faults(proc_find(&fleet, "engine2"), "no_marker=20&refuse=20");
@@ -304,7 +304,7 @@
 }
 END_TEST
 
-START_TEST(caller_who_leaves_cancels_the_work) {
+START_TEST(caller_disconnect_cancels_the_request) {
     start(&(proc_desc){
         .controls = 1, .routers = 1, .services = 1, .engines = 1, .engine_pace_us = 50000});
     const char* body = "{\"model\":\"model\",\"stream\":true,\"max_tokens\":10000,\"messages\":[]}";
@@ -474,7 +474,7 @@
 
 /* An unrepeatable request whose connection is reset after any number of bytes is never sent again,
    and never reported as not run. */
-START_TEST(a_cut_at_any_byte_is_not_sent_again) {
+START_TEST(reset_at_any_byte_is_not_retried) {
     enum {
         REQUEST_BYTES = 330
     };
@@ -520,9 +520,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("fleet requests", a_cut_at_any_byte_is_not_sent_again, answers_and_refusals,
-             malformed_bytes_leave_the_daemons_up, ambiguous_lengths_smuggle_nothing,
+WG_TEST_MAIN("fleet requests", reset_at_any_byte_is_not_retried, answers_and_refusals,
+             malformed_input_does_not_stop_daemons, ambiguous_lengths_smuggle_nothing,
              actions_run_at_most_once, one_key_through_three_routers_runs_once,
-             every_caller_gets_its_own_whole_answer_or_an_error, killed_target_fails_no_lookup,
-             rolling_restart_fails_no_request, caller_who_leaves_cancels_the_work,
+             every_caller_gets_its_own_complete_answer_or_an_error, killed_target_fails_no_lookup,
+             rolling_restart_fails_no_request, caller_disconnect_cancels_the_request,
              slow_caller_does_not_fill_memory, slow_senders_are_closed)
--- a/tests/test_loopback.c
+++ b/tests/test_loopback.c
@@ -54,7 +54,7 @@
 }
 END_TEST
 
-START_TEST(a_process_keeps_its_part_of_the_addresses) {
+START_TEST(process_keeps_its_address_range) {
     char* first = local_address(1, 18000);
     char* again = local_address(1, 18000);
     ck_assert_str_eq(first, again);
@@ -64,4 +64,4 @@
 END_TEST
 
 WG_TEST_MAIN("loopback", processes_with_similar_ids_have_different_addresses,
-             a_process_keeps_its_part_of_the_addresses)
+             process_keeps_its_address_range)
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -10,7 +10,7 @@
     return wg_message_parse_request(text, strlen(text), head);
 }
 
-START_TEST(a_plain_request_is_read) {
+START_TEST(plain_request_is_parsed) {
     wg_message_head head;
     const char* text = "POST /a/b?c=1 HTTP/1.1\r\nHost: Some.Example:80\r\nContent-Length: 12\r\n"
                        "X-Empty:\r\nKeep-Alive: timeout=7, max=3\r\n\r\n";
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-START_TEST(a_head_is_whole_only_with_its_empty_line) {
+START_TEST(head_is_complete_only_with_its_empty_line) {
     const char* text = "GET / HTTP/1.1\r\nHost: a\r\n\r\nmore";
     size_t head_size = strlen(text) - strlen("more");
     for (size_t size = 0; size < head_size; size++) {
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-START_TEST(fields_of_one_connection_are_told) {
+START_TEST(hop_by_hop_fields_are_recognised) {
     wg_message_head head;
     const char* text = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\n"
                        "X-Other: 2\r\n\r\n";
@@ -130,7 +130,7 @@
 END_TEST
 
 /* A chunked body decodes to the same content, whatever the size of the pieces that arrive. */
-START_TEST(chunks_come_in_any_pieces) {
+START_TEST(chunks_decode_in_pieces_of_any_size) {
     static const char wire[] = "4;x=y\r\nwall\r\n0A\r\nnutgate...\r\n0\r\nTrailer: a\r\n\r\nNEXT";
     for (size_t piece = 1; piece < sizeof wire; piece++) {
         struct evbuffer* in = evbuffer_new();
@@ -154,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(malformed_chunks_are_found) {
+START_TEST(malformed_chunks_are_rejected) {
     static const char* const bad[] = {"g\r\n",          "-1\r\n",         "+4\r\nwall\r\n",
                                       "4 \r\nwall\r\n", "4\r\nwallx\r\n", "\r\n",
                                       "123456789\r\n"};
@@ -171,7 +171,7 @@
 }
 END_TEST
 
-START_TEST(events_are_cut_at_blank_lines) {
+START_TEST(events_end_at_blank_lines) {
     static const char wire[] = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\ndata";
     struct evbuffer* in = evbuffer_new();
     struct evbuffer* out = evbuffer_new();
@@ -190,7 +190,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("message", a_plain_request_is_read, ambiguous_requests_are_refused,
-             too_many_fields_are_refused, a_head_is_whole_only_with_its_empty_line,
-             answers_have_one_framing, fields_of_one_connection_are_told, chunks_come_in_any_pieces,
-             malformed_chunks_are_found, events_are_cut_at_blank_lines)
+WG_TEST_MAIN("message", plain_request_is_parsed, ambiguous_requests_are_refused,
+             too_many_fields_are_refused, head_is_complete_only_with_its_empty_line,
+             answers_have_one_framing, hop_by_hop_fields_are_recognised,
+             chunks_decode_in_pieces_of_any_size, malformed_chunks_are_rejected,
+             events_end_at_blank_lines)
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -76,7 +76,7 @@
 }
 
 /* A host that is flooded by callers still receives messages of the fleet in time. */
-START_TEST(links_go_before_a_flood) {
+START_TEST(links_have_priority_over_a_flood) {
     struct event_config* config = event_config_new();
     struct timeval turn = {.tv_usec = 2000};
     event_config_set_max_dispatch_interval(config, &turn, CALLBACKS_PER_TURN, WGN_PRIORITIES - 1);
@@ -146,7 +146,7 @@
 
 /* A process that was stalled for longer than the silence deadline keeps its links: it must not take
    its own lag for unresponsive peers. */
-START_TEST(a_late_process_keeps_its_links) {
+START_TEST(stalled_process_keeps_its_links) {
     base = event_base_new();
     event_base_priority_init(base, WGN_PRIORITIES);
     wgn_net* client = stalled_net();
@@ -259,7 +259,7 @@
 }
 
 /* A frame that is sent on many links is held in memory once and reaches every peer. */
-START_TEST(a_frame_for_many_links_is_held_once) {
+START_TEST(frame_for_many_links_is_stored_once) {
     readers_setup();
     wgn_frame* frame = large_frame(1);
     send_to_all(frame);
@@ -281,7 +281,7 @@
 END_TEST
 
 /* Links whose peers do not read are closed before they exceed the process's memory limit. */
-START_TEST(links_that_do_not_read_are_closed_at_the_limit) {
+START_TEST(links_that_are_not_read_are_closed_at_the_limit) {
     readers_setup();
     for (int i = 0; i < 30; i++) {
         wgn_frame* frame = large_frame(i);
@@ -298,5 +298,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("net", links_go_before_a_flood, a_late_process_keeps_its_links,
-             a_frame_for_many_links_is_held_once, links_that_do_not_read_are_closed_at_the_limit)
+WG_TEST_MAIN("net", links_have_priority_over_a_flood, stalled_process_keeps_its_links,
+             frame_for_many_links_is_stored_once, links_that_are_not_read_are_closed_at_the_limit)
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -23,7 +23,7 @@
 
 /* Renamed fields have their new name in queries too; read under the old one, the caller's data
    centre stays unknown. */
-START_TEST(the_callers_place_is_read_under_the_name_that_it_comes_with) {
+START_TEST(callers_data_centre_is_read_under_its_renamed_field) {
     char* data_centre = wire_name("zone");
     ck_assert_ptr_nonnull(data_centre);
     ck_assert_str_eq(platform_entry_names.query_data_centre, data_centre);
@@ -31,4 +31,4 @@
 }
 END_TEST
 
-WG_TEST_MAIN("platform", the_callers_place_is_read_under_the_name_that_it_comes_with)
+WG_TEST_MAIN("platform", callers_data_centre_is_read_under_its_renamed_field)
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -12,7 +12,7 @@
                              .margin = &trusted,
                              .has_prompt = true,
                              .objective = 800 * MSEC,
-                             .tightest = 400 * MSEC};
+                             .tightest_objective = 400 * MSEC};
 }
 
 START_TEST(the_tightest_objective_bounds_all) {
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(idle_time_banks_no_credit) {
+START_TEST(idle_time_earns_no_credit) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_handle picked;
     for (int i = 0; i < 1000; i++) {
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(fleet_time_counts_what_others_served) {
+START_TEST(fleet_virtual_time_includes_service_elsewhere) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_handle picked;
     for (int i = 0; i < 10; i++) {
@@ -110,7 +110,7 @@
 }
 END_TEST
 
-START_TEST(accounts_only_rise) {
+START_TEST(served_totals_never_decrease) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     uint64_t last = 0;
     for (uint64_t i = 0; i < 300; i++) {
@@ -146,7 +146,7 @@
     return refusal.code;
 }
 
-START_TEST(limits_refuse_with_when_to_come_back) {
+START_TEST(refusals_by_limits_give_retry_after) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wg_time after;
     wgq_limits rate = {.weight = 1, .rate = 2, .burst = 2};
@@ -190,7 +190,7 @@
 }
 END_TEST
 
-START_TEST(what_cannot_be_served_in_time_is_refused) {
+START_TEST(request_that_cannot_be_served_in_time_is_refused) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_limits limits = {.weight = 1};
     wg_time after;
@@ -263,7 +263,7 @@
 
 /* With 2,500 of 25,000 workspaces waiting, the first request of each is served within two rounds,
    also behind requests of a hundred times the usual cost. */
-START_TEST(wait_of_a_head_is_bounded) {
+START_TEST(head_of_line_wait_is_bounded) {
     enum {
         WAITING_WORKSPACES = 2500
     };
@@ -320,7 +320,7 @@
 
 /* The estimated cost of a request that reports no progress grows while it runs longer than usual;
    its actual cost replaces the estimate when it finishes. */
-START_TEST(long_silent_requests_count_while_they_run) {
+START_TEST(cost_estimate_of_long_requests_grows) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_handle picked;
     for (int i = 0; i < 40; i++) {
@@ -347,9 +347,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("queue", long_silent_requests_count_while_they_run, wait_of_a_head_is_bounded,
+WG_TEST_MAIN("queue", cost_estimate_of_long_requests_grows, head_of_line_wait_is_bounded,
              flood_does_not_lengthen_others_waits, service_follows_weights,
-             nobody_starves_under_a_flood, idle_time_banks_no_credit,
-             fleet_time_counts_what_others_served, accounts_only_rise,
-             limits_refuse_with_when_to_come_back, what_cannot_be_served_in_time_is_refused,
+             nobody_starves_under_a_flood, idle_time_earns_no_credit,
+             fleet_virtual_time_includes_service_elsewhere, served_totals_never_decrease,
+             refusals_by_limits_give_retry_after, request_that_cannot_be_served_in_time_is_refused,
              urgent_goes_first_within_its_own_share, expired_and_stale_handles)
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -484,7 +484,7 @@
             ck_assert_uint_ge(found->snapshot_index, a.snapshot);
             /* It goes on from there. */
             uint64_t next = MAX(last, found->snapshot_index) + 1;
-            wgs_forget_content(store);
+            wgs_release_content(store);
             append(store, next, 3, a.term + 1);
             wgs_close(store);
             ck_assert_int_ge(entries_found(&error), 3);
