--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -1,6 +1,6 @@
 #pragma once
-/* fake_control.h -- a control that only says what it is told to, and an entry host that obeys it;
-   both run within the test */
+/* fake_control.h -- a scripted control and an entry host that is linked to it, both in the process
+   of the test */
 #include <string.h>
 
 #include "local_control.h"
@@ -9,23 +9,23 @@
 typedef struct {
     wgn_net* net;
     char* address;
-    wgn_link link; /* of the entry host */
+    wgn_link link; /* to the entry host */
     int ups;
     int downs;
     int reports;
-    int refusals;                /* so many orders to come are answered with "not the leader" */
-    int evacuations;             /* orders to begin or end one */
-    char evacuated[WG_NAME_MAX]; /* of the last one: the data centre */
+    int refusals;                /* number of coming orders to answer with "not the leader" */
+    int evacuations;             /* orders to begin or end an evacuation */
+    char evacuated[WG_NAME_MAX]; /* data centre of the last evacuation order */
     bool evacuation_begins;
     uint64_t evacuation_cold_us;
-    int crashes;               /* evidence in reports so far */
-    uint64_t crash_of;         /* fingerprint of the last one */
-    bool crash_was_early;      /* the same */
-    uint64_t ended_well;       /* fingerprint that a report named as such; 0: none */
-    uint64_t quarantine_ended; /* fingerprint that an order lets through; 0: none */
-    int standby_asks;          /* reports of a host that takes what a replica holds */
-    int target_orders;         /* heartbeats and leaves */
-    uint64_t target_born;      /* of the last one */
+    int crashes;               /* crashes in all reports so far */
+    uint64_t crash_of;         /* fingerprint of the last crash reported */
+    bool crash_was_early;      /* early flag of the last crash reported */
+    uint64_t ended_well;       /* last fingerprint reported as ended well; 0: none */
+    uint64_t quarantine_ended; /* fingerprint that an order released; 0: none */
+    int standby_asks;          /* reports that request the state of a replica without a leader */
+    int target_orders;         /* heartbeats and deregistrations */
+    uint64_t target_born;      /* incarnation in the last target order */
 } fake_control;
 
 static inline void fake_control_on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
@@ -36,7 +36,7 @@
     }
 }
 
-/* An order to evacuate is noted and acknowledged. */
+/* Records and acknowledges orders about evacuations, targets and quarantines. */
 static inline void fake_control_take_order(fake_control* f, wgn_link link, const wgw_frame* frame) {
     Wgpb__Order* in = wgpb__order__unpack(NULL, frame->size, frame->payload);
     Wgpb__OrderAnswer answer = WGPB__ORDER_ANSWER__INIT;
@@ -122,23 +122,22 @@
     g_free(f->address);
 }
 
-/* It does not lead; `leader` NULL: it knows of none. */
+/* Sends that this control does not lead. `leader`: address of the leader, NULL if unknown. */
 static inline void fake_control_says(fake_control* f, const char* leader) {
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     state.leader_address = (char*)(leader ? leader : "");
     ck_assert(wgn_send(f->net, f->link, WGW_TYPE_ENTRY_STATE, &state.base));
 }
 
-/* Descriptors of the next entry host; 0: not told. */
+/* Descriptor limit of the next entry host; 0: unset. */
 static int64_t fake_entry_descriptors;
 
-/* How long the next entry host leaves cold targets alone, in milliseconds. */
+/* Time after its start in which the next entry host sends nothing to cold targets. */
 static int64_t fake_entry_cold_settle_ms;
 
-/* How long the next entry host waits for a leader before it takes what a replica holds. */
+/* Time for which the next entry host waits for a leader before it takes the state of a replica. */
 static int64_t fake_entry_standby_ms;
 
-/* An entry host that knows these seeds. */
 static inline wg_entry* fake_control_entry(struct event_base* base, char** seeds) {
     static wg_entry_settings settings;
     settings = (wg_entry_settings){.name = "here",
@@ -167,22 +166,23 @@
     return entry;
 }
 
-/* What a leader says: a configuration, one target of service "e", this host the only one. */
+/* Content of a state update: a configuration, one target of service "e", and the entry host "here"
+   as the only member unless `other_member` is set. */
 typedef struct {
     uint64_t version;
     const char* document;
     const char* target;    /* ip:port */
-    const char* evacuated; /* a data centre, NULL none; the target stands in "dc" */
-    uint32_t number;       /* of the target; 0 counts as 1 */
-    const char* id;        /* of the target; NULL: made of its number */
-    uint64_t born;         /* of the target */
-    uint64_t cold_us;      /* for so long the target is cold */
-    uint64_t change;       /* of the registry; 0 counts as 1 */
+    const char* evacuated; /* evacuated data centre, NULL: none; the target is in "dc" */
+    uint32_t number;       /* number of the target; 0 counts as 1 */
+    const char* id;        /* id of the target; NULL: made from its number */
+    uint64_t born;         /* incarnation of the target */
+    uint64_t cold_us;      /* time for which the target remains cold */
+    uint64_t change;       /* change number of the registry; 0 counts as 1 */
     Wgpb__WorkspaceUsage** usage;
     size_t usage_num;
-    uint32_t replaced_number;    /* of a target in whose place the other one came; 0: none */
+    uint32_t replaced_number;    /* number of the target that this one replaced; 0: none */
     const char* other_member;    /* name of another entry host; NULL none */
-    uint64_t members_change;     /* 0 counts as 1 */
+    uint64_t members_change;     /* change number of the members; 0 counts as 1 */
     const uint64_t* quarantined; /* fingerprints */
     size_t quarantined_num;
     uint64_t quarantine_change;
@@ -243,7 +243,7 @@
     state.n_quarantined = word->quarantined_num;
     state.quarantine_change = word->quarantine_change;
     char* controls[] = {f->address};
-    if (word->usage_num > 0) { /* an answer to a report, which names controls too */
+    if (word->usage_num > 0) { /* an answer to a report, which lists the controls too */
         state.usage = word->usage;
         state.n_usage = word->usage_num;
         state.controls = controls;
@@ -258,7 +258,7 @@
     fake_control_tells(f, word, true);
 }
 
-/* It knows no leader and tells what it has applied itself. */
+/* Sends the state that this control has applied, without a leader. */
 static inline void fake_control_stands_by(fake_control* f, const fake_word* word) {
     fake_control_tells(f, word, false);
 }
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -1,8 +1,8 @@
 #pragma once
-/* one_entry.h -- one entry host with a leader, a target and callers that all run within the test
+/* one_entry.h -- one entry host with a leader, a target and callers, all in the process of the test
 
-   The target notes what it is sent and says what it is told to. Not every program uses every helper
-   (-Wno-unused-function). */
+   The target records what it receives and answers as the test directs. Not every program uses every
+   helper (-Wno-unused-function). */
 #include <errno.h>
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -13,7 +13,7 @@
 #include "fake_control.h"
 
 enum {
-    TURNS = 3000, /* of the loop, a millisecond each, before something counts as missing */
+    TURNS = 3000, /* 1 ms loop turns to wait before something counts as missing */
     CALLERS_PORT = 18001,
     READY_PORT = 18002,
     ORDERS_PORT = 18004
@@ -23,9 +23,9 @@
 static fake_control leader;
 static wg_entry* entry;
 static char* target_at;
-static struct evconnlistener* listener; /* of the target; NULL: it has ended */
+static struct evconnlistener* listener; /* of the target; NULL: the target has stopped */
 
-/* What the target was last sent, and the connection on which it came. */
+/* Bytes that the target received, and the connection on which the last of them came. */
 static GString* asked;
 static struct bufferevent* asked_on;
 static bool hung_up;
@@ -107,7 +107,7 @@
     return strstr(asked->str, "\r\n\r\n") != NULL;
 }
 
-/* Requests that the target got, of all connections. */
+/* Requests that the target received on all connections. */
 static int requests_at_target(void) {
     int num = 0;
     for (const char* at = asked->str; (at = strstr(at, " HTTP/1.1\r\n")); at++) {
@@ -119,7 +119,7 @@
 /* ---- set-up -----------------------------------------------------------------------------------
  */
 
-/* All of them are there; the leader has not said a word yet. */
+/* Starts the target, the leader and the entry host; the leader has sent nothing yet. */
 static void one_entry_begin(void) {
     base = local_base();
     asked = g_string_new(NULL);
@@ -146,16 +146,15 @@
     g_free(target_at);
 }
 
-/* A route to service "e", whose target is the one here; requests that may be repeated, one attempt.
- */
+/* A route of kind "safe" with one attempt to service "e". */
 typedef struct {
-    uint64_t version; /* of the configuration that holds it */
+    uint64_t version; /* version of the configuration that holds the route */
     const char* prefix;
     int timeout_ms;
     int idle_ms; /* 0: the default */
 } one_route;
 
-/* The leader tells a configuration of this route alone. */
+/* Sends a configuration with this route only, as leader. */
 static void one_entry_lead(const one_route* route) {
     char* limits =
         route->idle_ms ? g_strdup_printf("\"idle_ms\":%d", route->idle_ms) : g_strdup("");
@@ -186,7 +185,7 @@
     return fd;
 }
 
-/* A connection to one of the entry host's ports, on which a request was sent. */
+/* Sends a request to a port of the entry host; returns the connection. */
 static int send_to(int port, const char* method, const char* path, const char* fields) {
     char* address = local_address(11, port);
     char* request = g_strdup_printf("%s %s HTTP/1.1\r\nHost: h\r\n%s\r\n", method, path, fields);
@@ -201,7 +200,7 @@
     return send_to(CALLERS_PORT, "GET", path, fields);
 }
 
-/* Status of the answer, 0 when none comes in so many milliseconds; its text in `answer`. */
+/* Status of the answer, 0 if none arrives within `ms`; `answer` receives its text. */
 static int status_within(int fd, char answer[1024], int ms) {
     answer[0] = 0;
     for (int i = 0; i < ms; i++) {
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -1,4 +1,4 @@
-/* test_entry.c -- connections of callers at one entry host that runs within the test */
+/* test_entry.c -- limit of caller connections at one entry host in the process of the test */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 
 enum {
     CALLERS_MAX = 8,
-    TURNS = 400 /* of the loop, a millisecond each, before an answer counts as missing */
+    TURNS = 400 /* 1 ms loop turns to wait before an answer counts as missing */
 };
 
 static struct event_base* base;
@@ -73,7 +73,7 @@
     return fd;
 }
 
-/* Status of the answer to one request; 0 when the connection ended without one. */
+/* Status of the answer to one request; 0 if none arrived. */
 static int ask(int fd) {
     static const char request[] = "GET /x/ HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[512] = "";
@@ -106,7 +106,7 @@
     return recv(fd, &byte, 1, MSG_PEEK) == 0;
 }
 
-/* Callers that try again do so on new connections; the ones they left rest. */
+/* At the limit, a new connection closes the connection that has been idle for longest. */
 START_TEST(the_longest_idle_caller_gives_way) {
     int callers[CALLERS_MAX + 3];
     begin(CALLERS_MAX, 0);
@@ -114,7 +114,7 @@
         callers[i] = caller();
         ck_assert_int_eq(ask(callers[i]), 503);
     }
-    ck_assert_int_eq(ask(callers[0]), 503); /* the second one is now idle for longest */
+    ck_assert_int_eq(ask(callers[0]), 503); /* callers[1] has now been idle for longest */
     callers[CALLERS_MAX] = caller();
     ck_assert_int_eq(ask(callers[CALLERS_MAX]), 503);
     ck_assert(is_closed(callers[1]));
@@ -127,7 +127,7 @@
 }
 END_TEST
 
-/* A caller in the middle of a request does not give way. */
+/* A connection with a partly received request is not closed for a new one. */
 START_TEST(a_caller_that_sends_does_not_give_way) {
     int callers[CALLERS_MAX];
     begin(CALLERS_MAX, 0);
@@ -147,8 +147,8 @@
 }
 END_TEST
 
-/* Nor does one whose request has come and was not read yet: at a busy host that takes a while. It
-   was closed with the request on it, without an answer, for a connection that came before. */
+/* A connection with an unread request is not closed for a new one: its request would go without an
+   answer. */
 START_TEST(a_caller_whose_request_is_unread_does_not_give_way) {
     static const char request[] = "GET /x/ HTTP/1.1\r\nHost: h\r\n\r\n";
     int callers[CALLERS_MAX];
@@ -169,7 +169,7 @@
     }
     ck_assert_int_gt(recv(callers[0], answer, sizeof answer - 1, 0), 0);
     ck_assert_int_eq(strtol(answer + strlen("HTTP/1.1 "), NULL, 10), 503);
-    ck_assert(is_closed(callers[1])); /* the next one, which rests */
+    ck_assert(is_closed(callers[1])); /* the longest idle connection without an unread request */
     ck_assert_int_eq(ask(late), 503);
     for (int i = 0; i < CALLERS_MAX; i++) {
         close(callers[i]);
@@ -181,7 +181,7 @@
 
 START_TEST(descriptors_bound_the_callers) {
     int first;
-    begin(1000, 10); /* seven for callers */
+    begin(1000, 10); /* leaves seven descriptors for callers */
     first = caller();
     ck_assert_int_eq(ask(first), 503);
     int others[7];
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -1,28 +1,22 @@
-/* test_entry_flooded.c -- one entry host that more callers press than it can serve at once
+/* test_entry_flooded.c -- one entry host with more callers than it can serve at once
 
-   A host of 0.09 of a core got all requests of one workspace, 2,000 to 3,500 a second. Callers
-   there lost patience and closed their connections, and targets worked on for more than half a
-   second for 6 of 13 of them, and later for 4 of 9. The loop's tick and the links to other hosts
-   were in time, since they go first. The end of a caller's connection did not: it stood in one line
-   with all new requests, and not once but twice: to be read from the socket, and to be told to the
-   host. Each time took as long as all callers that have sent something take. Evidence: the lines of
-   that host, from 2.4 s to 7.3 s and from 45.7 s to 52.9 s of the day, "LOOP_BEHIND: waited_ms=227"
-   to "waited_ms=488" for one turn of the line, two of which are 0.5 to 1 s. */
+   Guards against disconnects, deadlines and idle timeouts that are handled late or wrongly when
+   the event loop lags behind. */
 #include "one_entry.h"
 
 #include <signal.h>
 
 enum {
-    FLOOD = 480, /* callers; the listener's queue holds 512 */
+    FLOOD = 480, /* callers; fewer than the 512 of the listen backlog */
     TIMEOUT_MS = 30000,
-    IDLE_MS = 10000, /* longer than a machine that is busy takes for a test */
-    TICK_MS = 60,    /* a little more than that of an entry host */
+    IDLE_MS = 10000, /* longer than a test takes on a busy machine */
+    TICK_MS = 60,    /* a little more than the tick of an entry host */
     BUSY_NUM = 150,
     BUSY_MS = 1,
     STOP_LEAST_MS =
-        3300, /* of a planned stop: callers keep an answer for 1 s, or three times that */
-    /* Of the flood, before the work of a caller that has left is stopped: what the loop may take
-       between two looks at what goes first, for each of the two steps that lead there. */
+        3300, /* of a planned stop, which lasts three times the entry_keep_s of 1 s and a margin */
+    /* Flood requests that may be answered before the work of a disconnected caller is stopped: the
+       loop's limit between two checks for higher priorities, for each of the two steps. */
     BEFORE_MOST = 2 * 64
 };
 
@@ -30,8 +24,7 @@
 
 static int flood[FLOOD];
 
-/* So much time goes by while the host does not come to read; its tick is due when it does, and goes
-   first. */
+/* Advances the host's clock without running the loop; the next tick is then due before any read. */
 static void be_behind(int ms) {
     wg_now_skip(ms * MSEC);
     g_usleep(TICK_MS * WG_USEC_PER_MSEC);
@@ -52,7 +45,7 @@
         &(one_route){.version = 5, .prefix = "/a/", .timeout_ms = TIMEOUT_MS, .idle_ms = IDLE_MS});
 }
 
-/* A connection that the host need not have taken yet: the loop does not turn. */
+/* Connects without running the loop, so the host need not have accepted the connection. */
 static int connect_only(void) {
     struct sockaddr_storage to;
     int size;
@@ -71,7 +64,7 @@
     turns(50);
 }
 
-/* A request of each caller, all at once and unread by the host. */
+/* Sends a request of each caller, without running the loop. */
 static void flood_send(const char* request) {
     for (int i = 0; i < FLOOD; i++) {
         ck_assert_int_eq(send(flood[i], request, strlen(request), MSG_NOSIGNAL),
@@ -79,7 +72,7 @@
     }
 }
 
-/* Read all answers, so that the next ones can be told from them. */
+/* Reads an answer on each connection, so that later answers can be counted. */
 static void flood_read_answers(void) {
     char bytes[1024];
     for (int i = 0; i < FLOOD; i++) {
@@ -109,7 +102,7 @@
     }
 }
 
-static int answered_before; /* of the flood, when the work was stopped; -1: it runs */
+static int answered_before; /* flood answers when the work was stopped; -1: it runs */
 
 static void on_work_stopped(struct bufferevent* bev, short what, void* user_data) {
     (void)bev;
@@ -119,7 +112,7 @@
     event_base_loopbreak(base);
 }
 
-/* The target hears at once that the host has closed the connection on which it was asked. */
+/* Reports the close of the target's connection with the highest priority. */
 static void watch_work(void) {
     answered_before = -1;
     bufferevent_setcb(asked_on, NULL, NULL, on_work_stopped, NULL);
@@ -129,6 +122,7 @@
 /* ---- tests ------------------------------------------------------------------------------------
  */
 
+/* A disconnect of a caller must not queue behind the requests of all other callers. */
 START_TEST(work_for_a_caller_that_left_stops_before_new_requests_are_taken) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     begin();
@@ -137,7 +131,7 @@
     watch_work();
     flood_connect();
     flood_send(request);
-    flood_read_answers(); /* by now the loop hears of so many connections at once */
+    flood_read_answers(); /* libevent now returns this many events in one poll */
     flood_send(request);
     close(fd);
     for (int i = 0; i < TURNS && answered_before < 0; i++) {
@@ -151,12 +145,8 @@
 }
 END_TEST
 
-/* A connection that rests for too long is closed, and the time of its rest ends when the host reads
-   the next request. What waited unread at a host that is behind counted as rest: the connection was
-   closed with the request on it, without an answer. Seen beside a change that shortened the idle
-   time, at a host with "LOOP_BEHIND: waited_ms=1677": a request was sent, and 1.8 s later its
-   connection closed. Here the host's clock goes on by the idle time while a
-   request waits. */
+/* The idle timeout must not close a connection whose request waits unread while the loop lags: the
+   caller would get no answer. */
 START_TEST(a_request_that_waits_unread_keeps_its_connection) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[1024];
@@ -171,7 +161,7 @@
 }
 END_TEST
 
-/* The same of a request that is half read: its caller is not slow, the host is. */
+/* The timeout of a partly read request must not count time in which the remainder waited unread. */
 START_TEST(the_rest_of_a_request_that_waits_unread_is_not_too_slow) {
     static const char first[] = "POST /none HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab";
     char answer[1024];
@@ -200,11 +190,8 @@
 }
 END_TEST
 
-/* A planned stop ends when no request is under way and no caller can hold an answer that names the
-   host. A request that has come and waits unread counted as none: the process ended with it, and
-   callers got no answer. Evidence: a host of 0.12 of a core in its planned stop, "STOP_DRAINED
-   calls=0 callers=428 after_ms=3583", and 52 requests whose connections closed without an answer in
-   that moment. */
+/* A planned stop must not end while a request waits unread: its connection would close without an
+   answer. */
 START_TEST(a_planned_stop_answers_what_waits_unread) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     char byte;
@@ -226,7 +213,7 @@
 }
 END_TEST
 
-/* Something else that takes the loop's time: one round of it takes BUSY_NUM * BUSY_MS. */
+/* Keeps the loop busy: each round of all these events takes BUSY_NUM * BUSY_MS. */
 static void on_busy(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
@@ -234,12 +221,8 @@
     event_active(*(struct event**)user_data, EV_TIMEOUT, 1);
 }
 
-/* A request's time began when the host came to read it. A host that was two seconds behind read
-   requests that had 0.4 s left, told targets 2.4 s, and these worked for callers whose time was
-   over: 39 of 49 runs ("request sent 20.718 s, reaches server 22.856 s, the client's deadline
-   passes 23.118 s, its run ends 23.992 s"). It also gave each the whole objective from then on, and
-   so had all of them late. Here a request waits for
-   at least one round of a loop that takes 150 ms for each. */
+/* The deadline passed to a target must include the time that a request waited unread; otherwise
+   targets work on after the caller's deadline. */
 START_TEST(the_time_of_a_request_begins_before_it_is_read) {
     static const char request[] =
         "GET /a/x HTTP/1.1\r\nHost: h\r\nWalnutgate-Deadline-Ms: 20000\r\n\r\n";
@@ -268,11 +251,8 @@
 }
 END_TEST
 
-/* A request that no target takes waits for a share of its objective, 55 ms here, and is then
-   refused. At a host whose loop takes longer than a tick (50 ms) for a round it waits until its
-   deadline: each tick has it tried again, the time to try is looked at before the time to refuse,
-   and trying begins its wait anew. Evidence: a process that stood still for 0.5 s as it connected
-   to the target, and then calls=1 in each line for the 20 s of the caller's deadline. */
+/* A request that no target accepts is refused after its queue time, also when a loop round takes
+   longer than a tick: retries at each tick must not restart the queue time. */
 START_TEST(a_request_that_waits_in_vain_is_refused_in_time) {
     static const char request[] =
         "GET /a/x HTTP/1.1\r\nHost: h\r\nWalnutgate-Deadline-Ms: 20000\r\n\r\n";
@@ -303,13 +283,9 @@
 }
 END_TEST
 
-/* The answer to one request and the caller's next one come in the same moment. The class of a
-   connection was changed when its answer was passed on, while the callback for the next request
-   stood in the line of the former class: libevent took it out of the wrong one, and what came next
-   in either was lost. Evidence: three hosts that had been frozen, each with requests at a
-   connection to a target that never came up nor failed ("reason=timeout_not_run attempts=1
-   total_ms=800"), 88 of 13,605 requests in the 14 seconds after; and this test, in which the third
-   request is never sent. */
+/* The priority of a connection must not change while its callback is pending: libevent would remove
+   the callback from the wrong queue and lose events. Here an answer and the caller's next request
+   arrive at once. */
 START_TEST(an_answer_and_the_next_request_at_once_lose_nothing) {
     static const char* const requests[] = {"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n",
                                            "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n",
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -1,5 +1,5 @@
-/* test_entry_promises.c -- promises of one entry host to callers and targets, with a leader and a
-   target that run within the test */
+/* test_entry_promises.c -- guarantees of one entry host to callers and targets; leader and target
+   run in the process of the test */
 #include "one_entry.h"
 
 #include "wg_config.h"
@@ -11,7 +11,6 @@
 /* ---- set-up -----------------------------------------------------------------------------------
  */
 
-/* A configuration with one route, to service "e". */
 static void lead(uint64_t version, const char* prefix) {
     one_entry_lead(&(one_route){.version = version, .prefix = prefix, .timeout_ms = TIMEOUT_MS});
 }
@@ -32,10 +31,11 @@
     return fd;
 }
 
-/* ---- promises ---------------------------------------------------------------------------------
+/* ---- guarantees -------------------------------------------------------------------------------
  */
 
-/* A target is told the time that is left: of the caller, of the route, and after waiting here. */
+/* The deadline passed to a target is the remaining time of the caller or the route, less the wait
+   at this host. */
 START_TEST(no_more_time_is_handed_on_than_is_left) {
     static const struct {
         const char* fields;
@@ -67,14 +67,14 @@
     wg_time since = wg_now();
     int fd = caller("/a/x", "");
     ck_assert(target_was_asked());
-    ck_assert_int_eq(status_of(fd, answer), 504); /* it may have run: no 503 */
+    ck_assert_int_eq(status_of(fd, answer), 504); /* not 503: the request may have run */
     ck_assert_int_lt(wg_now() - since, (TIMEOUT_MS + 500) * (wg_time)WG_USEC_PER_MSEC);
     close(fd);
     end();
 }
 END_TEST
 
-/* Work for a caller that has left is stopped at once. */
+/* A caller's disconnect cancels its request at the target at once. */
 START_TEST(a_caller_that_leaves_stops_its_work) {
     begin();
     int fd = caller("/a/x", "");
@@ -87,13 +87,12 @@
 }
 END_TEST
 
-/* A request whose caller has left before this host came to read it reaches no target: before, it
-   did, and its work was stopped afterwards. */
+/* A request whose caller disconnected before the host read it must not reach a target. */
 START_TEST(a_request_of_a_caller_that_has_left_is_not_sent) {
     static const char request[] = "GET /a/x HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[1024];
     begin();
-    int fd = caller("/a/x", ""); /* leaves an open connection to the target */
+    int fd = caller("/a/x", ""); /* opens a connection to the target, which is kept */
     ck_assert(target_was_asked());
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
@@ -108,8 +107,8 @@
 }
 END_TEST
 
-/* A planned stop: not ready at once, what runs is answered, its connection closes, new requests on
-   open connections are still taken. */
+/* A planned stop reports not ready at once, answers running requests and closes their connections,
+   and still accepts new requests. */
 START_TEST(a_planned_stop_cuts_nothing_off) {
     char answer[1024];
     begin();
@@ -137,7 +136,7 @@
 }
 END_TEST
 
-/* An older word, of a leader that lost touch or by another way, changes nothing. */
+/* An older configuration, for example from a previous leader, is ignored. */
 START_TEST(a_configuration_only_moves_forward) {
     char answer[1024];
     begin();
@@ -166,7 +165,7 @@
     COLD_CALLS = 12
 };
 
-/* A configuration whose targets bear COLD_RATE while they are cold. */
+/* Sends a configuration whose cold targets accept COLD_RATE requests a second. */
 static void lead_targets(const char* evacuated, uint64_t cold_us, uint64_t change) {
     static const char document[] =
         "{\"version\":9,\"services\":[{\"name\":\"e\",\"cold_s\":3,\"cold_per_second\":3}],"
@@ -199,7 +198,7 @@
 }
 END_TEST
 
-/* This host is the only one: it coordinates the target and has all of its rate. */
+/* The only host coordinates the target and may use its full cold rate, no more. */
 START_TEST(a_cold_target_gets_no_more_than_it_bears) {
     int fd[COLD_CALLS];
     begin();
@@ -216,8 +215,8 @@
 }
 END_TEST
 
-/* After a start the hosts' lists differ: each could take itself for the coordinator of every
- * target. */
+/* After a start the member lists of hosts differ, and each host could take itself for the
+   coordinator of every target. */
 START_TEST(a_host_that_has_just_started_leaves_cold_targets_alone) {
     char answer[1024];
     fake_entry_cold_settle_ms = 1000;
@@ -236,8 +235,7 @@
 }
 END_TEST
 
-/* Seed 52022 of the fault soak: two coordinators granted a cold target what each may, and their
-   questions for its prompt parts came on top. */
+/* Queries for cached prompts must not add to the load of a cold target. */
 START_TEST(a_cold_target_is_not_asked_what_it_holds) {
     static const char document[] =
         "{\"version\":9,\"services\":[{\"name\":\"e\",\"cold_s\":3,\"cold_per_second\":3,"
@@ -262,7 +260,7 @@
 }
 END_TEST
 
-/* Status of an order to evacuate that has no body. */
+/* Sends an evacuation order without a body; returns the status of the answer. */
 static int order_evacuation(const char* method, const char* path, const char* fields) {
     char answer[1024];
     int fd = send_to(ORDERS_PORT, method, path, fields);
@@ -291,7 +289,7 @@
 }
 END_TEST
 
-/* A host that stood still reads orders whose senders have long gone elsewhere. */
+/* After a stall a host reads orders whose senders have disconnected and retried elsewhere. */
 START_TEST(an_order_whose_sender_has_left_is_not_passed_on) {
     static const char request[] = "PUT /v1/evacuations/dc HTTP/1.1\r\nHost: o\r\n\r\n";
     begin();
@@ -317,12 +315,12 @@
     return recv(fd, &byte, 1, MSG_PEEK) == 0;
 }
 
-/* What connections to targets take is not there for callers. */
+/* Descriptors of target connections reduce those available to callers. */
 START_TEST(connections_to_targets_leave_fewer_for_callers) {
     enum {
         DESCRIPTORS = 40,
-        BUSY = 15, /* callers whose requests are at a target */
-        IDLE = 12  /* with them fewer than 28, but 15 connections to targets are open too */
+        BUSY = 15, /* connections whose requests are at a target */
+        IDLE = 12 /* within the limit for callers alone, beyond it with the 15 target connections */
     };
     int busy[BUSY];
     int idle[IDLE];
@@ -356,11 +354,11 @@
  */
 
 enum {
-    EVENTS = 150, /* of a stream, a few milliseconds apart */
+    EVENTS = 150, /* events of the stream, a few milliseconds apart */
     TRIES_MOST = 45
 };
 
-/* A configuration with one route to engines of one slot. */
+/* Sends a configuration with one route to engines of one slot. */
 static void lead_engine(uint64_t version) {
     char* document = g_strdup_printf(
         "{\"version\":%d,\"services\":[{\"name\":\"e\",\"engine\":{\"slots\":1,"
@@ -382,9 +380,9 @@
     return num;
 }
 
-/* A request that waits for a slot is tried when there may be room, at the tick, and when the leader
-   tells loads; an event of a stream that runs makes no room. Tried at each of them it took 150
-   tries and more here, and what it asks coordinators with each is a busy host's time. */
+/* A queued request is tried at the tick, when a slot may be free, and when the leader reports
+   loads. Events of running streams free no slot and must not cause tries, which cost admission
+   requests. */
 START_TEST(events_of_streams_do_not_try_waiting_requests) {
     static const char prompt[] = "Walnutgate-Prompt-Parts: 5c1e:800,91bd:410\r\n"
                                  "Walnutgate-Prompt-Tokens: 1210,80\r\n";
@@ -413,11 +411,11 @@
 }
 END_TEST
 
-/* ---- what a host without a leader goes by -------------------------------------------------------
+/* ---- usage without a leader ---------------------------------------------------------------------
  */
 
 enum {
-    OTHERS = 4, /* workspaces beside the one that had most */
+    OTHERS = 4, /* workspaces beside the one with the most usage */
     LEADERLESS_TURNS = 9000,
     SENT_TURNS = 500
 };
@@ -429,7 +427,7 @@
     "\"attempts\":1,\"service\":\"e\",\"affinity\":true}],\"limits\":{},"
     "\"workspaces\":[{\"name\":\"most\",\"keys\":[\"key-most\"]}]}";
 
-/* The leader's word: workspace "most" had more than three times the level of the others. */
+/* Sends usage in which workspace "most" is far above the level of the others. */
 static void lead_with_usage(void) {
     Wgpb__WorkspaceUsage items[OTHERS + 1];
     Wgpb__WorkspaceUsage* usage[OTHERS + 1];
@@ -463,12 +461,8 @@
     return strstr(asked->str, path) != NULL;
 }
 
-/* What users saw: after the replicas had lost their majority, one workspace got far less than its
-   share for as long as hosts served without a leader. Order of events: the workspace had more than
-   the others when the leader was lost; each host kept what it was told last. Cause: that word never
-   aged, so the workspace counted as far above the level, and was refused, until a leader would
-   come. Evidence: read in the code, and this test, in which no request of the workspace reached an
-   idle target nine seconds after the leader's end. */
+/* Usage reported by a leader must decay during an outage; otherwise a workspace that was above its
+   fair share is refused until there is a leader again. */
 START_TEST(old_usage_fades_without_a_leader) {
     begin();
     lead_with_usage();
--- a/tests/test_entry_quarantine.c
+++ b/tests/test_entry_quarantine.c
@@ -1,7 +1,6 @@
-/* test_entry_quarantine.c -- one entry host and requests that end targets: what it tells the
-   leader, and what it does with the leader's word; the leader and the target run within the test
-
-   test_crashing_request.c tells the story. */
+/* test_entry_quarantine.c -- one entry host and requests that crash targets: evidence that it
+   reports to the leader, and quarantines that it enforces; leader and target run in the process of
+   the test */
 #include "one_entry.h"
 
 #include "wg_fingerprint.h"
@@ -28,8 +27,8 @@
     turns(20);
 }
 
-/* Another start of the target, at the same address; `replaced`: number of the former one that the
-   leader tells as replaced, 0: it is told no more. */
+/* Sends a new incarnation of the target at the same address. `replaced`: number of the previous
+   one, sent as replaced; 0: the previous one is left out. */
 static void target_starts_again(uint32_t number, uint32_t replaced) {
     fake_control_leads(&leader, &(fake_word){.version = 5,
                                              .document = "",
@@ -44,7 +43,7 @@
     lead(NULL, 0, 0);
 }
 
-/* A request that has come to its target, unless it is refused. */
+/* Sends a request and runs the loop until it is at the target or refused. */
 static int ask(const char* path) {
     int fd = caller(path, "");
     turns(20);
@@ -87,7 +86,8 @@
 }
 END_TEST
 
-/* Resets, cuts of single answers and connections beyond a target's limit look alike at first. */
+/* A closed connection alone is no evidence: resets and connections beyond a target's limit look the
+   same. */
 START_TEST(a_target_that_only_breaks_off_is_no_evidence) {
     begin();
     int fd = ask("/a/x");
@@ -99,8 +99,8 @@
 }
 END_TEST
 
-/* Something else takes connections for a target that is gone, or it is back at once: then another
-   start comes in its place. */
+/* A proxy may accept connections for a crashed target, or the target may be back at once; a new
+   incarnation at its address shows the crash. */
 START_TEST(a_target_that_is_replaced_after_it_broke_off_is_evidence) {
     begin();
     int fd = ask("/s/x");
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-/* A request that a proxy took and closed at once was not there when the target ended. */
+/* A request that a proxy accepted and closed at once was not at the target when it crashed. */
 START_TEST(a_request_that_came_to_a_target_that_was_gone_is_no_evidence) {
     begin();
     int fd = ask("/a/x"); /* closed after 20 ms, on a fresh connection, without a byte */
@@ -149,7 +149,7 @@
 }
 END_TEST
 
-/* Without a leader a host goes by what it saw. */
+/* Without a leader a host refuses requests by its own evidence. */
 START_TEST(a_host_refuses_by_itself_what_ended_targets) {
     char answer[1024];
     begin();
@@ -175,7 +175,7 @@
 }
 END_TEST
 
-/* ---- the leader's word ------------------------------------------------------------------------
+/* ---- quarantines from the leader --------------------------------------------------------------
  */
 
 START_TEST(a_quarantined_request_is_refused_at_once) {
@@ -190,7 +190,7 @@
     ck_assert_ptr_nonnull(strstr(answer, "Retry-After: 60"));
     ck_assert_int_eq(requests_at_target(), 0);
     close(fd);
-    fd = ask("/a/y"); /* others are served */
+    fd = ask("/a/y"); /* other requests are served */
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
@@ -203,7 +203,8 @@
 }
 END_TEST
 
-/* A target that has not begun drops it; that saves the target. It may have run: no promise. */
+/* A quarantine aborts a request at a target that has not answered yet, which may save the target.
+   The request may have run. */
 START_TEST(a_quarantine_stops_what_is_under_way) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
@@ -220,7 +221,8 @@
 }
 END_TEST
 
-/* One that a target has begun to answer goes on: if it ends well, it was not what ended targets. */
+/* A quarantined request whose answer has begun continues; if it ends well, the quarantine was
+   wrong. */
 START_TEST(a_request_that_ends_well_is_told) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/s/x")};
--- a/tests/test_entry_rest.c
+++ b/tests/test_entry_rest.c
@@ -1,13 +1,13 @@
-/* test_entry_rest.c -- one entry host and a target that asks it for rest, or says that it leaves;
-   leader, target and callers run within the test
+/* test_entry_rest.c -- one entry host and a target that sends backoff hints or reports that it is
+   draining; leader, target and callers run in the process of the test
 
-   What holds for a start of a target holds whatever else changes: the list of targets, its numbers,
-   the leader, the configuration, the settings. Another start of it asked for nothing. */
+   A hint holds for one incarnation of the target, whatever changes in the registry, the leader, the
+   configuration or the settings. */
 #include "one_entry.h"
 
 enum {
     REST_S = 3,
-    SPREAD_MS = 400 /* in which hosts come back */
+    SPREAD_MS = 400 /* maximum random delay of hosts after the backoff period */
 };
 
 static const char document[] =
@@ -17,7 +17,7 @@
 
 static const fake_word first_start = {.version = 1, .document = document, .id = "t", .born = 1000};
 
-/* The leader tells of the target, as `word` says beside its address. */
+/* Sends `word` as leader, with the address of the target. */
 static void lead(fake_word word) {
     word.target = target_at;
     fake_control_leads(&leader, &word);
@@ -29,7 +29,7 @@
     lead(first_start);
 }
 
-/* A caller asks; the request is at the target. */
+/* Sends a request that reaches the target; returns the caller's connection. */
 static int asked_caller(void) {
     g_string_truncate(asked, 0);
     int fd = caller("/x", "");
@@ -44,21 +44,22 @@
     return status;
 }
 
-/* Seconds after which a refused caller may come back; 0: it is not told. */
+/* Value of Retry-After in seconds; 0: none. */
 static double retry_after(const char* answer) {
     static const char name[] = "Retry-After: ";
     const char* at = strstr(answer, name);
     return at ? g_ascii_strtod(at + sizeof name - 1, NULL) : 0;
 }
 
-/* The target turns a request away and asks for rest. */
+/* The target refuses a request with a backoff hint. */
 static void rest_begins(void) {
     char answer[1024];
     int fd = asked_caller();
     target_says("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 3\r\n"
                 "Content-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_of(fd, answer), 503);
-    ck_assert_double_ge(retry_after(answer), 0.4); /* a third of the route's 2 s, drawn apart */
+    ck_assert_double_ge(retry_after(answer),
+                        0.4); /* a third of the route's 2 s, less a random part */
     close(fd);
 }
 
@@ -88,7 +89,7 @@
 }
 END_TEST
 
-/* The answer goes to the caller as it is, and asks for rest all the same. */
+/* A hint counts also in a 503 that is passed to the caller because the request may have run. */
 START_TEST(a_503_that_may_have_run_asks_for_rest_too) {
     begin();
     int fd = asked_caller();
@@ -113,8 +114,7 @@
 }
 END_TEST
 
-/* The log of the fleet begins anew, and with it the numbers of targets; then a new configuration,
-   settings read again. */
+/* A backoff survives renumbered targets, a new configuration and a reload of the settings. */
 START_TEST(a_rest_outlives_lists_and_configurations) {
     begin();
     rest_begins();
@@ -147,21 +147,22 @@
 }
 END_TEST
 
-/* It serves what is under way, and its word holds without a leader too. */
-/* 421: whoever answers at the address is not the target that was meant, and speaks for itself. */
+/* A 421 comes from another process at the target's address; its fields do not apply to the target.
+ */
 START_TEST(what_another_one_at_its_address_says_is_not_its_word) {
     begin();
     int fd = asked_caller();
     target_says("HTTP/1.1 421 Other\r\nTarget-Leaving: 1\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
     fake_word word = first_start;
-    word.change = 2; /* it says of itself that it is there */
+    word.change = 2; /* a heartbeat of the target itself */
     lead(word);
     ck_target_serves();
     one_entry_end();
 }
 END_TEST
 
+/* A draining target finishes its requests and gets no new ones, also without a leader. */
 START_TEST(a_target_that_leaves_gets_nothing_more) {
     begin();
     int fd = asked_caller();
@@ -187,20 +188,19 @@
     close(fd);
 }
 
-/* What callers saw while all targets of a service rested: each request waited 55 ms in vain, and
-   its caller was told to come back within 0.1 to 0.3 s, to the same. No target was there for three
-   seconds, and the host knew it. A caller heeds a third of the time that it has. */
+/* While all targets are in backoff, callers are refused without a wait, with a Retry-After that
+   reaches to the end of the backoff or a third of the caller's deadline. */
 START_TEST(while_all_targets_rest_callers_are_refused_at_once) {
     begin();
     rest_begins();
     ck_refused_at_once("Walnutgate-Deadline-Ms: 30000\r\n", 2.5, 3.5);
     ck_refused_at_once("Walnutgate-Deadline-Ms: 3000\r\n", 0.7, 1.0);
-    ck_refused_at_once("", 0.4, 0.67); /* the route's 2 s are all that is known */
+    ck_refused_at_once("", 0.4, 0.67); /* without a caller deadline: the route's 2 s */
     one_entry_end();
 }
 END_TEST
 
-/* It ends before a request that waits would be refused. */
+/* A backoff that ends within the queue time delays a request instead of refusing it. */
 START_TEST(a_short_rest_is_waited_for) {
     begin();
     int fd = asked_caller();
@@ -212,7 +212,8 @@
 }
 END_TEST
 
-/* A host that begins to coordinate a target asks it what it holds, up to three times. */
+/* A new coordinator queries a target for its cached prompts, up to three times; these queries
+   observe backoff hints and receive them. */
 START_TEST(questions_for_cached_prompts_heed_it_and_tell_of_it) {
     one_entry_begin();
     fake_word word = first_start;
@@ -226,7 +227,7 @@
     ck_assert(strstr(asked->str, "GET /v1/cache"));
     target_says("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
     ck_target_is_left_alone();
-    wg_now_skip(SECOND); /* it would ask again after half a second */
+    wg_now_skip(SECOND); /* beyond the query's retry interval of 0.5 s */
     turns(60);
     ck_assert_int_eq(requests_at_target(), 0);
     wg_now_skip(REST_S * SECOND + SPREAD_MS * MSEC);
--- a/tests/test_entry_standby.c
+++ b/tests/test_entry_standby.c
@@ -1,14 +1,7 @@
 /* test_entry_standby.c -- an entry host that starts while no leader can be elected
 
-   What users saw: with the majority of the replicas gone for good, hosts that had started since
-   refused every request with no_configuration_yet, for 20 s to the end of the run (24,858 requests,
-   3,415 whole), though a replica and a learner with the configuration were up and the targets too.
-   Order of events: two of three voters were lost, then all hosts lost power and came back. Cause:
-   only a leader tells a host its configuration and targets.
-
-   Evidence: "MAJORITY_MISSING voters_up=1" once a second at the replicas, "LEADER_MISSING
-   version=0" and "CONNECTION_REFUSED code=no_configuration_yet version=0 leader=0" at each host, to
-   the end. */
+   Without a quorum such a host must serve by the state of any replica instead of refusing all
+   requests for lack of a configuration. */
 #include "one_entry.h"
 
 enum {
@@ -31,7 +24,6 @@
     fake_control_says(&leader, NULL);
 }
 
-/* The control goes on knowing no leader; the host comes back to it again and again. */
 static void wait_without_leader(int ms) {
     for (int i = 0; i < ms; i++) {
         turns(1);
@@ -81,8 +73,8 @@
 }
 END_TEST
 
-/* A newer configuration may have the key or the route: the request has not run and may come back.
- */
+/* A newer configuration may have the key or the route: the answer is 503 with Retry-After, not a
+   denial. */
 START_TEST(what_that_does_not_allow_is_no_denial) {
     begin(STANDBY_MS);
     fake_word word = word_of(5, document);
@@ -110,7 +102,7 @@
 }
 END_TEST
 
-/* What a leader said last is newer than what a replica that lags holds. */
+/* The state of a replica that lags does not replace newer state from a leader. */
 START_TEST(an_older_configuration_is_not_taken) {
     begin(STANDBY_MS);
     fake_word word = word_of(5, document);
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -1,8 +1,8 @@
-/* test_entry_targets.c -- heartbeats and leaves at one entry host, of targets and of others that
-   write to the same page; the leader runs within the test
+/* test_entry_targets.c -- heartbeats and deregistrations at one entry host, well-formed and not;
+   the leader runs in the process of the test
 
-   What is malformed gets an answer and goes no further: an order that reached the leader could end
-   the target that has the id or the address. */
+   Malformed requests are answered and not passed on: an order that reached the leader could end the
+   target with that id or address. */
 #include "one_entry.h"
 
 static void begin(void) {
@@ -15,7 +15,7 @@
     turns(20);
 }
 
-/* Status of the answer; 0: none. */
+/* Sends an order for target "t-7"; returns the status of the answer, 0: none. */
 static int order(const char* method, const char* body, size_t size) {
     char answer[1024];
     char length[48];
