--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -1,4 +1,4 @@
-/* test_admit.c -- one host admits prompts to a target for the whole fleet */
+/* test_admit.c -- the coordinator of a target decides on admissions for all hosts */
 #include "wg_admit.h"
 #include "wg_test.h"
 
@@ -24,7 +24,7 @@
     return wg_admit_decide(admit, now, &r);
 }
 
-/* However many hosts ask at once, no more is sent than can be read in time. */
+/* Admissions to many hosts at once must not exceed what the target can read in time. */
 START_TEST(many_hosts_do_not_fill_a_target) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     int granted = 0;
@@ -35,7 +35,7 @@
         unread += answer.granted ? answer.unread : 0;
     }
     ck_assert_int_ge(granted, 3);
-    ck_assert_uint_le(unread, 17100); /* 570 ms at 30 tokens a ms */
+    ck_assert_uint_le(unread, 17100); /* tokens: 570 ms at 30 tokens/ms */
     ck_assert_int_eq(wg_admit_num(admit), granted);
     wg_admit_shutdown(admit);
 }
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-/* A host that begins to coordinate a target learns from it what earlier admissions left there. */
+/* A new coordinator takes the parts that the target reports as cached into its account. */
 START_TEST(a_fresh_account_knows_what_the_target_tells) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     const uint64_t first_only[] = {100, 999};
@@ -69,8 +69,7 @@
 }
 END_TEST
 
-/* In no second does a cold target get more than it bears, however many ask and however they come.
- */
+/* A cold target gets no more than its rate in any second. */
 START_TEST(a_cold_target_gets_what_it_bears) {
     enum {
         HOSTS = 90,
@@ -98,7 +97,7 @@
 }
 END_TEST
 
-/* Two coordinators that disagree, each with an account of its own, keep the bound at any rate. */
+/* Two hosts that both take themselves for the coordinator together stay within a bound. */
 START_TEST(two_coordinators_do_not_break_a_cold_target) {
     static const double rates[] = {0.5, 1, 3, 9.8, 10, 30, 400};
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
@@ -119,7 +118,7 @@
 }
 END_TEST
 
-/* Engines give up what was unused for longest. */
+/* Cached parts are evicted in order of last use, as in engines. */
 START_TEST(parts_are_given_up_for_newer_ones) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     ask(0, 1, 1);
@@ -162,34 +161,35 @@
 }
 END_TEST
 
-/* Whoever has more than others gets no room for shared parts that would be read again. */
+/* With `spares_shared`, shared parts that the target would have to read count against the limit. */
 START_TEST(shared_parts_can_count_as_ahead) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.limits.ahead = 30 * MSEC;
     r.limits.spares_shared = true;
-    ck_assert(!wg_admit_decide(admit, 0, &r).granted); /* 6300 tokens to read first */
+    ck_assert(!wg_admit_decide(admit, 0, &r)
+                   .granted); /* the 6300 shared tokens take longer than the limit */
     r.copied = 6300;
     ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_end(admit, 0, 1, 1, false);
-    r.copied = 0; /* they are held now */
+    r.copied = 0; /* the target holds the shared parts now */
     ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
 
-/* One too large to be in time still goes, where little is before it. */
+/* A prompt too large to be in time is still admitted if little is ahead of it. */
 START_TEST(large_prompts_have_a_limit_of_their_own) {
     ck_assert(wg_admit_fits(&in_time, 2000 * MSEC, 100 * MSEC));
     ck_assert(!wg_admit_fits(&in_time, 2000 * MSEC, 200 * MSEC));
     ck_assert(wg_admit_fits(&in_time, 560 * MSEC, 500 * MSEC));
     ck_assert(!wg_admit_fits(&in_time, 600 * MSEC, 500 * MSEC));
     const wg_admit_limits none = {.total = 570 * MSEC};
-    ck_assert(!wg_admit_fits(&none, 100 * MSEC, 0)); /* without patience nothing is sent */
+    ck_assert(!wg_admit_fits(&none, 100 * MSEC, 0)); /* no wait tolerance: nothing is admitted */
 }
 END_TEST
 
-/* Each host would have to find out by itself; the coordinator knows after three. */
+/* The coordinator ejects a target after three failures on any hosts, for a period that doubles. */
 START_TEST(a_target_that_fails_is_put_aside) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     for (uint32_t target = 1; target <= 7; target++) {
@@ -202,17 +202,18 @@
         wg_admit_end(admit, 0, holder, 1, true);
     }
     ck_assert(!ask(100 * MSEC, 4, 1).granted);
-    ck_assert(ask(400 * MSEC, 4, 1).granted); /* let back */
+    ck_assert(ask(400 * MSEC, 4, 1).granted); /* ejection period is over */
     wg_admit_end(admit, 400 * MSEC, 4, 1, true);
-    ck_assert(!ask(900 * MSEC, 4, 2).granted); /* for longer now */
+    ck_assert(!ask(900 * MSEC, 4, 2).granted); /* second, longer ejection */
     ck_assert(ask(1100 * MSEC, 4, 2).granted);
     wg_admit_first_event(admit, 1200 * MSEC, 4, 2);
-    wg_admit_end(admit, 1200 * MSEC, 4, 2, true); /* it had answered: begins anew */
+    wg_admit_end(admit, 1200 * MSEC, 4, 2, true); /* it had answered: failure count starts again */
     ck_assert(ask(1210 * MSEC, 4, 3).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
 
+/* If all targets fail, ejection would leave none. */
 START_TEST(where_all_fail_none_is_put_aside) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     for (uint32_t target = 1; target <= 4; target++) {
@@ -243,7 +244,7 @@
 }
 END_TEST
 
-/* A coordinator that has just begun does not know what its predecessor admitted. */
+/* A new coordinator does not know earlier admissions and uses `floor_unread` until it does. */
 START_TEST(a_fresh_account_counts_what_is_known_otherwise) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
@@ -263,7 +264,7 @@
         wg_admit_request r = request(1, i, 2900);
         r.parts_num = 0;
         wg_admit_decide(admit, (wg_time)i * SECOND, &r);
-        wg_admit_first_event(admit, (wg_time)i * SECOND + 920 * MSEC, 1, i); /* 10 tokens a ms */
+        wg_admit_first_event(admit, (wg_time)i * SECOND + 920 * MSEC, 1, i); /* 10 tokens/ms */
         wg_admit_end(admit, SECOND, 1, i, false);
     }
     wg_admit_request r = request(1, 1000, 2900);
@@ -273,7 +274,7 @@
 }
 END_TEST
 
-/* Random series of questions, ends and lost links: accounts are what is under way, no more. */
+/* After random requests, ends and closed links, accounts contain running requests only. */
 START_TEST(accounts_come_out_even) {
     for (uint64_t seed = 1; seed <= 50; seed++) {
         admit = wg_admit_setup(&(wg_admit_desc){0});
--- a/tests/test_backoff.c
+++ b/tests/test_backoff.c
@@ -1,4 +1,4 @@
-/* test_backoff.c -- what a target asks of a host in an answer, and for how long it holds */
+/* test_backoff.c -- backoff and draining hints in answers of targets, and how long they hold */
 #include "wg_backoff.h"
 #include "wg_test.h"
 
@@ -16,7 +16,7 @@
     return wish;
 }
 
-/* Microseconds that a 503 with this field asks for, an hour at most. */
+/* Backoff period of a 503 with this Retry-After, at most one hour. */
 static wg_time rest_of(const char* value) {
     wg_backoff_hint wish = answer(503, "retry-after", value);
     return wg_backoff_hint_period(&wish, UNIX_TIME, 3600 * SECOND);
@@ -63,7 +63,7 @@
 }
 END_TEST
 
-/* The clocks of the two differ by an hour. */
+/* A clock difference of an hour between host and target must not change the period. */
 START_TEST(a_date_counts_from_the_date_of_the_answer) {
     wg_backoff_hint wish = answer(503, "Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT");
     wg_backoff_read_field(&wish, "Target-Leaving", text_of("Date"),
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-/* Of other statuses the field tells the caller when to come back. */
+/* With other statuses Retry-After is meant for the caller. */
 START_TEST(only_a_request_that_is_turned_away_asks_for_rest) {
     static const int others[] = {200, 301, 413, 429, 500, 502, 504};
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
@@ -113,14 +113,14 @@
 }
 END_TEST
 
-/* All hosts are turned away in one moment. If all came back in one moment the target would have to
-   turn most of them away again. */
+/* Hosts that were refused at once must return at different times, or the target would refuse most
+   of them again. */
 START_TEST(hosts_that_were_asked_at_once_come_back_apart) {
     enum {
         HOSTS = 100
     };
     wg_time at = 7 * SECOND;
-    int early = 0; /* within the first 50 ms of all */
+    int early = 0; /* hosts that return within 50 ms after the period */
     for (uint64_t host = 1; host <= HOSTS; host++) {
         wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){.seed = host});
         ask_for_rest(b, at, 1, "3");
@@ -151,6 +151,7 @@
 }
 END_TEST
 
+/* An unreadable hint is reported once per target, and only with status 503. */
 START_TEST(what_cannot_be_read_is_told_once_a_target) {
     wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
     ck_assert(ask_for_rest(b, SECOND, 1, "soon").unreadable);
@@ -163,7 +164,7 @@
 }
 END_TEST
 
-/* Rests that are over make room first; then what was noted longest ago. */
+/* Expired backoffs are evicted first, then the oldest entries. */
 START_TEST(no_more_targets_are_kept_than_allowed) {
     enum {
         MOST = 8
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -1,4 +1,4 @@
-/* test_balance.c -- where requests go, who gives way, and how often they are sent again */
+/* test_balance.c -- target choice, fair shares and the retry budget */
 #include <math.h>
 
 #include "wg_balance.h"
@@ -40,7 +40,7 @@
     return wg_balance_choose(balance, now, &need);
 }
 
-/* Hosts that never spoke to each other send a prefix to the same targets. */
+/* Hosts agree on the homes of a prefix without communication. */
 START_TEST(a_prefix_has_its_homes_on_every_host) {
     begin(18);
     wg_balance* other = wg_balance_setup(&(wg_balance_desc){.data_centre = "", .seed = 99});
@@ -52,7 +52,7 @@
         wg_choice a = wg_balance_choose(balance, 0, &need);
         wg_choice b = wg_balance_choose(other, 0, &need);
         ck_assert_uint_eq(a.target, b.target);
-        ck_assert_uint_eq(a.unread, 9200); /* nobody has read it yet */
+        ck_assert_uint_eq(a.unread, 9200); /* no target has read the prefix yet */
         used[a.target]++;
     }
     for (int i = 1; i <= 18; i++) {
@@ -82,7 +82,7 @@
 }
 END_TEST
 
-/* A target that is no home takes from a home what it lacks; a home that holds all takes nothing. */
+/* A target that is no home copies missing parts from a home. */
 START_TEST(what_a_home_holds_is_copied) {
     begin(18);
     wg_prompt p = prompt(77, 78);
@@ -91,7 +91,7 @@
     wg_balance_record_prompt(balance, 0, home, &p);
     wg_choice again = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_eq(again.target, home);
-    ck_assert_uint_ne(again.source, 0); /* the second home, for what was given up here */
+    ck_assert_uint_ne(again.source, 0); /* the second home, for parts that were evicted here */
     ck_assert_uint_ne(again.source, home);
     wg_balance_set_others_load(balance, home, 500000, 3);
     wg_choice elsewhere = wg_balance_choose(balance, 1, &need);
@@ -104,8 +104,8 @@
 }
 END_TEST
 
-/* The second home counts as holding the parts, long after the first prompt, but may have given them
-   up: it names the first home all the same. */
+/* The second home is assumed to hold the parts but may have evicted them, so the choice still names
+   the first home as source. */
 START_TEST(the_second_home_copies_what_it_lacks) {
     begin(18);
     wg_prompt p = prompt(77, 78);
@@ -115,13 +115,13 @@
     wg_balance_set_others_load(balance, home, 500000, 3);
     wg_choice second = wg_balance_choose(balance, 5 * SECOND, &need);
     ck_assert_uint_ne(second.target, home);
-    ck_assert_uint_eq(second.unread, 2900); /* it counts as holding them */
+    ck_assert_uint_eq(second.unread, 2900);
     ck_assert_uint_eq(second.source, home);
     end();
 }
 END_TEST
 
-/* A prefix moves with its home: the new one copies what the former one read. */
+/* When a home drains, the new home copies the prefix from the previous one. */
 START_TEST(a_new_home_copies_from_the_former) {
     begin(18);
     wg_prompt p = prompt(77, 78);
@@ -147,7 +147,8 @@
 }
 END_TEST
 
-/* A home that has no room now is still the home: it is copied from, if it is known to hold all. */
+/* A home that denied the request is still the source of copies, if it is known to hold the parts.
+ */
 START_TEST(a_denied_home_is_copied_from) {
     begin(18);
     wg_prompt p = prompt(77, 78);
@@ -166,7 +167,7 @@
 }
 END_TEST
 
-/* A coordinator's word replaces what the leader said, for a moment. */
+/* A load reported by a coordinator replaces the leader's until it is no longer fresh. */
 START_TEST(newer_loads_count) {
     begin(1);
     wg_prompt p = prompt(77, 78);
@@ -186,6 +187,7 @@
 }
 END_TEST
 
+/* Rendezvous hashing: the removal of a target leaves the prefixes of others in place. */
 START_TEST(a_lost_target_moves_only_its_own_prefixes) {
     begin(18);
     uint32_t before[200];
@@ -206,7 +208,7 @@
 }
 END_TEST
 
-/* Many hosts with the same old loads, of which one target has the least. */
+/* Many hosts with the same outdated loads must not all choose the least loaded target. */
 START_TEST(hosts_do_not_all_take_the_least_loaded) {
     begin(90);
     int sent[91] = {0};
@@ -243,6 +245,7 @@
     return wait;
 }
 
+/* The load of other hosts decays over reports, faster in a small fleet. */
 START_TEST(what_others_had_fades) {
     wg_time flooded = wait_after_flood(69, 0);
     ck_assert(wait_after_flood(69, 1) > flooded / 2);
@@ -304,7 +307,7 @@
     return wg_balance_choose(balance, now, &need);
 }
 
-/* One target with PLAIN_SLOTS slots that has shown what a request takes there. */
+/* One target with PLAIN_SLOTS slots, whose service time is learnt. */
 static void begin_plain(void) {
     begin(1);
     wg_target slots = *wg_registry_find(registry, 1);
@@ -319,8 +322,8 @@
     }
 }
 
-/* With 60 ms of work, six slots and 300 ms to answer in, 18 requests more than the slots hold can
-   wait there and be in time. A bound by slots alone sends six. */
+/* Plain requests may queue at a target beyond its slots as long as they can be answered within the
+   limit. */
 START_TEST(a_plain_request_waits_at_a_target_that_answers_in_time) {
     begin_plain();
     wg_time limit = 4 * WORK_MS * MSEC;
@@ -339,7 +342,7 @@
 }
 END_TEST
 
-/* What requests took because others were before them is not taken for their own work. */
+/* Time spent queued behind other requests must not count as service time. */
 START_TEST(the_work_of_a_plain_request_is_learnt_without_its_wait) {
     enum {
         AT_ONCE = 4 * PLAIN_SLOTS
@@ -363,7 +366,7 @@
 }
 END_TEST
 
-/* Targets in two data centres; this host stands in "here". */
+/* `each` targets in each of two data centres; this host is in "here". */
 static void begin_apart(int each) {
     begin(2 * each);
     for (uint32_t i = 1; i <= 2 * (uint32_t)each; i++) {
@@ -388,8 +391,8 @@
     return here;
 }
 
-/* 570 shared tokens cost less to copy than 3 KB between data centres: the request stays here, at a
-   home of its prefix in this data centre. Without that home 93 of these 200 cross. */
+/* A prefix that is cheaper to copy than the request is to send to a remote data centre has a third
+   home in the local one. */
 START_TEST(a_small_prefix_has_a_home_in_each_data_centre) {
     begin_apart(10);
     ck_assert_int_eq(chosen_here(3000), 200);
@@ -409,9 +412,8 @@
 }
 END_TEST
 
-/* Third homes that turn out to lack what they should hold are left for the fleet's two; those that
-   hold it are used again. Where few share a prefix in one data centre, reading it again there cost
-   more than crossing: -0.008 +- 0.002 of worth on nine hosts, -0.001 +- 0.005 with this. */
+/* Third homes that often lack their prefixes are given up for the two homes of the fleet, because
+   reading a prefix again costs more than a remote request. */
 START_TEST(third_homes_that_lack_their_prefixes_are_left) {
     begin_apart(10);
     ck_assert_int_eq(chosen_here(3000), 200);
@@ -427,7 +429,7 @@
 }
 END_TEST
 
-/* Whatever comes, in any order, the accounts end at nothing. */
+/* Loads return to zero after any order of events. */
 START_TEST(accounts_come_out_even) {
     for (uint64_t seed = 1; seed <= 30; seed++) {
         begin(5);
@@ -477,7 +479,7 @@
         back = back || wg_balance_choose(balance, now, &need).target == 1;
     }
     ck_assert(back);
-    /* With nothing else, one that failed is better than none. */
+    /* An ejected target is chosen if there is no other. */
     need.tried_num = 2;
     need.tried[0] = 2;
     need.tried[1] = 3;
@@ -486,7 +488,7 @@
 }
 END_TEST
 
-/* The address of one that crashed was taken over, and no leader could say so yet. */
+/* The address of a crashed target was reused before a leader could report it. */
 START_TEST(a_target_that_moved_gets_nothing_until_its_record_changes) {
     begin(2);
     wg_choice c = {.target = 1};
@@ -509,13 +511,14 @@
 }
 END_TEST
 
+/* A home counts as holding a prefix only after a prompt was sent or a warm-up time has passed. */
 START_TEST(a_cold_fleet_is_not_taken_for_a_warm_one) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_choice c = choose(&p, 0);
     ck_assert_uint_eq(c.unread, p.tokens);
     wg_balance_record_prompt(balance, 0, c.target, &p);
-    ck_assert_uint_eq(choose(&p, 1).unread, 2900); /* sent there */
+    ck_assert_uint_eq(choose(&p, 1).unread, 2900);
     wg_prompt other = prompt(177, 178);
     ck_assert_uint_eq(choose(&other, 1 * SECOND).unread, other.tokens);
     ck_assert_uint_eq(choose(&other, 5 * SECOND).unread, 2900);
@@ -565,24 +568,25 @@
     ck_assert(wg_fair_wait_tolerance(140, &served) < wg_fair_wait_tolerance(120, &served));
     ck_assert(wg_fair_is_far_below_share(40, &both) && !wg_fair_is_far_below_share(60, &both));
     ck_assert(!wg_fair_is_far_below_share(0, &(wg_fair_levels){0}));
-    /* Beyond what is owed it still has what nobody else wants. */
+    /* Beyond its fair share a workspace still gets unused capacity. */
     ck_assert(wg_fair_wait_tolerance(9000, &owed) > 0);
     const wg_fair_levels crowded = {.served = 100, .fair_share = 40};
     ck_assert(wg_fair_wait_tolerance(130, &crowded) < wg_fair_wait_tolerance(95, &crowded));
-    /* A patient host's calls are tried whenever there is room, others a few times at most. */
+    /* Calls with full wait tolerance are tried whenever a slot may be free, others at intervals. */
     ck_assert_int_eq(wg_fair_try_gap(1), 0);
     ck_assert_int_ge(wg_fair_try_gap(0.99), 50 * MSEC);
-    /* Of two that have more than they are owed, the one that others left behind goes first. */
+    /* Of two workspaces beyond their fair share, the one with less usage goes first. */
     const wg_fair_levels roomy = {.served = 400, .fair_share = 100};
     ck_assert(wg_fair_is_behind(194, &roomy) && !wg_fair_is_behind(390, &roomy));
     ck_assert(wg_fair_wait_tolerance(194, &roomy) > 3 * wg_fair_wait_tolerance(390, &roomy));
     ck_assert(!wg_fair_is_behind(99, &both));
-    /* Far beyond others that are refused it has to give way. */
+    /* A workspace far above the level has no wait tolerance. */
     ck_assert(wg_fair_wait_tolerance(200, &served) == 0);
     ck_assert(wg_fair_wait_tolerance(200, &both) == 0);
 }
 END_TEST
 
+/* Confidence drops after late first events and recovers after timely ones. */
 START_TEST(the_margin_follows_what_came) {
     wg_fair_margin margin = {0};
     ck_assert(wg_fair_confidence(&margin) == 1);
@@ -597,10 +601,11 @@
 }
 END_TEST
 
-/* In every window, hosts that come and go and see refusals of everything stay within the budget. */
+/* In every window the fleet stays within the retry budget, though hosts restart and all requests
+   fail. */
 START_TEST(the_fleet_keeps_its_retry_budget) {
     enum {
-        STEPS = 6000, /* of 10 ms */
+        STEPS = 6000, /* 10 ms each */
         HOSTS = 11
     };
     const wg_retry_rules rules = {
@@ -616,7 +621,7 @@
             for (int h = 0; h < HOSTS; h++) {
                 uint64_t random = wg_jitter(seed, (uint64_t)(step * HOSTS + h));
                 if (random % 4000 == 0) {
-                    hosts[h] = (wg_retry){0}; /* started again */
+                    hosts[h] = (wg_retry){0}; /* restarted */
                 }
                 wg_retry_refill(&hosts[h], 10 * MSEC, &rules);
                 int requests = busy ? (int)(random / 4000 % 3) : random / 4000 % 30 == 0;
--- a/tests/test_cold_coordinators.c
+++ b/tests/test_cold_coordinators.c
@@ -1,17 +1,13 @@
-/* test_cold_coordinators.c -- who may grant requests to a cold target, at one entry host that
-   another one asks
-
-   What was seen: a cold target got 24 requests in a second where two coordinators may grant 16, and
-   it bears a little more. The order of events: the host that coordinated it lost power, the leader
-   began anew, and the hosts came up in its list one after the other, four coordinators of the
-   target in 0.2 s. Each granted a second's worth. The cause: a host granted whatever it was asked,
-   whether it took itself for the coordinator or not, and from the moment at which it did. */
+/* test_cold_coordinators.c -- which admissions to a cold target an entry host grants to another one
+
+   A host must grant them only while it is the coordinator, and not at once after it became so;
+   otherwise several coordinators in short order overload the cold target. */
 #include "one_entry.h"
 
 enum {
     COLD_RATE = 3, /* requests a second */
     COLD_CALLS = 12,
-    ANY_TARGET = 77, /* not in this host's registry */
+    ANY_TARGET = 77, /* a target that is not in this host's registry */
     SETTLE_MS = 1000
 };
 
@@ -27,7 +23,7 @@
     turns(20);
 }
 
-/* So long that a host grants again; a leader that says nothing would be left meanwhile. */
+/* Waits until the host may grant again; repeated states keep its link to the leader. */
 static void settle(const char* other_member, uint64_t members_change) {
     enum {
         WORD_MS = 300
@@ -47,7 +43,7 @@
     one_entry_end();
 }
 
-/* ---- another entry host that asks ---- */
+/* ---- another entry host that requests admissions ---- */
 
 static wgn_link asker_link;
 static int admissions_granted;
@@ -76,9 +72,7 @@
     (void)user_data;
 }
 
-/* Ask this host, as another one, for COLD_CALLS admissions to a target that the asker knows as
- * cold.
- */
+/* Requests COLD_CALLS admissions from this host, as another host that knows the target as cold. */
 static void ask_for_admissions(uint32_t target) {
     wgn_peer self = {.name = "other", .role = WGW_ROLE_ENTRY, .address = "127.0.0.1:1"};
     char* fleet = local_address(11, 18005);
@@ -113,9 +107,8 @@
     g_free(fleet);
 }
 
-/* Seed 72010 of the fault soak: a coordinator that had lost the leader did not know a target that
-   had started since, nor that it was cold, and granted all that was asked for, 30 requests in 0.3
-   s. */
+/* A coordinator without a leader may not know a new target, or that it is cold: the request says
+   so. */
 START_TEST(a_coordinator_heeds_that_the_asker_knows_a_target_as_cold) {
     begin();
     ask_for_admissions(ANY_TARGET);
@@ -154,7 +147,7 @@
 }
 END_TEST
 
-/* For a second after another host has gone, what that one granted last counts too. */
+/* A new coordinator waits until admissions by the previous one no longer count. */
 START_TEST(a_host_that_becomes_coordinator_waits_before_it_grants) {
     fake_entry_cold_settle_ms = SETTLE_MS;
     begin();
@@ -170,7 +163,8 @@
 }
 END_TEST
 
-/* Other hosts' coming and going does not matter to the targets that stay with this one. */
+/* A change of members must not delay admissions to targets that this host continues to coordinate.
+ */
 START_TEST(a_host_that_stays_coordinator_goes_on_granting) {
     fake_entry_cold_settle_ms = SETTLE_MS;
     begin();
--- a/tests/test_crashing_request.c
+++ b/tests/test_crashing_request.c
@@ -1,20 +1,7 @@
-/* test_crashing_request.c -- real processes: a request that ends each target that runs it
+/* test_crashing_request.c -- real processes: a request that crashes each target that runs it
 
-   What users saw: targets ended one after the other, 12 to 14 in a row, a third to a half of those
-   there were, and with each one all that ran on it. Other callers of the same kind of request were
-   answered in time in 0.77 to 0.82 of all cases, 0.97 before.
-
-   The order of events: a caller's request ended its target half a second after it had come, before
-   its first event. The caller got 502, it may have run, and sent the same path and body again, to
-   another host, which knew nothing of it and sent it to the next target. After the third end it
-   went on like that, every 0.3 to 1.5 s, from each host in turn.
-
-   The cause: what a host remembers of a failed attempt is charged to the target. Nothing was kept
-   of the request, at the host or in the fleet, so every arrival was a first one.
-
-   The evidence: the logs of the hosts name one workspace, one route and one size of prompt at the
-   ends of five targets from four hosts, each with one attempt and no event; and this test, in which
-   nothing but one body can end a target. */
+   The request must be quarantined at all hosts, so that callers who repeat it at one host after
+   another cannot crash the targets one by one. */
 #include <errno.h>
 #include <event2/buffer.h>
 #include <event2/http.h>
@@ -28,17 +15,17 @@
 enum {
     HOSTS = 5,
     DISKS = 3,
-    TARGETS = 12, /* every other one serves what is asked for */
+    TARGETS = 12, /* every other one serves the requested service */
     FORM_MS = 30000,
-    DOWN_MS = 1500,        /* from the end of a target to its next start */
-    STRIKE_MS = 100,       /* between two arrivals of the request that ends targets */
-    ORDINARY_MS = 20,      /* between two others, on the same path */
-    KNOWN_AFTER_MS = 3000, /* of the third end: from then on all hosts have to know */
-    LATE_MOST = 3,         /* ends after that */
-    ENDS_MOST = 8,         /* in all: three, and what was under way when the third ended */
+    DOWN_MS = 1500,        /* from the crash of a target to its restart */
+    STRIKE_MS = 100,       /* between two requests that crash targets */
+    ORDINARY_MS = 20,      /* between two other requests on the same path */
+    KNOWN_AFTER_MS = 3000, /* after the third crash, until all hosts have to refuse the request */
+    LATE_MOST = 3,         /* crashes after KNOWN_AFTER_MS */
+    ENDS_MOST = 8,         /* all crashes: three, and those by requests running at the third */
     RUN_MS = 10000,
     QUARANTINE_MS = 3000,
-    RESTART_MS = 2000, /* for a fleet whose processes all ended to serve again */
+    RESTART_MS = 2000, /* for a fleet to serve again after all processes were killed */
     HOT_TURNS = 300,
     HOT_WHOLE_PERCENT = 95,
     ANSWER_S = 3
@@ -47,17 +34,17 @@
 typedef struct {
     int sent;
     int whole;
-    int refused; /* 503: not run */
+    int refused; /* 503 */
     int failed;
 } answers;
 
 typedef struct {
     struct event_base* base;
     hosts h;
-    int asked; /* requests so far; each goes to the next host */
+    int asked; /* requests so far; each is sent to the next host */
     answers crashing;
     answers ordinary;
-    wg_time back_at[HOST_TARGETS_MAX]; /* of a target that is down */
+    wg_time back_at[HOST_TARGETS_MAX]; /* restart time of a target that is down */
     wg_time ends[512];
     int ends_num;
 } fleet;
@@ -143,7 +130,7 @@
     *f = (fleet){.base = event_base_new()};
     hosts_setup(&f->h, f->base, HOSTS, DISKS, TARGETS);
     hosts_use_deployed_timing(&f->h);
-    f->h.direct_targets = true; /* a proxy would take connections for a target that is gone */
+    f->h.direct_targets = true; /* a proxy would accept connections for a crashed target */
     for (int i = 0; i < HOSTS; i++) {
         hosts_start_entry(&f->h, &f->h.hosts[i]);
         if (f->h.hosts[i].disk) {
@@ -152,7 +139,8 @@
     }
     f->h.started_before = true;
     for (int i = 0; i < TARGETS; i++) {
-        f->h.targets[i].keeps_id = i % 4 == 0; /* every other one that serves what is asked for */
+        f->h.targets[i].keeps_id =
+            i % 4 == 0; /* every other one that serves the requested service */
         hosts_start_target(&f->h, &f->h.targets[i]);
     }
     ck_assert(hosts_put_until(&f->h, 1, FORM_MS));
@@ -164,7 +152,7 @@
     f->ordinary = (answers){0};
 }
 
-/* `strikes`: the request that ends targets comes too. */
+/* `strikes`: also sends the request that crashes targets. */
 static void run_for(fleet* f, int ms, bool strikes) {
     wg_time until = wg_now() + ms * MSEC;
     for (int turn = 0; wg_now() < until; turn++) {
@@ -190,7 +178,7 @@
     fflush(stdout);
 }
 
-/* Every process of ours ends and starts again at once; targets go on. */
+/* Kills and restarts all entry hosts and replicas; targets continue. */
 static void restart_all(fleet* f) {
     for (int i = 0; i < HOSTS; i++) {
         host* w = &f->h.hosts[i];
@@ -211,7 +199,7 @@
     }
 }
 
-/* Half of the targets that serve what is asked for end, by no request's fault. */
+/* Kills half of the targets that serve the requested service. */
 static void end_half_of_the_targets(fleet* f) {
     for (int i = 0; i < TARGETS; i += 4) {
         if (f->h.targets[i].pid > 0) {
@@ -236,7 +224,8 @@
 }
 END_TEST
 
-/* What was agreed on stands in the log: a fleet that starts anew knows it before it serves. */
+/* A quarantine is in the replicated log: after a restart of the fleet it is in force before any
+   request is served. */
 START_TEST(a_quarantine_outlives_all_processes) {
     fleet f;
     begin(&f);
@@ -254,9 +243,8 @@
 }
 END_TEST
 
-/* The same request, asked for all the time, is under way at each target when half of them end,
-   three times in a row. It ends well elsewhere, so nobody refuses it for long: of a second after
-   each of the three at most. */
+/* A frequent request that runs at each target when half of them are killed must not stay
+   quarantined, as it ends well on other targets. */
 START_TEST(a_request_that_is_only_there_is_not_refused) {
     fleet f;
     answers hot = {0};
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -14,7 +14,7 @@
     BUSY_NUM = 150,
     BUSY_MS = 1,
     STOP_LEAST_MS =
-        3300, /* of a planned stop, which lasts three times the entry_keep_s of 1 s and a margin */
+        3300, /* minimum length of a planned stop: three times entry_keep_s, and the close delay */
     /* Flood requests that may be answered before the work of a disconnected caller is stopped: the
        loop's limit between two checks for higher priorities, for each of the two steps. */
     BEFORE_MOST = 2 * 64
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -1,4 +1,4 @@
-/* test_forward.c -- heads that targets get: nothing of a caller's that only the system may set */
+/* test_forward.c -- headers passed to targets: callers cannot set fields reserved for the system */
 #include <string.h>
 
 #include "platform_names.h"
@@ -35,7 +35,7 @@
     return num;
 }
 
-/* In any case of letters, and repeated. */
+/* Reserved fields are dropped in any case of letters, also if repeated. */
 START_TEST(fields_that_the_system_sets_are_withheld) {
     static const char* const names[] = {"Hold",     "Pin-Ms",          "Kv-Backup",      "Kv-From",
                                         "Kv-Fetch", "Expect-Instance", "Expect-Version", "Tenant",
@@ -76,7 +76,7 @@
 }
 END_TEST
 
-/* The caller's place in a stream stands until this host knows a later one. */
+/* Last-Event-Id of the caller is passed on until this host has a later one. */
 START_TEST(the_last_event_is_the_newest) {
     char* sent = forward("Last-Event-Id: 4\r\n", "");
     ck_assert_int_eq(occurrences(sent, "Last-Event-Id: 4\r\n"), 1);
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-/* Fields behind a chunked body belong to no head: they are read and left out. */
+/* Trailer fields of a chunked body are consumed and dropped. */
 START_TEST(trailers_are_not_handed_on) {
     static const char head_text[] =
         "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,4 +1,4 @@
-/* test_policy.c -- how long requests may wait, and for what */
+/* test_policy.c -- wait limits of requests by objective, fair share and confidence */
 #include "wg_policy.h"
 #include "wg_test.h"
 
@@ -18,7 +18,7 @@
 START_TEST(the_tightest_objective_bounds_all) {
     wg_policy_terms t = terms(0);
     ck_assert_int_eq(wg_policy_limit(&t, 0), 380 * MSEC);
-    ck_assert_int_eq(wg_policy_limit(&t, 600 * MSEC), 190 * MSEC); /* of the 200 ms left */
+    ck_assert_int_eq(wg_policy_limit(&t, 600 * MSEC), 190 * MSEC); /* from the remaining 200 ms */
     wg_fair_margin doubtful = {.value = 0.12};
     t.margin = &doubtful;
     ck_assert_int_lt(wg_policy_limit(&t, 0), 250 * MSEC);
@@ -26,7 +26,7 @@
 }
 END_TEST
 
-/* From full patience below the level to none far above it. */
+/* Wait tolerance is full below the level, reduced above it, none far above it. */
 START_TEST(whoever_has_more_gives_way) {
     wg_policy_terms below = terms(900);
     wg_policy_terms above = terms(1100);
@@ -52,7 +52,8 @@
 }
 END_TEST
 
-/* An attempt that went out and failed is repeated whatever its workspace has. */
+/* A retry after a failed attempt has all admission requests, whatever the usage of its workspace.
+ */
 START_TEST(a_second_attempt_is_tried_in_full) {
     wg_policy_terms far = terms(5000);
     far.sent_before = true;
@@ -60,6 +61,7 @@
 }
 END_TEST
 
+/* With relaxed limits, workspaces below their fair share may be late instead of refused. */
 START_TEST(the_modest_are_sent_late_rather_than_refused) {
     wg_policy_terms t = terms(400);
     ck_assert(wg_policy_may_be_late(&t));
@@ -71,7 +73,7 @@
 }
 END_TEST
 
-/* One that is charged to nobody has full patience, and no shared parts. */
+/* A request that counts for no workspace has full wait tolerance but does not spill over. */
 START_TEST(open_routes_wait_like_anybody) {
     wg_policy_terms t = terms(5000);
     t.counts = false;
@@ -88,7 +90,7 @@
 }
 END_TEST
 
-/* After the rest and apart from each other; at the latest when the caller still heeds it. */
+/* Retry-After is past the backoff, spread at random, and at most a third of the caller's time. */
 START_TEST(callers_come_back_after_a_rest_and_apart) {
     wg_time least = WG_TIME_NEVER;
     wg_time most = 0;
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -1,7 +1,5 @@
-/* test_quarantine.c -- requests that end targets: what is the same request, what counts as
-   evidence, what is agreed on; and random runs of hosts, leaders and targets
-
-   The pure side of test_crashing_request.c, which tells the story. */
+/* test_quarantine.c -- requests that crash targets: fingerprints, evidence and the replicated list
+   of quarantines; and random runs of hosts, leaders and targets */
 #include <event2/buffer.h>
 #include <stdio.h>
 
@@ -61,7 +59,7 @@
 START_TEST(three_ends_of_targets_are_enough) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
     ck_assert(!is_due_after(s, SECOND, 7, 1, false));
-    ck_assert(!is_due_after(s, SECOND, 7, 1, false)); /* copies of it at one target count once */
+    ck_assert(!is_due_after(s, SECOND, 7, 1, false)); /* copies at one target count once */
     ck_assert(!is_due_after(s, SECOND, 7, 2, false));
     ck_assert(!is_due_after(s, SECOND, 8, 3, false)); /* another request */
     ck_assert(is_due_after(s, SECOND, 7, 3, false));
@@ -88,7 +86,7 @@
     ck_assert(!is_due_after(s, 3 * SECOND, 7, 2, true));
     ck_assert(!is_due_after(s, 31 * SECOND, 7, 3, true));
     ck_assert_int_eq(wg_suspects_num(s), 0);
-    /* A new release of its targets may not bear it any more. */
+    /* The clearance expires: a new release of the targets may crash. */
     ck_assert(!is_due_after(s, 33 * SECOND, 7, 4, true));
     ck_assert(is_due_after(s, 34 * SECOND, 7, 5, true));
     wg_suspects_shutdown(s);
@@ -122,7 +120,7 @@
 }
 END_TEST
 
-/* What a host tells a new leader brings that one's book to where the host's stands. */
+/* A new leader rebuilds its evidence from reports of hosts; repeated reports count once. */
 START_TEST(evidence_can_be_told_again) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
     wg_suspects* leader = wg_suspects_setup(&(wg_suspects_desc){0});
@@ -143,7 +141,7 @@
 }
 END_TEST
 
-/* ---- what is agreed on ------------------------------------------------------------------------
+/* ---- the replicated list ----------------------------------------------------------------------
  */
 
 static bool change(wg_quarantine* q, wg_time now, uint64_t fp, const char* workspace, bool begins) {
@@ -184,7 +182,7 @@
     ck_assert(!wg_quarantine_contains(q, 115));
     ck_assert(wg_quarantine_contains(q, 116));
     ck_assert(change(q, 0, 2, "c", true));
-    ck_assert(change(q, 0, 3, "d", true)); /* full: the workspace with most gives way */
+    ck_assert(change(q, 0, 3, "d", true)); /* full: the workspace with the most entries loses one */
     ck_assert_int_eq(wg_quarantine_num(q), 6);
     ck_assert(!wg_quarantine_contains(q, 116));
     ck_assert(wg_quarantine_contains(q, 1));
@@ -201,7 +199,7 @@
     change(q, 0, 9, "v", true);
     change(q, 0, 8, "w", false);
     Wgpb__QuarantineState* state = wg_quarantine_dump(q, 100 * SECOND);
-    wg_quarantine_load(loaded, 2000 * SECOND, state); /* of another process, with another clock */
+    wg_quarantine_load(loaded, 2000 * SECOND, state); /* as a process with another clock */
     wgpb__quarantine_state__free_unpacked(state, NULL);
     ck_assert_uint_eq(wg_quarantine_change(loaded), 4);
     ck_assert_int_eq(wg_quarantine_num(loaded), 2);
@@ -212,7 +210,7 @@
     g_free(list);
     ck_assert(wg_quarantine_contains(copy, 7) && wg_quarantine_contains(copy, 9));
     ck_assert(!wg_quarantine_contains(copy, 8));
-    wg_quarantine_load(copy, 0, NULL); /* of a release that knew none */
+    wg_quarantine_load(copy, 0, NULL); /* snapshot of a release without quarantines */
     ck_assert_int_eq(wg_quarantine_num(copy), 0);
     wg_quarantine_shutdown(q);
     wg_quarantine_shutdown(loaded);
@@ -223,9 +221,9 @@
 /* ---- random runs ------------------------------------------------------------------------------
  */
 
-/* Hosts send requests to targets; two requests end each target that begins them; targets also end
-   by themselves, half of all at once, three times. Evidence reaches the leader late, leaders
-   change, what they knew is gone then. Times are steps of 10 ms. */
+/* Hosts send requests to targets. Two requests crash each target that begins them; three times half
+   of the targets crash at once for other reasons. Evidence reaches the leader with a delay, and a
+   new leader starts without evidence. Times are steps of 10 ms. */
 enum {
     RUN_SEEDS = 200,
     RUN_STEPS = 6000,
@@ -233,12 +231,13 @@
     RUN_TARGETS = 20,
     RUN_CALLS = 400,
     RUN_HARMFUL = 2,
-    RUN_HOT = 4,           /* requests that many callers send all the time */
-    RUN_TELL = 8,          /* steps until evidence is at the leader and a verdict in force */
-    RUN_TAKES_MOST = 200,  /* steps of a request */
-    RUN_DOWN = 300,        /* steps from the end of a target to its next start */
-    RUN_LEADERLESS = 60,   /* steps */
-    RUN_KNOWN_AFTER = 300, /* steps of the third end: then all hosts have to know */
+    RUN_HOT = 4,          /* requests that callers send repeatedly */
+    RUN_TELL = 8,         /* maximum steps until evidence reaches the leader */
+    RUN_TAKES_MOST = 200, /* maximum steps of a request */
+    RUN_DOWN = 300,       /* steps from a crash to the restart of the target */
+    RUN_LEADERLESS = 60,  /* steps of an outage */
+    RUN_KNOWN_AFTER =
+        300, /* steps after the third crash, until all hosts have to refuse the request */
     RUN_LATE_MOST = 3
 };
 
@@ -257,13 +256,13 @@
     uint64_t counter;
     int step;
     run_call calls[RUN_CALLS];
-    uint32_t life[RUN_TARGETS]; /* number of the target's present start */
+    uint32_t life[RUN_TARGETS]; /* number of the target's current incarnation */
     int up_at[RUN_TARGETS];
     uint32_t numbers;
     wg_suspects* hosts[RUN_HOSTS];
     wg_suspects* leader;
     wg_quarantine* list;
-    GArray* told; /* run_word, on their way to the leader */
+    GArray* told; /* run_word, in transit to the leader */
     int leader_at;
     int ended_by[RUN_HARMFUL + 1];
     int third_at[RUN_HARMFUL + 1];
@@ -329,7 +328,7 @@
     r->late[fp] += r->ended_by[fp] > 3 && r->step > r->third_at[fp] + RUN_KNOWN_AFTER;
 }
 
-/* The target ends; who was there is evidence, and comes again once. */
+/* Crashes a target. Its running requests become evidence; harmless ones are sent again once. */
 static void run_end_target(run_state* r, int target) {
     for (int i = 0; i < RUN_CALLS; i++) {
         run_call* call = &r->calls[i];
@@ -369,12 +368,12 @@
             run_finish(r, call);
         } else if (call->live && call->begins > r->step &&
                    run_is_refused(r, call->host, call->fingerprint)) {
-            call->live = false; /* stopped while it waits at the target */
+            call->live = false; /* cancelled while queued at the target */
         }
     }
 }
 
-/* In force at all hosts; those that saw a copy end well say so. */
+/* Quarantines a request at all hosts; hosts at which a copy ended well report so. */
 static void run_begin_quarantine(run_state* r, uint64_t fp) {
     change(r->list, run_now(r), fp, "w", true);
     for (int h = 0; h < RUN_HOSTS; h++) {
@@ -422,7 +421,7 @@
     }
 }
 
-/* Another leader knows nothing; the hosts tell it all that they saw. */
+/* The new leader has no evidence; the hosts report theirs again. */
 static void run_change_leader(run_state* r) {
     wg_suspects_shutdown(r->leader);
     r->leader = wg_suspects_setup(&(wg_suspects_desc){0});
@@ -487,6 +486,7 @@
     return r;
 }
 
+/* Bounds the crashes by a harmful request and the refusals of harmless ones. */
 START_TEST(random_runs_keep_the_bounds) {
     int sent = 0;
     int refused = 0;
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -1,4 +1,5 @@
-/* test_registry.c -- targets that register themselves: late heartbeats, drains, reused addresses */
+/* test_registry.c -- registered targets: outdated heartbeats, draining, reused addresses, restarts
+ */
 #include <stdio.h>
 
 #include "wg_registry.h"
@@ -44,7 +45,7 @@
 }
 END_TEST
 
-/* A heartbeat sent before the drain and come after it must not bring the target back. */
+/* A heartbeat sent before the target began to drain and received later must not revive it. */
 START_TEST(a_late_heartbeat_revives_nobody) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 1);
@@ -59,7 +60,7 @@
 }
 END_TEST
 
-/* A change that was heard and never agreed on has to be asked for again, not acknowledged. */
+/* A change that was received but not committed must be proposed again, not acknowledged. */
 START_TEST(what_was_not_agreed_on_is_no_old_heartbeat) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "a", WG_TARGET_READY, 1);
@@ -70,6 +71,7 @@
 }
 END_TEST
 
+/* A late heartbeat must not register a target that has deregistered. */
 START_TEST(a_leave_without_a_record_is_remembered) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
@@ -105,8 +107,8 @@
 }
 END_TEST
 
-/* The first heartbeat of a target that crashed behind a cut arrives after its successor's: the one
-   that goes on sending heartbeats has the address in the end. */
+/* The first heartbeat of a crashed target may arrive after that of its replacement; the target that
+   continues to send heartbeats keeps the address. */
 START_TEST(a_first_heartbeat_that_comes_late_does_not_end_a_live_target) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "lives", WG_TARGET_READY, 1);
@@ -120,8 +122,8 @@
 }
 END_TEST
 
-/* The same for one that was registered before it crashed: while its successor sends heartbeats, and
-   after it has left by its own word, nothing brings it back. */
+/* Late heartbeats of a crashed target must not replace its replacement, and the replacement's
+   deregistration is final. */
 START_TEST(a_late_heartbeat_does_not_replace_the_successor) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear(r, 0, "crashed", WG_TARGET_READY, 1);
@@ -148,7 +150,7 @@
     return heard;
 }
 
-/* That a target has turned cold is told to all; that it still is, is nothing new. */
+/* Only the transition to cold is a change, not the remaining cold time in each heartbeat. */
 START_TEST(a_target_that_turns_cold_has_changed) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear_cold(r, 0, 1, 3 * SECOND);
@@ -171,7 +173,8 @@
     ck_assert_int_eq(wg_registry_evacuate(r, now, &evacuation), changes);
 }
 
-/* Orders may come twice; what was agreed on outlives the process; at the end targets are cold. */
+/* Repeated orders change nothing, snapshots contain the evacuation, and targets are cold after it.
+ */
 START_TEST(targets_of_an_evacuated_data_centre_take_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_target t = record("a", WG_TARGET_READY, 1, "10.0.0.1:1");
@@ -217,8 +220,8 @@
     g_ptr_array_unref(changes);
 }
 
-/* Copies that follow now and then, and one made from a snapshot, say the same as the original,
-   also past the number of ended records that are kept. */
+/* Copies that are updated irregularly, and one loaded from a snapshot, match the original even
+   after ended records were dropped. */
 START_TEST(copies_follow_past_the_kept_records) {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 8});
@@ -262,7 +265,7 @@
 }
 END_TEST
 
-/* ---- a target that starts again under its id ---- */
+/* ---- restarts under the same id ---- */
 
 static wg_heartbeat_result hear_born(wg_registry* r, wg_time now, uint64_t born,
                                      wg_target_state state, uint64_t sequence) {
@@ -284,7 +287,7 @@
     return last;
 }
 
-/* Its count begins anew; before, it was never heard until it had passed the former one. */
+/* A restarted target counts heartbeats from one again; they must not be taken for outdated ones. */
 START_TEST(a_target_that_starts_again_is_another_incarnation) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear_born(r, 0, 1000, WG_TARGET_READY, 1);
@@ -309,7 +312,7 @@
     ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_DRAINING, 502),
                      WG_HEARTBEAT_OUTDATED);
     ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_REMOVED, 0), WG_HEARTBEAT_OUTDATED);
-    /* Agreed on after it was overtaken. */
+    /* A change of the previous incarnation, committed after the restart. */
     wg_target silent = record("a", WG_TARGET_UNRESPONSIVE, 500, "10.0.0.1:1");
     silent.born = 1000;
     wg_registry_apply(r, 2 * SECOND, &silent);
@@ -322,7 +325,7 @@
 START_TEST(a_target_that_left_may_start_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     hear_born(r, 0, 1000, WG_TARGET_DRAINING, 5);
-    hear_born(r, SECOND, 0, WG_TARGET_REMOVED, 0); /* a leave does not say its start */
+    hear_born(r, SECOND, 0, WG_TARGET_REMOVED, 0); /* a deregistration may lack the incarnation */
     ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 900), WG_HEARTBEAT_OUTDATED);
     ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(last_record(r)->state, WG_TARGET_READY);
@@ -330,7 +333,7 @@
 }
 END_TEST
 
-/* Of two starts under one id, a copy and a snapshot keep both apart. */
+/* A snapshot distinguishes two incarnations of one id. */
 START_TEST(copies_and_snapshots_keep_starts_apart) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_registry* loaded = wg_registry_setup(&(wg_registry_desc){0});
@@ -351,7 +354,7 @@
 }
 END_TEST
 
-/* Ended records are dropped one by one; the one that lives stays listed under the id. */
+/* Ended records of previous incarnations are dropped; the current one stays. */
 START_TEST(many_starts_under_one_id_stay_bounded) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 4});
     for (uint64_t born = 1; born <= 50; born++) {
--- a/tests/test_resting_targets.c
+++ b/tests/test_resting_targets.c
@@ -1,22 +1,8 @@
-/* test_resting_targets.c -- real processes: targets that turn requests away and ask for rest, and
-   targets that say that they leave
+/* test_resting_targets.c -- real processes: targets that refuse requests with a backoff hint, and
+   targets that report that they are draining
 
-   What callers saw: five of eighteen targets of a service turned away all that came, each with a
-   wish for three seconds without requests. Callers got 503 within 5 to 8 ms, again and again; of
-   two kinds of request 0.98 and 0.99 were in time before, 0.63 and 0.78 meanwhile.
-
-   The order of events: a target answered a host 503 with the time that it wanted to rest. The host
-   gave the request's place back and chose among all targets for the next one. The one that had
-   refused in 2 ms had nothing under way, so it was the emptiest, and got eight times as much as
-   those that worked: 54 requests from one host within one rest.
-
-   The cause: an answer that turns a request away was an answer to that request alone. Its fields
-   that speak of the requests to come, Retry-After and the one that says that the target leaves,
-   were read by nobody.
-
-   The evidence: with the wish noted and logged, but not heeded, 310 of 311 refused attempts here
-   were sent with 2.5 s or more of a rest left, so they were chosen after it had begun; and each of
-   them was refused although the other target had room. */
+   A target that refuses quickly looks idle; without backoff it would draw most requests while other
+   targets have free slots. */
 #include <event2/buffer.h>
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
@@ -28,7 +14,7 @@
 enum {
     HOSTS = 3,
     DISKS = 3,
-    TARGETS = 4, /* every other one serves what is asked for */
+    TARGETS = 4, /* every other one serves the requested service */
     FORM_MS = 30000,
     TURN_MS = 16, /* between two requests */
     RUN_MS = 5000,
@@ -83,7 +69,7 @@
     evhttp_make_request(connection, request, EVHTTP_REQ_GET, "/work");
 }
 
-/* Requests at the first `num` hosts, in turn. */
+/* Sends requests to the first `num` hosts in turn. */
 static void ask_for(fleet* f, int num, int ms) {
     wg_time until = wg_now() + ms * MSEC;
     while (wg_now() < until) {
@@ -127,7 +113,7 @@
     f->got = (answers){0};
 }
 
-/* Requests that came to targets against their wish. */
+/* Requests that targets received in spite of a backoff or draining hint. */
 static int unheeded(fleet* f) {
     hosts_notes notes = hosts_read_notes(&f->h);
     int num = (int)notes.unheeded->len;
@@ -173,8 +159,7 @@
 }
 END_TEST
 
-/* Not every target asks for rest. One that turns all away in no time has nothing under way, so it
-   looked the emptiest and drew every request, as in the story above. */
+/* A target that refuses all requests without a hint must not draw requests either. */
 START_TEST(a_target_that_turns_all_away_does_not_draw_requests) {
     fleet f;
     begin(&f);
@@ -188,7 +173,7 @@
 }
 END_TEST
 
-/* It serves on meanwhile and tells nobody but those that it answers. */
+/* The target reports that it drains only in its answers, and continues to serve. */
 START_TEST(a_target_that_says_it_leaves_gets_no_more) {
     fleet f;
     begin(&f);
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -1,25 +1,15 @@
-/* test_router_rest.c -- real processes: targets of a router that turn requests away and ask for
-   rest
+/* test_router_rest.c -- real processes: targets of a router that refuse requests with a backoff
+   hint
 
-   What callers saw: with two targets, one of which turned all away and asked for three seconds
-   without requests, a request was tried there, waited, and was tried again; one in several ended
-   with the target's refusal though the other target had room.
-
-   The cause: of what a target says in its answers a router heeded its load and its leaving, not the
-   rest that it asks for. A target was put aside only after three failures, and a refusal that says
-   that nothing ran is no failure.
-
-   The evidence: with eight callers here 11,450 of 18,990 requests ended with that refusal while the
-   other target had free slots. */
+   Without backoff, requests would fail at such a target while another target has free slots. */
 #include "fleet_common.h"
 
 enum {
-    CALLERS = 8, /* at once, each without a pause */
+    CALLERS = 8, /* concurrent callers, each without a pause */
     REST_S = 3,
-    AT_ONCE_MS = 100 /* of an answer that needs no target */
+    AT_ONCE_MS = 100 /* limit for an answer that needs no target */
 };
 
-/* Callers for so long; all that went wrong is counted. */
 static load_result ask_for(int seconds) {
     load_desc desc = callers(LOAD_KIND_DEFAULT, CALLERS, seconds * SECOND);
     load_result result;
@@ -52,12 +42,12 @@
     int64_t before = lookups_at("service1");
     result = ask_for(1);
     load_clear(&result);
-    ck_assert_int_gt(lookups_at("service1"), before); /* it is back */
+    ck_assert_int_gt(lookups_at("service1"), before); /* the backoff period is over */
     proc_fleet_stop(&fleet);
 }
 END_TEST
 
-/* Not every target asks for rest. */
+/* A target that refuses all requests without a hint must not draw requests either. */
 START_TEST(a_target_that_turns_all_away_does_not_draw_requests) {
     enum {
         WHOLE_PERCENT = 95
@@ -81,7 +71,7 @@
         g_snprintf(name, sizeof name, "service%d", i);
         proc_faults(proc_find(&fleet, name), "refuse=100&rest_ms=20000");
     }
-    load_result result = ask_for(1); /* both have asked for rest */
+    load_result result = ask_for(1); /* puts both targets in backoff */
     load_clear(&result);
     wg_time at = wg_now();
     proc_answer answer =
--- a/tests/test_suspended_host.c
+++ b/tests/test_suspended_host.c
@@ -1,14 +1,13 @@
-/* test_suspended_host.c -- an entry host that was suspended for some seconds, with a leader and a
-   target that run within the test
+/* test_suspended_host.c -- an entry host that was suspended for some seconds; leader and target run
+   in the process of the test
 
-   The clock of all decisions counts the time in which the host was suspended, timers of the loop do
-   not: whatever a timer guards is late by that time. Seen on this test before the mend: a caller
-   whose time was over when the host woke got its answer 1.9 s later. */
+   The host's clock includes the time of suspension, timers of the event loop do not; deadlines that
+   passed meanwhile must be handled at once after the host resumes. */
 #include "one_entry.h"
 
 enum {
     SUSPENDED_MS = 5000,
-    AWAKE_MS = 300 /* in which what is over has to be answered */
+    AWAKE_MS = 300 /* limit for answers to expired requests */
 };
 
 static void begin(void) {
@@ -28,7 +27,7 @@
 }
 END_TEST
 
-/* The link to the leader was not silent, this host did not listen. */
+/* After a suspension the time since last contact must not count against the link to the leader. */
 START_TEST(a_host_that_wakes_keeps_its_leader) {
     begin();
     int reports = leader.reports;
--- a/tests/test_target_read.c
+++ b/tests/test_target_read.c
@@ -1,4 +1,4 @@
-/* test_target_read.c -- what targets say of themselves, and what others write to the same page */
+/* test_target_read.c -- parsing of heartbeats and deregistrations, well-formed and not */
 #include "wg_target_read.h"
 #include "wg_test.h"
 
@@ -33,9 +33,7 @@
 }
 END_TEST
 
-/* Each field by itself: missing, and of other types. Only the cold time and the start may be
- * missing.
- */
+/* Each field in turn is missing or of another type. Only cold_ms and born may be missing. */
 START_TEST(a_field_that_is_missing_or_of_another_type_is_an_error) {
     static const char* const fields[] = {"service", "address",  "data_centre", "version", "slots",
                                          "state",   "sequence", "cold_ms",     "born"};
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -1,4 +1,4 @@
-/* test_usage.c -- usage of workspaces as a host has it, with a leader and without */
+/* test_usage.c -- usage of workspaces at a host, with a leader and without */
 #include <math.h>
 
 #include "wg_test.h"
@@ -10,7 +10,7 @@
     HOSTS = 10
 };
 
-/* A leader's word: one workspace has eight times as much as the other, and both ask for more. */
+/* A ledger with a report in which MOST has eight times the usage of OTHER, and both demand more. */
 static wg_usage_ledger* told(wg_time now) {
     static const wg_usage word[] = {{MOST, 800000, 900000}, {OTHER, 100000, 900000}};
     wg_usage_ledger* book = wg_usage_setup();
@@ -40,8 +40,7 @@
 }
 END_TEST
 
-/* After 1.2 s half of it is left; after 5 s the workspace is as any other, though nobody was served
-   meanwhile. */
+/* A report decays without a leader, so that a workspace above the level does not stay refused. */
 START_TEST(old_word_fades_and_is_dropped) {
     wg_time now = 100 * SECOND;
     wg_usage_ledger* book = told(now);
@@ -54,8 +53,8 @@
 }
 END_TEST
 
-/* Who is served now counts, and gives way to who was not: 20,000 tokens a second here stand for
-   200,000 of ten hosts, 346,000 in the time that usage stands for. */
+/* Without a leader a host extrapolates its own usage to all hosts: 20,000 tokens/s on one of ten
+   hosts stand for 200,000 tokens/s, or 346,000 tokens in the usage window. */
 START_TEST(own_work_stands_for_that_of_others) {
     wg_time now = 100 * SECOND;
     wg_usage_ledger* book = told(now);
@@ -69,7 +68,7 @@
 }
 END_TEST
 
-/* A new leader's word replaces all; what was served before it is not counted again. */
+/* A new report replaces the estimate; usage from before the report is not counted again. */
 START_TEST(new_word_replaces_the_estimate) {
     static const wg_usage word[] = {{OTHER, 5000, 6000}};
     wg_time now = 100 * SECOND;
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -1,4 +1,4 @@
-/* test_watch.c -- lines about late loops and missing things: told again and again, never a flood */
+/* test_watch.c -- rate limits of log lines about event-loop lag and outages */
 #include "wg_test.h"
 #include "wg_watch.h"
 
