--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -18,14 +18,14 @@
     char evacuated[WG_NAME_MAX]; /* data centre of the last evacuation order */
     bool evacuation_begins;
     uint64_t evacuation_cold_us;
-    int crashes;               /* crashes in all reports so far */
-    uint64_t crash_of;         /* fingerprint of the last crash reported */
-    bool crash_was_early;      /* early flag of the last crash reported */
-    uint64_t ended_well;       /* last fingerprint reported as ended well; 0: none */
-    uint64_t quarantine_ended; /* fingerprint that an order released; 0: none */
-    int standby_asks;          /* reports that request the state of a replica without a leader */
-    int target_orders;         /* heartbeats and deregistrations */
-    uint64_t target_born;      /* incarnation in the last target order */
+    int crashes;                   /* crashes in all reports so far */
+    uint64_t crash_fingerprint;    /* fingerprint of the last crash reported */
+    bool crash_was_early;          /* early flag of the last crash reported */
+    uint64_t ended_well;           /* last fingerprint reported as ended well; 0: none */
+    uint64_t released_fingerprint; /* fingerprint that an order released; 0: none */
+    int standby_requests; /* reports that request the state of a replica without a leader */
+    int target_orders;    /* heartbeats and deregistrations */
+    uint64_t target_born; /* incarnation in the last target order */
 } fake_control;
 
 static inline void fake_control_on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
@@ -37,7 +37,8 @@
 }
 
 /* Records and acknowledges orders about evacuations, targets and quarantines. */
-static inline void fake_control_take_order(fake_control* f, wgn_link link, const wgw_frame* frame) {
+static inline void fake_control_handle_order(fake_control* f, wgn_link link,
+                                             const wgw_frame* frame) {
     Wgpb__Order* in = wgpb__order__unpack(NULL, frame->size, frame->payload);
     Wgpb__OrderAnswer answer = WGPB__ORDER_ANSWER__INIT;
     if (in && in->evacuation) {
@@ -58,7 +59,7 @@
         wgn_send(f->net, link, WGW_TYPE_ORDER_ANSWER, &answer.base);
     }
     if (in && in->quarantine) {
-        f->quarantine_ended = in->quarantine->fingerprint;
+        f->released_fingerprint = in->quarantine->fingerprint;
         answer.ticket = in->ticket;
         answer.outcome = WG_ORDER_DONE;
         wgn_send(f->net, link, WGW_TYPE_ORDER_ANSWER, &answer.base);
@@ -66,15 +67,15 @@
     wgpb__order__free_unpacked(in, NULL);
 }
 
-static inline void fake_control_take_report(fake_control* f, const wgw_frame* frame) {
+static inline void fake_control_handle_report(fake_control* f, const wgw_frame* frame) {
     Wgpb__EntryReport* in = wgpb__entry_report__unpack(NULL, frame->size, frame->payload);
     f->reports++;
     f->crashes += (int)in->n_crashes;
     if (in->n_crashes > 0) {
-        f->crash_of = in->crashes[in->n_crashes - 1]->fingerprint;
+        f->crash_fingerprint = in->crashes[in->n_crashes - 1]->fingerprint;
         f->crash_was_early = in->crashes[in->n_crashes - 1]->early;
     }
-    f->standby_asks += in->standby;
+    f->standby_requests += in->standby;
     if (in->n_ended_well > 0) {
         f->ended_well = in->ended_well[0];
     }
@@ -84,10 +85,10 @@
 static inline void fake_control_on_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
     fake_control* f = user_data;
     if (frame->type == WGW_TYPE_ENTRY_REPORT) {
-        fake_control_take_report(f, frame);
+        fake_control_handle_report(f, frame);
     }
     if (frame->type == WGW_TYPE_ORDER) {
-        fake_control_take_order(f, link, frame);
+        fake_control_handle_order(f, link, frame);
     }
 }
 
@@ -188,7 +189,7 @@
     uint64_t quarantine_change;
 } fake_word;
 
-static inline void fake_control_tells(fake_control* f, const fake_word* word, bool leads) {
+static inline void fake_control_send_state(fake_control* f, const fake_word* update, bool leads) {
     Wgpb__Configuration configuration = WGPB__CONFIGURATION__INIT;
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     Wgpb__TargetRecord record = WGPB__TARGET_RECORD__INIT;
@@ -199,53 +200,53 @@
     Wgpb__EntryMember* members[] = {&member, &other};
     char* callers = local_address(11, 18001);
     char id[16];
-    record.number = MAX(word->number, 1);
+    record.number = MAX(update->number, 1);
     g_snprintf(id, sizeof id, "t-%u", record.number);
-    record.id = word->id ? (char*)word->id : id;
-    record.born = word->born;
+    record.id = update->id ? (char*)update->id : id;
+    record.born = update->born;
     record.service = (char*)"e";
-    record.address = (char*)word->target;
+    record.address = (char*)update->target;
     record.data_centre = (char*)"dc";
     record.state = WG_TARGET_READY;
-    record.change = MAX(word->change, 1);
-    record.cold_us = word->cold_us;
+    record.change = MAX(update->change, 1);
+    record.cold_us = update->cold_us;
     member.name = (char*)"here";
     member.address = callers;
     member.data_centre = (char*)"dc";
-    configuration.version = word->version;
+    configuration.version = update->version;
     configuration.document =
-        (ProtobufCBinaryData){strlen(word->document), (uint8_t*)word->document};
+        (ProtobufCBinaryData){strlen(update->document), (uint8_t*)update->document};
     state.leads = leads;
     state.standby = !leads;
     state.term = 1;
     state.leader_address = leads ? f->address : (char*)"";
     state.targets = records;
     replaced = record;
-    replaced.number = word->replaced_number;
+    replaced.number = update->replaced_number;
     replaced.id = (char*)"t-replaced";
     replaced.state = WG_TARGET_REMOVED;
     replaced.replaced = true;
-    state.n_targets = word->replaced_number ? 2 : 1;
-    state.registry_change = MAX(word->change, 1);
+    state.n_targets = update->replaced_number ? 2 : 1;
+    state.registry_change = MAX(update->change, 1);
     state.registry_reset = true;
-    state.evacuated = (char**)&word->evacuated;
-    state.n_evacuated = word->evacuated ? 1 : 0;
+    state.evacuated = (char**)&update->evacuated;
+    state.n_evacuated = update->evacuated ? 1 : 0;
     state.members = members;
-    other.name = (char*)word->other_member;
+    other.name = (char*)update->other_member;
     other.address = (char*)"127.0.0.1:1";
     other.data_centre = (char*)"dc";
-    state.n_members = word->other_member ? 2 : 1;
-    state.members_change = MAX(word->members_change, 1);
+    state.n_members = update->other_member ? 2 : 1;
+    state.members_change = MAX(update->members_change, 1);
     state.members_reset = true;
     state.members_num = 1;
     state.report_ms = 100;
-    state.quarantined = (uint64_t*)word->quarantined;
-    state.n_quarantined = word->quarantined_num;
-    state.quarantine_change = word->quarantine_change;
+    state.quarantined = (uint64_t*)update->quarantined;
+    state.n_quarantined = update->quarantined_num;
+    state.quarantine_change = update->quarantine_change;
     char* controls[] = {f->address};
-    if (word->usage_num > 0) { /* an answer to a report, which lists the controls too */
-        state.usage = word->usage;
-        state.n_usage = word->usage_num;
+    if (update->usage_num > 0) { /* an answer to a report, which lists the controls too */
+        state.usage = update->usage;
+        state.n_usage = update->usage_num;
         state.controls = controls;
         state.n_controls = 1;
     }
@@ -254,11 +255,11 @@
     g_free(callers);
 }
 
-static inline void fake_control_leads(fake_control* f, const fake_word* word) {
-    fake_control_tells(f, word, true);
+static inline void fake_control_leads(fake_control* f, const fake_word* update) {
+    fake_control_send_state(f, update, true);
 }
 
 /* Sends the state that this control has applied, without a leader. */
-static inline void fake_control_stands_by(fake_control* f, const fake_word* word) {
-    fake_control_tells(f, word, false);
+static inline void fake_control_send_standby_state(fake_control* f, const fake_word* update) {
+    fake_control_send_state(f, update, false);
 }
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -13,7 +13,7 @@
 #include "fake_control.h"
 
 enum {
-    TURNS = 3000, /* 1 ms loop turns to wait before something counts as missing */
+    TURNS_MAX = 3000, /* 1 ms loop turns to wait before something counts as missing */
     CALLERS_PORT = 18001,
     READY_PORT = 18002,
     ORDERS_PORT = 18004
@@ -22,15 +22,15 @@
 static struct event_base* base;
 static fake_control leader;
 static wg_entry* entry;
-static char* target_at;
+static char* target_address;
 static struct evconnlistener* listener; /* of the target; NULL: the target has stopped */
 
 /* Bytes that the target received, and the connection on which the last of them came. */
-static GString* asked;
-static struct bufferevent* asked_on;
-static bool hung_up;
+static GString* target_received;
+static struct bufferevent* target_connection;
+static bool target_disconnected;
 
-static void turns(int num) {
+static void run_turns(int num) {
     for (int i = 0; i < num; i++) {
         local_turn(base);
     }
@@ -43,16 +43,16 @@
     (void)user_data;
     char bytes[2048];
     size_t got = bufferevent_read(bev, bytes, sizeof bytes);
-    g_string_append_len(asked, bytes, (gssize)got);
-    asked_on = bev;
+    g_string_append_len(target_received, bytes, (gssize)got);
+    target_connection = bev;
 }
 
 static void target_on_event(struct bufferevent* bev, short what, void* user_data) {
     (void)what;
     (void)user_data;
-    hung_up = true;
-    if (asked_on == bev) {
-        asked_on = NULL;
+    target_disconnected = true;
+    if (target_connection == bev) {
+        target_connection = NULL;
     }
     bufferevent_free(bev);
 }
@@ -71,46 +71,46 @@
 static void target_start(void) {
     struct sockaddr_storage at;
     int size;
-    ck_assert(wgn_parse_address(target_at, &at, &size));
+    ck_assert(wgn_parse_address(target_address, &at, &size));
     listener = evconnlistener_new_bind(base, target_accept, NULL,
                                        LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 16,
                                        (struct sockaddr*)&at, size);
     ck_assert_ptr_nonnull(listener);
 }
 
-static void target_says(const char* bytes) {
-    bufferevent_write(asked_on, bytes, strlen(bytes));
-    turns(20);
+static void target_send(const char* bytes) {
+    bufferevent_write(target_connection, bytes, strlen(bytes));
+    run_turns(20);
 }
 
 static void target_answer(const char* body) {
-    struct evbuffer* out = bufferevent_get_output(asked_on);
+    struct evbuffer* out = bufferevent_get_output(target_connection);
     evbuffer_add_printf(out, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen(body),
                         body);
 }
 
-static void target_breaks_off(void) {
-    bufferevent_free(asked_on);
-    asked_on = NULL;
+static void target_close_connection(void) {
+    bufferevent_free(target_connection);
+    target_connection = NULL;
 }
 
-static void target_ends(void) {
+static void target_stop(void) {
     evconnlistener_free(listener);
     listener = NULL;
-    target_breaks_off();
+    target_close_connection();
 }
 
-static bool target_was_asked(void) {
-    for (int i = 0; i < TURNS && !strstr(asked->str, "\r\n\r\n"); i++) {
+static bool target_got_request(void) {
+    for (int i = 0; i < TURNS_MAX && !strstr(target_received->str, "\r\n\r\n"); i++) {
         local_turn(base);
     }
-    return strstr(asked->str, "\r\n\r\n") != NULL;
+    return strstr(target_received->str, "\r\n\r\n") != NULL;
 }
 
 /* Requests that the target received on all connections. */
 static int requests_at_target(void) {
     int num = 0;
-    for (const char* at = asked->str; (at = strstr(at, " HTTP/1.1\r\n")); at++) {
+    for (const char* at = target_received->str; (at = strstr(at, " HTTP/1.1\r\n")); at++) {
         num++;
     }
     return num;
@@ -122,15 +122,15 @@
 /* Starts the target, the leader and the entry host; the leader has sent nothing yet. */
 static void one_entry_begin(void) {
     base = local_base();
-    asked = g_string_new(NULL);
-    asked_on = NULL;
-    hung_up = false;
-    target_at = local_address(31, 18007);
+    target_received = g_string_new(NULL);
+    target_connection = NULL;
+    target_disconnected = false;
+    target_address = local_address(31, 18007);
     target_start();
     fake_control_begin(base, &leader, 1);
     char* seeds[] = {leader.address, NULL};
     entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && leader.ups == 0; i++) {
+    for (int i = 0; i < TURNS_MAX && leader.ups == 0; i++) {
         local_turn(base);
     }
 }
@@ -142,8 +142,8 @@
         evconnlistener_free(listener);
     }
     event_base_free(base);
-    g_string_free(asked, TRUE);
-    g_free(target_at);
+    g_string_free(target_received, TRUE);
+    g_free(target_address);
 }
 
 /* A route of kind "safe" with one attempt to service "e". */
@@ -166,38 +166,38 @@
         (int)route->version, route->prefix, route->timeout_ms, limits);
     fake_control_leads(
         &leader,
-        &(fake_word){.version = route->version, .document = document, .target = target_at});
+        &(fake_word){.version = route->version, .document = document, .target = target_address});
     g_free(document);
     g_free(limits);
-    turns(20);
+    run_turns(20);
 }
 
 /* ---- callers ----------------------------------------------------------------------------------
  */
 
-static int connected_to(const char* address) {
+static int connect_to(const char* address) {
     struct sockaddr_storage to;
     int size;
     ck_assert(wgn_parse_address(address, &to, &size));
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
     ck_assert(connect(fd, (struct sockaddr*)&to, (socklen_t)size) == 0 || errno == EINPROGRESS);
-    turns(2);
+    run_turns(2);
     return fd;
 }
 
 /* Sends a request to a port of the entry host; returns the connection. */
-static int send_to(int port, const char* method, const char* path, const char* fields) {
+static int send_request(int port, const char* method, const char* path, const char* fields) {
     char* address = local_address(11, port);
     char* request = g_strdup_printf("%s %s HTTP/1.1\r\nHost: h\r\n%s\r\n", method, path, fields);
-    int fd = connected_to(address);
+    int fd = connect_to(address);
     ck_assert_int_eq(send(fd, request, strlen(request), MSG_NOSIGNAL), (ssize_t)strlen(request));
     g_free(request);
     g_free(address);
     return fd;
 }
 
-static int caller(const char* path, const char* fields) {
-    return send_to(CALLERS_PORT, "GET", path, fields);
+static int send_get(const char* path, const char* fields) {
+    return send_request(CALLERS_PORT, "GET", path, fields);
 }
 
 /* Status of the answer, 0 if none arrives within `ms`; `answer` receives its text. */
@@ -215,5 +215,5 @@
 }
 
 static int status_of(int fd, char answer[1024]) {
-    return status_within(fd, answer, TURNS);
+    return status_within(fd, answer, TURNS_MAX);
 }
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -19,7 +19,7 @@
 
 static wg_admit* admit;
 
-static wg_admit_answer ask(wg_time now, uint64_t holder, uint64_t ticket) {
+static wg_admit_answer decide(wg_time now, uint64_t holder, uint64_t ticket) {
     wg_admit_request r = request(holder, ticket, 2900);
     return wg_admit_decide(admit, now, &r);
 }
@@ -30,7 +30,7 @@
     int granted = 0;
     uint64_t unread = 0;
     for (uint64_t holder = 1; holder <= 69; holder++) {
-        wg_admit_answer answer = ask(0, holder, 1);
+        wg_admit_answer answer = decide(0, holder, 1);
         granted += answer.granted;
         unread += answer.granted ? answer.unread : 0;
     }
@@ -43,8 +43,8 @@
 
 START_TEST(shared_parts_are_read_once) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
-    ck_assert_uint_eq(ask(0, 1, 1).unread, 9200);
-    wg_admit_answer second = ask(1, 2, 1);
+    ck_assert_uint_eq(decide(0, 1, 1).unread, 9200);
+    wg_admit_answer second = decide(1, 2, 1);
     ck_assert_uint_eq(second.unread, 2900);
     ck_assert_uint_eq(second.held, 6300);
     ck_assert_uint_eq(second.ahead, 9200);
@@ -57,7 +57,7 @@
     admit = wg_admit_setup(&(wg_admit_desc){0});
     const uint64_t first_only[] = {100, 999};
     wg_admit_record_held_parts(admit, 0, 7, first_only, 2);
-    ck_assert_uint_eq(ask(0, 1, 1).held, 2500);
+    ck_assert_uint_eq(decide(0, 1, 1).held, 2500);
     const uint64_t both[] = {100, 200};
     wg_admit_record_held_parts(admit, 0, 8, both, 2);
     wg_admit_request r = request(1, 2, 2900);
@@ -121,7 +121,7 @@
 /* Cached parts are evicted in order of last use, as in engines. */
 START_TEST(parts_are_given_up_for_newer_ones) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
-    ask(0, 1, 1);
+    decide(0, 1, 1);
     wg_admit_first_event(admit, SECOND, 1, 1);
     for (uint64_t i = 2; i < 30; i++) {
         wg_admit_request other = request(1, i, 6000);
@@ -131,7 +131,7 @@
         ck_assert(wg_admit_decide(admit, SECOND, &other).granted);
         wg_admit_end(admit, SECOND, 1, i, false);
     }
-    ck_assert_uint_eq(ask(2 * SECOND, 2, 1).held, 0);
+    ck_assert_uint_eq(decide(2 * SECOND, 2, 1).held, 0);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -147,7 +147,7 @@
 
 START_TEST(a_refusal_takes_nothing) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
-    ck_assert(ask(0, 9, 9).granted);
+    ck_assert(decide(0, 9, 9).granted);
     wg_admit_request r = request(1, 1, 2900);
     r.parts[0] = 300;
     r.limits.ahead = r.limits.total = r.limits.ahead_large = 1;
@@ -198,17 +198,17 @@
         ck_assert(wg_admit_decide(admit, 0, &r).granted);
     }
     for (uint64_t holder = 1; holder <= 3; holder++) {
-        ck_assert(ask(0, holder, 1).granted);
+        ck_assert(decide(0, holder, 1).granted);
         wg_admit_end(admit, 0, holder, 1, true);
     }
-    ck_assert(!ask(100 * MSEC, 4, 1).granted);
-    ck_assert(ask(400 * MSEC, 4, 1).granted); /* ejection period is over */
+    ck_assert(!decide(100 * MSEC, 4, 1).granted);
+    ck_assert(decide(400 * MSEC, 4, 1).granted); /* ejection period is over */
     wg_admit_end(admit, 400 * MSEC, 4, 1, true);
-    ck_assert(!ask(900 * MSEC, 4, 2).granted); /* second, longer ejection */
-    ck_assert(ask(1100 * MSEC, 4, 2).granted);
+    ck_assert(!decide(900 * MSEC, 4, 2).granted); /* second, longer ejection */
+    ck_assert(decide(1100 * MSEC, 4, 2).granted);
     wg_admit_first_event(admit, 1200 * MSEC, 4, 2);
     wg_admit_end(admit, 1200 * MSEC, 4, 2, true); /* it had answered: failure count starts again */
-    ck_assert(ask(1210 * MSEC, 4, 3).granted);
+    ck_assert(decide(1210 * MSEC, 4, 3).granted);
     wg_admit_shutdown(admit);
 }
 END_TEST
@@ -258,7 +258,7 @@
 
 START_TEST(the_speed_is_learnt) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
-    wg_time before = ask(0, 1, 1000).wait;
+    wg_time before = decide(0, 1, 1000).wait;
     wg_admit_end(admit, 0, 1, 1000, false);
     for (uint64_t i = 1; i < 200; i++) {
         wg_admit_request r = request(1, i, 2900);
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -128,21 +128,21 @@
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     wg_choice first = wg_balance_choose(balance, 0, &need);
     ck_assert_uint_ne(first.source, first.target);
-    wg_target leaving = *wg_registry_find(registry, first.target);
-    leaving.state = WG_TARGET_DRAINING;
-    leaving.sequence++;
-    wg_registry_apply(registry, 1, &leaving);
+    wg_target draining = *wg_registry_find(registry, first.target);
+    draining.state = WG_TARGET_DRAINING;
+    draining.sequence++;
+    wg_registry_apply(registry, 1, &draining);
     wg_balance_sync(balance, 1, registry);
     wg_choice after = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_ne(after.target, first.target);
     ck_assert_uint_eq(after.source, first.target);
-    leaving.state = WG_TARGET_REMOVED;
-    leaving.sequence++;
-    wg_registry_apply(registry, 2, &leaving);
+    draining.state = WG_TARGET_REMOVED;
+    draining.sequence++;
+    wg_registry_apply(registry, 2, &draining);
     wg_balance_sync(balance, 2, registry);
-    wg_choice gone = wg_balance_choose(balance, 2, &need);
-    ck_assert_uint_eq(gone.target, after.target);
-    ck_assert_uint_ne(gone.source, first.target);
+    wg_choice removed = wg_balance_choose(balance, 2, &need);
+    ck_assert_uint_eq(removed.target, after.target);
+    ck_assert_uint_ne(removed.source, first.target);
     end();
 }
 END_TEST
@@ -195,9 +195,9 @@
         wg_prompt p = prompt(i + 1, i + 9000);
         before[i] = choose(&p, 0).target;
     }
-    wg_target gone = *wg_registry_find(registry, 7);
-    gone.state = WG_TARGET_REMOVED;
-    wg_registry_apply(registry, 1, &gone);
+    wg_target removed = *wg_registry_find(registry, 7);
+    removed.state = WG_TARGET_REMOVED;
+    wg_registry_apply(registry, 1, &removed);
     wg_balance_sync(balance, 1, registry);
     for (uint64_t i = 0; i < G_N_ELEMENTS(before); i++) {
         wg_prompt p = prompt(i + 1, i + 9000);
@@ -355,8 +355,8 @@
             wg_balance_begin(balance, 0, &c[i]);
         }
         for (int i = 0; i < AT_ONCE; i++) {
-            wg_time took = (i / PLAIN_SLOTS + 1) * WORK_MS * MSEC;
-            wg_balance_end(balance, took, &c[i], WG_RESULT_SUCCESS);
+            wg_time duration = (i / PLAIN_SLOTS + 1) * WORK_MS * MSEC;
+            wg_balance_end(balance, duration, &c[i], WG_RESULT_SUCCESS);
         }
     }
     wg_time alone = choose_plain(0, SECOND).wait;
@@ -367,7 +367,7 @@
 END_TEST
 
 /* `each` targets in each of two data centres; this host is in "here". */
-static void begin_apart(int each) {
+static void begin_two_data_centres(int each) {
     begin(2 * each);
     for (uint32_t i = 1; i <= 2 * (uint32_t)each; i++) {
         wg_target t = *wg_registry_find(registry, i);
@@ -380,7 +380,7 @@
     wg_balance_sync(balance, 1, registry);
 }
 
-static int chosen_here(uint32_t bytes) {
+static int chosen_local_num(uint32_t bytes) {
     int here = 0;
     for (uint64_t i = 0; i < 200; i++) {
         wg_prompt p = {
@@ -394,9 +394,9 @@
 /* A prefix that is cheaper to copy than the request is to send to a remote data centre has a third
    home in the local one. */
 START_TEST(a_small_prefix_has_a_home_in_each_data_centre) {
-    begin_apart(10);
-    ck_assert_int_eq(chosen_here(3000), 200);
-    ck_assert_int_lt(chosen_here(1000), 180);
+    begin_two_data_centres(10);
+    ck_assert_int_eq(chosen_local_num(3000), 200);
+    ck_assert_int_lt(chosen_local_num(1000), 180);
     wg_prompt p = {.parts = {1000, 9000}, .sizes = {570, 1800}, .num = 2, .tokens = 2370};
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true, .bytes = 3000};
     wg_choice c = wg_balance_choose(balance, 1, &need);
@@ -415,16 +415,16 @@
 /* Third homes that often lack their prefixes are given up for the two homes of the fleet, because
    reading a prefix again costs more than a remote request. */
 START_TEST(third_homes_that_lack_their_prefixes_are_left) {
-    begin_apart(10);
-    ck_assert_int_eq(chosen_here(3000), 200);
+    begin_two_data_centres(10);
+    ck_assert_int_eq(chosen_local_num(3000), 200);
     for (int i = 0; i < 200; i++) {
         wg_balance_record_third_home(balance, false);
     }
-    ck_assert_int_lt(chosen_here(3000), 160);
+    ck_assert_int_lt(chosen_local_num(3000), 160);
     for (int i = 0; i < 200; i++) {
         wg_balance_record_third_home(balance, true);
     }
-    ck_assert_int_eq(chosen_here(3000), 200);
+    ck_assert_int_eq(chosen_local_num(3000), 200);
     end();
 }
 END_TEST
@@ -532,9 +532,9 @@
         wg_choice c = {.target = 1};
         wg_balance_begin(balance, 0, &c);
     }
-    wg_need owed = {.service = "m", .slots = 64};
+    wg_need fair = {.service = "m", .slots = 64};
     wg_need beyond = {.service = "m", .slots = 64, .slots_share = 0.5};
-    ck_assert_uint_eq(wg_balance_choose(balance, 0, &owed).target, 1);
+    ck_assert_uint_eq(wg_balance_choose(balance, 0, &fair).target, 1);
     ck_assert_uint_eq(wg_balance_choose(balance, 0, &beyond).target, 0);
     end();
 }
@@ -546,22 +546,22 @@
     ck_assert(fabs(wg_fair_level((double[]){10, 20, 30}, 3, 60) - 30) < 1e-9);
     ck_assert(wg_fair_level(NULL, 0, 0) == 0);
     for (uint64_t seed = 1; seed <= 200; seed++) {
-        double asked[12];
+        double demand[12];
         double sum = 0;
         for (int i = 0; i < 12; i++) {
-            asked[i] = (double)(wg_jitter(seed, (uint64_t)i) % 1000);
-            sum += asked[i];
+            demand[i] = (double)(wg_jitter(seed, (uint64_t)i) % 1000);
+            sum += demand[i];
         }
         double served = sum * (double)(wg_jitter(seed, 50) % 100) / 100;
-        double level = wg_fair_level(asked, 12, served);
-        double given = 0;
+        double level = wg_fair_level(demand, 12, served);
+        double served_sum = 0;
         for (int i = 0; i < 12; i++) {
-            given += MIN(asked[i], level);
+            served_sum += MIN(demand[i], level);
         }
-        ck_assert(fabs(given - served) < 1e-6);
+        ck_assert(fabs(served_sum - served) < 1e-6);
     }
     const wg_fair_levels served = {.served = 100};
-    const wg_fair_levels owed = {.fair_share = 100};
+    const wg_fair_levels fair = {.fair_share = 100};
     const wg_fair_levels both = {.served = 100, .fair_share = 100};
     ck_assert(wg_fair_wait_tolerance(99, &both) == 1);
     ck_assert(wg_fair_wait_tolerance(99, &(wg_fair_levels){0}) == 1);
@@ -569,7 +569,7 @@
     ck_assert(wg_fair_is_far_below_share(40, &both) && !wg_fair_is_far_below_share(60, &both));
     ck_assert(!wg_fair_is_far_below_share(0, &(wg_fair_levels){0}));
     /* Beyond its fair share a workspace still gets unused capacity. */
-    ck_assert(wg_fair_wait_tolerance(9000, &owed) > 0);
+    ck_assert(wg_fair_wait_tolerance(9000, &fair) > 0);
     const wg_fair_levels crowded = {.served = 100, .fair_share = 40};
     ck_assert(wg_fair_wait_tolerance(130, &crowded) < wg_fair_wait_tolerance(95, &crowded));
     /* Calls with full wait tolerance are tried whenever a slot may be free, others at intervals. */
@@ -612,10 +612,10 @@
         .percent = 20, .slack = 58, .window = 10 * SECOND, .hosts = HOSTS};
     for (uint64_t seed = 1; seed <= 12; seed++) {
         wg_retry hosts[HOSTS] = {0};
-        static int firsts[STEPS];
-        static int agains[STEPS];
-        memset(firsts, 0, sizeof firsts);
-        memset(agains, 0, sizeof agains);
+        static int first_sends[STEPS];
+        static int retries[STEPS];
+        memset(first_sends, 0, sizeof first_sends);
+        memset(retries, 0, sizeof retries);
         for (int step = 0; step < STEPS; step++) {
             bool busy = step / 700 % 2 == 0;
             for (int h = 0; h < HOSTS; h++) {
@@ -627,8 +627,8 @@
                 int requests = busy ? (int)(random / 4000 % 3) : random / 4000 % 30 == 0;
                 for (int i = 0; i < requests; i++) {
                     wg_retry_record_first_send(&hosts[h], &rules);
-                    firsts[step]++;
-                    agains[step] += wg_retry_take(&hosts[h], &rules);
+                    first_sends[step]++;
+                    retries[step] += wg_retry_take(&hosts[h], &rules);
                 }
             }
         }
@@ -636,8 +636,8 @@
             int first = 0;
             int again = 0;
             for (int i = from; i < from + 1000; i++) {
-                first += firsts[i];
-                again += agains[i];
+                first += first_sends[i];
+                again += retries[i];
             }
             ck_assert_msg(again <= first * 20 / 100 + 58, "seed %d: %d of %d", (int)seed, again,
                           first);
--- a/tests/test_cold_coordinators.c
+++ b/tests/test_cold_coordinators.c
@@ -17,20 +17,20 @@
         "\"workspaces\":[]}";
     fake_control_leads(&leader, &(fake_word){.version = 5,
                                              .document = document,
-                                             .target = target_at,
+                                             .target = target_address,
                                              .other_member = other_member,
                                              .members_change = members_change});
-    turns(20);
+    run_turns(20);
 }
 
 /* Waits until the host may grant again; repeated states keep its link to the leader. */
 static void settle(const char* other_member, uint64_t members_change) {
     enum {
-        WORD_MS = 300
+        STATE_INTERVAL_MS = 300
     };
-    for (int ms = 0; ms < SETTLE_MS + WORD_MS; ms += WORD_MS) {
+    for (int ms = 0; ms < SETTLE_MS + STATE_INTERVAL_MS; ms += STATE_INTERVAL_MS) {
         lead(other_member, members_change);
-        turns(WORD_MS);
+        run_turns(STATE_INTERVAL_MS);
     }
 }
 
@@ -45,17 +45,17 @@
 
 /* ---- another entry host that requests admissions ---- */
 
-static wgn_link asker_link;
+static wgn_link requester_link;
 static int admissions_granted;
 static int admissions_answered;
 
-static void asker_on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
+static void requester_on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)peer;
     (void)user_data;
-    asker_link = link;
+    requester_link = link;
 }
 
-static void asker_on_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
+static void requester_on_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
     (void)link;
     (void)user_data;
     if (frame->type == WGW_TYPE_ADMIT_ANSWER) {
@@ -66,40 +66,40 @@
     }
 }
 
-static void asker_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
+static void requester_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
     (void)user_data;
 }
 
 /* Requests COLD_CALLS admissions from this host, as another host that knows the target as cold. */
-static void ask_for_admissions(uint32_t target) {
+static void request_admissions(uint32_t target) {
     wgn_peer self = {.name = "other", .role = WGW_ROLE_ENTRY, .address = "127.0.0.1:1"};
     char* fleet = local_address(11, 18005);
-    asker_link = (wgn_link){0};
+    requester_link = (wgn_link){0};
     admissions_answered = admissions_granted = 0;
     wgn_net* net = wgn_setup(&(wgn_desc){.base = base,
                                          .fleet_key = "a key for the fleet",
                                          .self = self,
-                                         .on_up = asker_on_up,
-                                         .on_frame = asker_on_frame,
-                                         .on_down = asker_on_down},
+                                         .on_up = requester_on_up,
+                                         .on_frame = requester_on_frame,
+                                         .on_down = requester_on_down},
                              NULL);
     wgn_dial(net, fleet);
-    for (int i = 0; i < TURNS && !asker_link.id; i++) {
+    for (int i = 0; i < TURNS_MAX && !requester_link.id; i++) {
         local_turn(base);
     }
-    ck_assert_uint_ne(asker_link.id, 0);
+    ck_assert_uint_ne(requester_link.id, 0);
     for (uint64_t ticket = 1; ticket <= COLD_CALLS; ticket++) {
-        Wgpb__AdmitAsk ask = WGPB__ADMIT_ASK__INIT;
-        ask.ticket = ticket;
-        ask.target = target;
-        ask.tokens = 10;
-        ask.whole_us = ask.ahead_us = ask.ahead_large_us = 1000 * WG_USEC_PER_SEC;
-        ask.cold_rate = COLD_RATE;
-        ck_assert(wgn_send(net, asker_link, WGW_TYPE_ADMIT_ASK, &ask.base));
+        Wgpb__AdmitAsk request = WGPB__ADMIT_ASK__INIT;
+        request.ticket = ticket;
+        request.target = target;
+        request.tokens = 10;
+        request.whole_us = request.ahead_us = request.ahead_large_us = 1000 * WG_USEC_PER_SEC;
+        request.cold_rate = COLD_RATE;
+        ck_assert(wgn_send(net, requester_link, WGW_TYPE_ADMIT_ASK, &request.base));
     }
-    for (int i = 0; i < TURNS && admissions_answered < COLD_CALLS; i++) {
+    for (int i = 0; i < TURNS_MAX && admissions_answered < COLD_CALLS; i++) {
         local_turn(base);
     }
     ck_assert_int_eq(admissions_answered, COLD_CALLS);
@@ -111,7 +111,7 @@
    so. */
 START_TEST(a_coordinator_heeds_that_the_asker_knows_a_target_as_cold) {
     begin();
-    ask_for_admissions(ANY_TARGET);
+    request_admissions(ANY_TARGET);
     ck_assert_int_eq(admissions_granted, COLD_RATE);
     end();
 }
@@ -120,7 +120,7 @@
 START_TEST(a_coordinator_that_has_just_started_grants_no_cold_target) {
     fake_entry_cold_settle_ms = 60000;
     begin();
-    ask_for_admissions(ANY_TARGET);
+    request_admissions(ANY_TARGET);
     ck_assert_int_eq(admissions_granted, 0);
     end();
     fake_entry_cold_settle_ms = 0;
@@ -128,7 +128,7 @@
 END_TEST
 
 /* The first target of which the other host is the coordinator. */
-static uint32_t target_of(const char* other) {
+static uint32_t target_coordinated_by(const char* other) {
     uint64_t here = wg_hash("here", strlen("here"), 0);
     uint64_t there = wg_hash(other, strlen(other), 0);
     uint32_t target = ANY_TARGET;
@@ -141,7 +141,7 @@
 START_TEST(a_host_grants_no_cold_target_that_another_one_coordinates) {
     begin();
     lead("there", 2);
-    ask_for_admissions(target_of("there"));
+    request_admissions(target_coordinated_by("there"));
     ck_assert_int_eq(admissions_granted, 0);
     end();
 }
@@ -153,10 +153,10 @@
     begin();
     settle("there", 2);
     lead(NULL, 3);
-    ask_for_admissions(target_of("there"));
+    request_admissions(target_coordinated_by("there"));
     ck_assert_int_eq(admissions_granted, 0);
     settle(NULL, 3);
-    ask_for_admissions(target_of("there"));
+    request_admissions(target_coordinated_by("there"));
     ck_assert_int_eq(admissions_granted, COLD_RATE);
     end();
     fake_entry_cold_settle_ms = 0;
@@ -176,7 +176,7 @@
     while (wg_hash(&own, sizeof own, there) > wg_hash(&own, sizeof own, here)) {
         own++;
     }
-    ask_for_admissions(own);
+    request_admissions(own);
     ck_assert_int_eq(admissions_granted, COLD_RATE);
     end();
     fake_entry_cold_settle_ms = 0;
--- a/tests/test_crashing_request.c
+++ b/tests/test_crashing_request.c
@@ -18,22 +18,22 @@
     TARGETS = 12, /* every other one serves the requested service */
     FORM_MS = 30000,
     DOWN_MS = 1500,        /* from the crash of a target to its restart */
-    STRIKE_MS = 100,       /* between two requests that crash targets */
+    CRASHING_MS = 100,     /* between two requests that crash targets */
     ORDINARY_MS = 20,      /* between two other requests on the same path */
     KNOWN_AFTER_MS = 3000, /* after the third crash, until all hosts have to refuse the request */
-    LATE_MOST = 3,         /* crashes after KNOWN_AFTER_MS */
-    ENDS_MOST = 8,         /* all crashes: three, and those by requests running at the third */
+    LATE_MAX = 3,          /* crashes after KNOWN_AFTER_MS */
+    CRASHES_MAX = 8,       /* all crashes: three, and those by requests running at the third */
     RUN_MS = 10000,
     QUARANTINE_MS = 3000,
     RESTART_MS = 2000, /* for a fleet to serve again after all processes were killed */
-    HOT_TURNS = 300,
-    HOT_WHOLE_PERCENT = 95,
+    HOT_ROUNDS = 300,
+    HOT_COMPLETE_PERCENT = 95,
     ANSWER_S = 3
 };
 
 typedef struct {
     int sent;
-    int whole;
+    int complete;
     int refused; /* 503 */
     int failed;
 } answers;
@@ -45,8 +45,8 @@
     answers crashing;
     answers ordinary;
     wg_time back_at[HOST_TARGETS_MAX]; /* restart time of a target that is down */
-    wg_time ends[512];
-    int ends_num;
+    wg_time crash_times[512];
+    int crashes_num;
 } fleet;
 
 typedef struct {
@@ -60,13 +60,13 @@
 static void on_answer(struct evhttp_request* request, void* user_data) {
     asked* a = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    a->to->whole += status == 200;
+    a->to->complete += status == 200;
     a->to->refused += status == 503;
     a->to->failed += status != 200 && status != 503;
     g_free(a);
 }
 
-static void ask(fleet* f, answers* to, const char* body) {
+static void send_request(fleet* f, answers* to, const char* body) {
     const host* w = &f->h.hosts[f->asked++ % HOSTS];
     char ip[WG_ADDRESS_MAX];
     char id[32];
@@ -87,38 +87,38 @@
     evhttp_make_request(connection, request, EVHTTP_REQ_POST, "/work");
 }
 
-static void ask_ordinary(fleet* f) {
+static void send_ordinary(fleet* f) {
     char body[32];
     g_snprintf(body, sizeof body, "ordinary %d", f->asked);
-    ask(f, &f->ordinary, body);
+    send_request(f, &f->ordinary, body);
 }
 
-static void ask_crashing(fleet* f) {
-    ask(f, &f->crashing, "ends the target");
+static void send_crashing(fleet* f) {
+    send_request(f, &f->crashing, "ends the target");
 }
 
 /* ---- targets ----------------------------------------------------------------------------------
  */
 
-static void look_after_targets(fleet* f) {
+static void restart_targets(fleet* f) {
     wg_time now = wg_now();
     for (int i = 0; i < f->h.targets_num; i++) {
         host_target* t = &f->h.targets[i];
         if (t->pid > 0 && waitpid(t->pid, NULL, WNOHANG) == t->pid) {
             t->pid = 0;
             f->back_at[i] = now + DOWN_MS * MSEC;
-            ck_assert_int_lt(f->ends_num, (int)G_N_ELEMENTS(f->ends));
-            f->ends[f->ends_num++] = now;
+            ck_assert_int_lt(f->crashes_num, (int)G_N_ELEMENTS(f->crash_times));
+            f->crash_times[f->crashes_num++] = now;
         } else if (t->pid == 0 && now >= f->back_at[i]) {
             hosts_start_target(&f->h, t);
         }
     }
 }
 
-static int ends_after_known(const fleet* f) {
+static int crashes_after_known(const fleet* f) {
     int late = 0;
-    for (int i = 3; i < f->ends_num; i++) {
-        late += f->ends[i] > f->ends[2] + KNOWN_AFTER_MS * MSEC;
+    for (int i = 3; i < f->crashes_num; i++) {
+        late += f->crash_times[i] > f->crash_times[2] + KNOWN_AFTER_MS * MSEC;
     }
     return late;
 }
@@ -144,24 +144,25 @@
         hosts_start_target(&f->h, &f->h.targets[i]);
     }
     ck_assert(hosts_put_until(&f->h, 1, FORM_MS));
-    for (int tries = 0; f->ordinary.whole < HOSTS * 4 && tries < FORM_MS / ORDINARY_MS; tries++) {
-        ask_ordinary(f);
+    for (int tries = 0; f->ordinary.complete < HOSTS * 4 && tries < FORM_MS / ORDINARY_MS;
+         tries++) {
+        send_ordinary(f);
         hosts_run_for(&f->h, ORDINARY_MS);
     }
-    ck_assert_int_ge(f->ordinary.whole, HOSTS * 4);
+    ck_assert_int_ge(f->ordinary.complete, HOSTS * 4);
     f->ordinary = (answers){0};
 }
 
-/* `strikes`: also sends the request that crashes targets. */
-static void run_for(fleet* f, int ms, bool strikes) {
+/* `with_crashing`: also sends the request that crashes targets. */
+static void run_for(fleet* f, int ms, bool with_crashing) {
     wg_time until = wg_now() + ms * MSEC;
     for (int turn = 0; wg_now() < until; turn++) {
-        ask_ordinary(f);
-        if (strikes && turn % (STRIKE_MS / ORDINARY_MS) == 0) {
-            ask_crashing(f);
+        send_ordinary(f);
+        if (with_crashing && turn % (CRASHING_MS / ORDINARY_MS) == 0) {
+            send_crashing(f);
         }
         hosts_run_for(&f->h, ORDINARY_MS);
-        look_after_targets(f);
+        restart_targets(f);
     }
 }
 
@@ -170,11 +171,11 @@
     event_base_free(f->base);
 }
 
-static void tell(const fleet* f, int late) {
+static void print_result(const fleet* f, int late) {
     printf("%d targets ended, %d of them late; crashing %d sent, %d refused, %d failed; "
            "ordinary %d sent, %d whole, %d refused, %d failed\n",
-           f->ends_num, late, f->crashing.sent, f->crashing.refused, f->crashing.failed,
-           f->ordinary.sent, f->ordinary.whole, f->ordinary.refused, f->ordinary.failed);
+           f->crashes_num, late, f->crashing.sent, f->crashing.refused, f->crashing.failed,
+           f->ordinary.sent, f->ordinary.complete, f->ordinary.refused, f->ordinary.failed);
     fflush(stdout);
 }
 
@@ -200,7 +201,7 @@
 }
 
 /* Kills half of the targets that serve the requested service. */
-static void end_half_of_the_targets(fleet* f) {
+static void kill_half_of_the_targets(fleet* f) {
     for (int i = 0; i < TARGETS; i += 4) {
         if (f->h.targets[i].pid > 0) {
             kill(f->h.targets[i].pid, SIGKILL);
@@ -215,12 +216,12 @@
     fleet f;
     begin(&f);
     run_for(&f, RUN_MS, true);
-    int late = ends_after_known(&f);
-    bool good = f.ends_num >= 2 && late <= LATE_MOST && f.ends_num <= ENDS_MOST;
-    tell(&f, late);
+    int late = crashes_after_known(&f);
+    bool good = f.crashes_num >= 2 && late <= LATE_MAX && f.crashes_num <= CRASHES_MAX;
+    print_result(&f, late);
     end(&f, good);
     ck_assert_msg(good, "%d targets ended, %d of them when all hosts had to know; logs in %s",
-                  f.ends_num, late, f.h.folder);
+                  f.crashes_num, late, f.h.folder);
 }
 END_TEST
 
@@ -230,16 +231,17 @@
     fleet f;
     begin(&f);
     run_for(&f, QUARANTINE_MS, true);
-    int before = f.ends_num;
+    int before = f.crashes_num;
     restart_all(&f);
     run_for(&f, RESTART_MS, true);
     f.ordinary = (answers){0};
     run_for(&f, QUARANTINE_MS, true);
-    tell(&f, f.ends_num - before);
-    bool good = before >= 2 && f.ends_num == before && f.ordinary.whole > f.ordinary.sent * 9 / 10;
+    print_result(&f, f.crashes_num - before);
+    bool good =
+        before >= 2 && f.crashes_num == before && f.ordinary.complete > f.ordinary.sent * 9 / 10;
     end(&f, good);
     ck_assert_msg(good, "%d targets ended before all processes did, %d afterwards; logs in %s",
-                  before, f.ends_num - before, f.h.folder);
+                  before, f.crashes_num - before, f.h.folder);
 }
 END_TEST
 
@@ -249,22 +251,22 @@
     fleet f;
     answers hot = {0};
     begin(&f);
-    for (int turn = 0; turn < HOT_TURNS; turn++) {
-        ask(&f, &hot, "the same for all");
-        ask(&f, &hot, "the same for all");
-        if (turn % (HOT_TURNS / 3) == HOT_TURNS / 6) {
-            end_half_of_the_targets(&f);
+    for (int turn = 0; turn < HOT_ROUNDS; turn++) {
+        send_request(&f, &hot, "the same for all");
+        send_request(&f, &hot, "the same for all");
+        if (turn % (HOT_ROUNDS / 3) == HOT_ROUNDS / 6) {
+            kill_half_of_the_targets(&f);
         }
         hosts_run_for(&f.h, ORDINARY_MS);
-        look_after_targets(&f);
+        restart_targets(&f);
     }
     printf("%d targets ended; the same request %d sent, %d whole, %d refused, %d failed\n",
-           f.ends_num, hot.sent, hot.whole, hot.refused, hot.failed);
+           f.crashes_num, hot.sent, hot.complete, hot.refused, hot.failed);
     fflush(stdout);
-    bool good = f.ends_num >= 6 && hot.whole >= hot.sent * HOT_WHOLE_PERCENT / 100;
+    bool good = f.crashes_num >= 6 && hot.complete >= hot.sent * HOT_COMPLETE_PERCENT / 100;
     end(&f, good);
-    ck_assert_msg(good, "%d of %d whole, %d refused; logs in %s", hot.whole, hot.sent, hot.refused,
-                  f.h.folder);
+    ck_assert_msg(good, "%d of %d whole, %d refused; logs in %s", hot.complete, hot.sent,
+                  hot.refused, f.h.folder);
 }
 END_TEST
 
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -12,7 +12,7 @@
 
 enum {
     CALLERS_MAX = 8,
-    TURNS = 400 /* 1 ms loop turns to wait before an answer counts as missing */
+    TURNS_MAX = 400 /* 1 ms loop turns to wait before an answer counts as missing */
 };
 
 static struct event_base* base;
@@ -61,7 +61,7 @@
     g_usleep(1000);
 }
 
-static int caller(void) {
+static int connect_caller(void) {
     char* text = address(1);
     *strchr(text, ':') = 0;
     struct sockaddr_in to = {.sin_family = AF_INET, .sin_port = htons(port)};
@@ -74,18 +74,18 @@
 }
 
 /* Status of the answer to one request; 0 if none arrived. */
-static int ask(int fd) {
+static int request_status(int fd) {
     static const char request[] = "GET /x/ HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[512] = "";
     ssize_t sent = -1;
-    for (int i = 0; i < TURNS && sent < 0; i++) {
+    for (int i = 0; i < TURNS_MAX && sent < 0; i++) {
         turn();
         sent = send(fd, request, sizeof request - 1, MSG_NOSIGNAL);
         if (sent < 0 && errno != EAGAIN && errno != ENOTCONN) {
             return 0;
         }
     }
-    for (int i = 0; i < TURNS; i++) {
+    for (int i = 0; i < TURNS_MAX; i++) {
         turn();
         ssize_t got = recv(fd, answer, sizeof answer - 1, 0);
         if (got > 0) {
@@ -111,12 +111,13 @@
     int callers[CALLERS_MAX + 3];
     begin(CALLERS_MAX, 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
-        callers[i] = caller();
-        ck_assert_int_eq(ask(callers[i]), 503);
+        callers[i] = connect_caller();
+        ck_assert_int_eq(request_status(callers[i]), 503);
     }
-    ck_assert_int_eq(ask(callers[0]), 503); /* callers[1] has now been idle for longest */
-    callers[CALLERS_MAX] = caller();
-    ck_assert_int_eq(ask(callers[CALLERS_MAX]), 503);
+    ck_assert_int_eq(request_status(callers[0]),
+                     503); /* callers[1] has now been idle for longest */
+    callers[CALLERS_MAX] = connect_caller();
+    ck_assert_int_eq(request_status(callers[CALLERS_MAX]), 503);
     ck_assert(is_closed(callers[1]));
     ck_assert(!is_closed(callers[0]));
     ck_assert(!is_closed(callers[2]));
@@ -132,17 +133,17 @@
     int callers[CALLERS_MAX];
     begin(CALLERS_MAX, 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
-        callers[i] = caller();
+        callers[i] = connect_caller();
         ck_assert_int_eq(send(callers[i], "GET ", 4, MSG_NOSIGNAL), 4);
         turn();
     }
-    int late = caller();
-    ck_assert_int_eq(ask(late), 0);
+    int last = connect_caller();
+    ck_assert_int_eq(request_status(last), 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
         ck_assert(!is_closed(callers[i]));
         close(callers[i]);
     }
-    close(late);
+    close(last);
     end();
 }
 END_TEST
@@ -155,14 +156,14 @@
     char answer[512] = "";
     begin(CALLERS_MAX, 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
-        callers[i] = caller();
-        ck_assert_int_eq(ask(callers[i]), 503);
+        callers[i] = connect_caller();
+        ck_assert_int_eq(request_status(callers[i]), 503);
     }
     struct sockaddr_in host;
     socklen_t size = sizeof host;
     ck_assert_int_eq(getpeername(callers[0], (struct sockaddr*)&host, &size), 0);
-    int late = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-    ck_assert(connect(late, (struct sockaddr*)&host, size) == 0 || errno == EINPROGRESS);
+    int last = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    ck_assert(connect(last, (struct sockaddr*)&host, size) == 0 || errno == EINPROGRESS);
     ck_assert_int_gt(send(callers[0], request, sizeof request - 1, MSG_NOSIGNAL), 0);
     for (int i = 0; i < 50; i++) {
         turn();
@@ -170,11 +171,11 @@
     ck_assert_int_gt(recv(callers[0], answer, sizeof answer - 1, 0), 0);
     ck_assert_int_eq(strtol(answer + strlen("HTTP/1.1 "), NULL, 10), 503);
     ck_assert(is_closed(callers[1])); /* the longest idle connection without an unread request */
-    ck_assert_int_eq(ask(late), 503);
+    ck_assert_int_eq(request_status(last), 503);
     for (int i = 0; i < CALLERS_MAX; i++) {
         close(callers[i]);
     }
-    close(late);
+    close(last);
     end();
 }
 END_TEST
@@ -182,12 +183,12 @@
 START_TEST(descriptors_bound_the_callers) {
     int first;
     begin(1000, 10); /* leaves seven descriptors for callers */
-    first = caller();
-    ck_assert_int_eq(ask(first), 503);
+    first = connect_caller();
+    ck_assert_int_eq(request_status(first), 503);
     int others[7];
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
-        others[i] = caller();
-        ck_assert_int_eq(ask(others[i]), 503);
+        others[i] = connect_caller();
+        ck_assert_int_eq(request_status(others[i]), 503);
     }
     ck_assert(is_closed(first));
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -7,25 +7,25 @@
 #include <signal.h>
 
 enum {
-    FLOOD = 480, /* callers; fewer than the 512 of the listen backlog */
+    FLOOD_NUM = 480, /* callers; fewer than the 512 of the listen backlog */
     TIMEOUT_MS = 30000,
     IDLE_MS = 10000, /* longer than a test takes on a busy machine */
     TICK_MS = 60,    /* a little more than the tick of an entry host */
     BUSY_NUM = 150,
     BUSY_MS = 1,
-    STOP_LEAST_MS =
+    STOP_MIN_MS =
         3300, /* minimum length of a planned stop: three times entry_keep_s, and the close delay */
     /* Flood requests that may be answered before the work of a disconnected caller is stopped: the
        loop's limit between two checks for higher priorities, for each of the two steps. */
-    BEFORE_MOST = 2 * 64
+    ANSWERED_BEFORE_MAX = 2 * 64
 };
 
-static const char whole[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+static const char complete_answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-static int flood[FLOOD];
+static int flood[FLOOD_NUM];
 
 /* Advances the host's clock without running the loop; the next tick is then due before any read. */
-static void be_behind(int ms) {
+static void advance_clock(int ms) {
     wg_now_skip(ms * MSEC);
     g_usleep(TICK_MS * WG_USEC_PER_MSEC);
 }
@@ -58,15 +58,15 @@
 }
 
 static void flood_connect(void) {
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < FLOOD_NUM; i++) {
         flood[i] = connect_only();
     }
-    turns(50);
+    run_turns(50);
 }
 
 /* Sends a request of each caller, without running the loop. */
 static void flood_send(const char* request) {
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < FLOOD_NUM; i++) {
         ck_assert_int_eq(send(flood[i], request, strlen(request), MSG_NOSIGNAL),
                          (ssize_t)strlen(request));
     }
@@ -75,9 +75,9 @@
 /* Reads an answer on each connection, so that later answers can be counted. */
 static void flood_read_answers(void) {
     char bytes[1024];
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < FLOOD_NUM; i++) {
         ssize_t got = 0;
-        for (int k = 0; k < TURNS && got <= 0; k++) {
+        for (int k = 0; k < TURNS_MAX && got <= 0; k++) {
             got = recv(flood[i], bytes, sizeof bytes, 0);
             if (got <= 0) {
                 local_turn(base);
@@ -90,14 +90,14 @@
 static int flood_answered(void) {
     int num = 0;
     char byte;
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < FLOOD_NUM; i++) {
         num += recv(flood[i], &byte, 1, MSG_PEEK) > 0;
     }
     return num;
 }
 
 static void flood_close(void) {
-    for (int i = 0; i < FLOOD; i++) {
+    for (int i = 0; i < FLOOD_NUM; i++) {
         close(flood[i]);
     }
 }
@@ -113,10 +113,10 @@
 }
 
 /* Reports the close of the target's connection with the highest priority. */
-static void watch_work(void) {
+static void watch_target_connection(void) {
     answered_before = -1;
-    bufferevent_setcb(asked_on, NULL, NULL, on_work_stopped, NULL);
-    bufferevent_priority_set(asked_on, WGN_PRIORITY);
+    bufferevent_setcb(target_connection, NULL, NULL, on_work_stopped, NULL);
+    bufferevent_priority_set(target_connection, WGN_PRIORITY);
 }
 
 /* ---- tests ------------------------------------------------------------------------------------
@@ -126,20 +126,20 @@
 START_TEST(work_for_a_caller_that_left_stops_before_new_requests_are_taken) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     begin();
-    int fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
-    watch_work();
+    int fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
+    watch_target_connection();
     flood_connect();
     flood_send(request);
     flood_read_answers(); /* libevent now returns this many events in one poll */
     flood_send(request);
     close(fd);
-    for (int i = 0; i < TURNS && answered_before < 0; i++) {
+    for (int i = 0; i < TURNS_MAX && answered_before < 0; i++) {
         local_turn(base);
     }
     ck_assert_int_ge(answered_before, 0);
-    ck_assert_int_le(answered_before, BEFORE_MOST);
-    bufferevent_free(asked_on);
+    ck_assert_int_le(answered_before, ANSWERED_BEFORE_MAX);
+    bufferevent_free(target_connection);
     flood_close();
     one_entry_end();
 }
@@ -152,9 +152,9 @@
     char answer[1024];
     begin();
     int fd = connect_only();
-    turns(10);
+    run_turns(10);
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
-    be_behind(IDLE_MS);
+    advance_clock(IDLE_MS);
     ck_assert_int_eq(status_of(fd, answer), 404);
     close(fd);
     one_entry_end();
@@ -168,9 +168,9 @@
     begin();
     int fd = connect_only();
     ck_assert_int_eq(send(fd, first, sizeof first - 1, MSG_NOSIGNAL), sizeof first - 1);
-    turns(10);
+    run_turns(10);
     ck_assert_int_eq(send(fd, "cd", 2, MSG_NOSIGNAL), 2);
-    be_behind(IDLE_MS);
+    advance_clock(IDLE_MS);
     ck_assert_int_eq(status_of(fd, answer), 404);
     close(fd);
     one_entry_end();
@@ -181,9 +181,9 @@
     char byte;
     begin();
     int fd = connect_only();
-    turns(10);
-    be_behind(IDLE_MS);
-    turns(200);
+    run_turns(10);
+    advance_clock(IDLE_MS);
+    run_turns(200);
     ck_assert_int_eq(recv(fd, &byte, 1, 0), 0);
     close(fd);
     one_entry_end();
@@ -197,13 +197,13 @@
     char byte;
     begin();
     int fd = connect_only();
-    turns(10);
+    run_turns(10);
     wg_entry_stop(entry);
-    turns(10);
+    run_turns(10);
     ck_assert(!event_base_got_break(base));
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
-    be_behind(STOP_LEAST_MS);
-    for (int i = 0; i < TURNS && !event_base_got_break(base); i++) {
+    advance_clock(STOP_MIN_MS);
+    for (int i = 0; i < TURNS_MAX && !event_base_got_break(base); i++) {
         local_turn(base);
     }
     ck_assert(event_base_got_break(base));
@@ -236,12 +236,12 @@
     run_for(1000);
     int fd = connect_only();
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
-    for (int i = 0; i < 80 && asked->len == 0; i++) {
+    for (int i = 0; i < 80 && target_received->len == 0; i++) {
         run_for(250);
     }
-    const char* told = strstr(asked->str, "Walnutgate-Deadline-Ms: ");
-    ck_assert_ptr_nonnull(told);
-    int64_t ms = strtol(told + strlen("Walnutgate-Deadline-Ms: "), NULL, 10);
+    const char* deadline_field = strstr(target_received->str, "Walnutgate-Deadline-Ms: ");
+    ck_assert_ptr_nonnull(deadline_field);
+    int64_t ms = strtol(deadline_field + strlen("Walnutgate-Deadline-Ms: "), NULL, 10);
     ck_assert_int_le(ms, 20000 - BUSY_NUM * BUSY_MS);
     for (int i = 0; i < BUSY_NUM; i++) {
         event_free(busy[i]);
@@ -295,9 +295,11 @@
     int fd = connect_only();
     ck_assert_int_gt(send(fd, requests[0], strlen(requests[0]), MSG_NOSIGNAL), 0);
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-        ck_assert(target_was_asked());
-        g_string_truncate(asked, 0);
-        ck_assert_int_gt(send(bufferevent_getfd(asked_on), whole, strlen(whole), MSG_NOSIGNAL), 0);
+        ck_assert(target_got_request());
+        g_string_truncate(target_received, 0);
+        ck_assert_int_gt(send(bufferevent_getfd(target_connection), complete_answer,
+                              strlen(complete_answer), MSG_NOSIGNAL),
+                         0);
         if (i + 1 < G_N_ELEMENTS(requests)) {
             ck_assert_int_gt(send(fd, requests[i + 1], strlen(requests[i + 1]), MSG_NOSIGNAL), 0);
         }
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -11,22 +11,22 @@
 /* ---- set-up -----------------------------------------------------------------------------------
  */
 
-static void lead(uint64_t version, const char* prefix) {
+static void lead_route(uint64_t version, const char* prefix) {
     one_entry_lead(&(one_route){.version = version, .prefix = prefix, .timeout_ms = TIMEOUT_MS});
 }
 
 static void begin(void) {
     one_entry_begin();
-    lead(5, "/a/");
+    lead_route(5, "/a/");
 }
 
 static void end(void) {
     one_entry_end();
 }
 
-static int caller_connected(void) {
+static int connect_caller(void) {
     char* callers = local_address(11, CALLERS_PORT);
-    int fd = connected_to(callers);
+    int fd = connect_to(callers);
     g_free(callers);
     return fd;
 }
@@ -39,20 +39,20 @@
 START_TEST(no_more_time_is_handed_on_than_is_left) {
     static const struct {
         const char* fields;
-        int64_t most;
+        int64_t max;
     } cases[] = {{"Walnutgate-Deadline-Ms: 700\r\n", 700},
                  {"Walnutgate-Deadline-Ms: 90000\r\n", TIMEOUT_MS},
                  {"", TIMEOUT_MS}};
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char answer[1024];
         begin();
-        int fd = caller("/a/x", cases[i].fields);
-        ck_assert(target_was_asked());
-        const char* told = strstr(asked->str, "Walnutgate-Deadline-Ms: ");
-        ck_assert_ptr_nonnull(told);
-        int64_t ms = strtol(told + strlen("Walnutgate-Deadline-Ms: "), NULL, 10);
-        ck_assert_int_le(ms, cases[i].most);
-        ck_assert_int_gt(ms, cases[i].most - 500);
+        int fd = send_get("/a/x", cases[i].fields);
+        ck_assert(target_got_request());
+        const char* deadline_field = strstr(target_received->str, "Walnutgate-Deadline-Ms: ");
+        ck_assert_ptr_nonnull(deadline_field);
+        int64_t ms = strtol(deadline_field + strlen("Walnutgate-Deadline-Ms: "), NULL, 10);
+        ck_assert_int_le(ms, cases[i].max);
+        ck_assert_int_gt(ms, cases[i].max - 500);
         target_answer("whole");
         ck_assert_int_eq(status_of(fd, answer), 200);
         close(fd);
@@ -65,8 +65,8 @@
     char answer[1024];
     begin();
     wg_time since = wg_now();
-    int fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    int fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     ck_assert_int_eq(status_of(fd, answer), 504); /* not 503: the request may have run */
     ck_assert_int_lt(wg_now() - since, (TIMEOUT_MS + 500) * (wg_time)WG_USEC_PER_MSEC);
     close(fd);
@@ -77,12 +77,12 @@
 /* A caller's disconnect cancels its request at the target at once. */
 START_TEST(a_caller_that_leaves_stops_its_work) {
     begin();
-    int fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
-    ck_assert(!hung_up);
+    int fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
+    ck_assert(!target_disconnected);
     close(fd);
-    turns(100);
-    ck_assert(hung_up);
+    run_turns(100);
+    ck_assert(target_disconnected);
     end();
 }
 END_TEST
@@ -92,17 +92,17 @@
     static const char request[] = "GET /a/x HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[1024];
     begin();
-    int fd = caller("/a/x", ""); /* opens a connection to the target, which is kept */
-    ck_assert(target_was_asked());
+    int fd = send_get("/a/x", ""); /* opens a connection to the target, which is kept */
+    ck_assert(target_got_request());
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
-    g_string_truncate(asked, 0);
-    fd = caller_connected();
+    g_string_truncate(target_received, 0);
+    fd = connect_caller();
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
     close(fd);
-    turns(200);
-    ck_assert_uint_eq(asked->len, 0);
+    run_turns(200);
+    ck_assert_uint_eq(target_received->len, 0);
     end();
 }
 END_TEST
@@ -112,13 +112,13 @@
 START_TEST(a_planned_stop_cuts_nothing_off) {
     char answer[1024];
     begin();
-    int probe = send_to(READY_PORT, "GET", "/v1/ready", "");
+    int probe = send_request(READY_PORT, "GET", "/v1/ready", "");
     ck_assert_int_eq(status_of(probe, answer), 200);
     close(probe);
-    int fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    int fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     wg_entry_stop(entry);
-    probe = send_to(READY_PORT, "GET", "/v1/ready", "");
+    probe = send_request(READY_PORT, "GET", "/v1/ready", "");
     ck_assert_int_ne(status_of(probe, answer), 200);
     close(probe);
     target_answer("whole");
@@ -126,9 +126,9 @@
     ck_assert_ptr_nonnull(strstr(answer, "Connection: close"));
     ck_assert_ptr_nonnull(strstr(answer, "whole"));
     close(fd);
-    g_string_truncate(asked, 0);
-    fd = caller("/a/y", "");
-    ck_assert(target_was_asked());
+    g_string_truncate(target_received, 0);
+    fd = send_get("/a/y", "");
+    ck_assert(target_got_request());
     target_answer("too");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
@@ -140,17 +140,17 @@
 START_TEST(a_configuration_only_moves_forward) {
     char answer[1024];
     begin();
-    lead(4, "/old/");
-    int fd = caller("/old/x", "");
+    lead_route(4, "/old/");
+    int fd = send_get("/old/x", "");
     ck_assert_int_eq(status_of(fd, answer), 404);
     close(fd);
-    fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
-    lead(6, "/new/");
-    fd = caller("/a/x", "");
+    lead_route(6, "/new/");
+    fd = send_get("/a/x", "");
     ck_assert_int_eq(status_of(fd, answer), 404);
     close(fd);
     end();
@@ -174,25 +174,25 @@
         "\"workspaces\":[]}";
     fake_control_leads(&leader, &(fake_word){.version = 9,
                                              .document = document,
-                                             .target = target_at,
+                                             .target = target_address,
                                              .evacuated = evacuated,
                                              .cold_us = cold_us,
                                              .change = change});
-    turns(20);
+    run_turns(20);
 }
 
 START_TEST(an_evacuated_data_centre_gets_no_request) {
     char answer[1024];
     begin();
     lead_targets("dc", 0, 2);
-    int fd = caller("/a/x", "");
+    int fd = send_get("/a/x", "");
     ck_assert_int_eq(status_of(fd, answer), 503);
     ck_assert_ptr_nonnull(strstr(answer, "Retry-After"));
     ck_assert_int_eq(requests_at_target(), 0);
     close(fd);
     lead_targets(NULL, 0, 3);
-    fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     close(fd);
     end();
 }
@@ -204,9 +204,9 @@
     begin();
     lead_targets(NULL, 60 * WG_USEC_PER_SEC, 2);
     for (int i = 0; i < COLD_CALLS; i++) {
-        fd[i] = caller("/a/x", "");
+        fd[i] = send_get("/a/x", "");
     }
-    turns(300);
+    run_turns(300);
     ck_assert_int_eq(requests_at_target(), COLD_RATE);
     for (int i = 0; i < COLD_CALLS; i++) {
         close(fd[i]);
@@ -222,13 +222,13 @@
     fake_entry_cold_settle_ms = 1000;
     begin();
     lead_targets(NULL, 60 * WG_USEC_PER_SEC, 2);
-    int fd = caller("/a/x", "");
+    int fd = send_get("/a/x", "");
     ck_assert_int_eq(status_of(fd, answer), 503);
     ck_assert_int_eq(requests_at_target(), 0);
     close(fd);
-    turns(1000);
-    fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    run_turns(1000);
+    fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     close(fd);
     end();
     fake_entry_cold_settle_ms = 0;
@@ -241,21 +241,21 @@
         "{\"version\":9,\"services\":[{\"name\":\"e\",\"cold_s\":3,\"cold_per_second\":3,"
         "\"engine\":{\"slots\":4,\"memory_tokens\":100000}}],\"routes\":[],\"limits\":{},"
         "\"workspaces\":[]}";
-    fake_word word = {.version = 9,
-                      .document = document,
-                      .target = target_at,
-                      .cold_us = 60 * WG_USEC_PER_SEC,
-                      .change = 2};
+    fake_word update = {.version = 9,
+                        .document = document,
+                        .target = target_address,
+                        .cold_us = 60 * WG_USEC_PER_SEC,
+                        .change = 2};
     begin();
-    g_string_truncate(asked, 0);
-    word.target = target_at;
-    fake_control_leads(&leader, &word);
-    turns(300);
-    ck_assert_uint_eq(asked->len, 0);
-    word.cold_us = 0;
-    word.change = 3;
-    fake_control_leads(&leader, &word);
-    ck_assert(target_was_asked());
+    g_string_truncate(target_received, 0);
+    update.target = target_address;
+    fake_control_leads(&leader, &update);
+    run_turns(300);
+    ck_assert_uint_eq(target_received->len, 0);
+    update.cold_us = 0;
+    update.change = 3;
+    fake_control_leads(&leader, &update);
+    ck_assert(target_got_request());
     end();
 }
 END_TEST
@@ -263,7 +263,7 @@
 /* Sends an evacuation order without a body; returns the status of the answer. */
 static int order_evacuation(const char* method, const char* path, const char* fields) {
     char answer[1024];
-    int fd = send_to(ORDERS_PORT, method, path, fields);
+    int fd = send_request(ORDERS_PORT, method, path, fields);
     int status = status_of(fd, answer);
     close(fd);
     return status;
@@ -295,10 +295,10 @@
     begin();
     lead_targets(NULL, 0, 2);
     char* orders = local_address(11, 18004);
-    int fd = connected_to(orders);
+    int fd = connect_to(orders);
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
     close(fd);
-    turns(200);
+    run_turns(200);
     ck_assert_int_eq(leader.evacuations, 0);
     ck_assert_int_eq(order_evacuation("PUT", "/v1/evacuations/dc", ""), 200);
     g_free(orders);
@@ -311,7 +311,7 @@
 
 static bool is_closed(int fd) {
     char byte;
-    turns(5);
+    run_turns(5);
     return recv(fd, &byte, 1, MSG_PEEK) == 0;
 }
 
@@ -327,13 +327,13 @@
     fake_entry_descriptors = DESCRIPTORS;
     begin();
     for (int i = 0; i < BUSY; i++) {
-        busy[i] = caller("/a/x", "");
-        ck_assert(target_was_asked());
-        g_string_truncate(asked, 0);
+        busy[i] = send_get("/a/x", "");
+        ck_assert(target_got_request());
+        g_string_truncate(target_received, 0);
     }
     for (int i = 0; i < IDLE; i++) {
         char answer[1024];
-        idle[i] = caller("/none/", "");
+        idle[i] = send_get("/none/", "");
         ck_assert_int_eq(status_of(idle[i], answer), 404);
     }
     ck_assert(is_closed(idle[0]));
@@ -355,7 +355,7 @@
 
 enum {
     EVENTS = 150, /* events of the stream, a few milliseconds apart */
-    TRIES_MOST = 45
+    TRIES_MAX = 45
 };
 
 /* Sends a configuration with one route to engines of one slot. */
@@ -367,10 +367,10 @@
         "\"attempts\":1,\"service\":\"e\",\"affinity\":true}],\"limits\":{},"
         "\"workspaces\":[]}",
         (int)version, TIMEOUT_MS);
-    fake_control_leads(&leader,
-                       &(fake_word){.version = version, .document = document, .target = target_at});
+    fake_control_leads(
+        &leader, &(fake_word){.version = version, .document = document, .target = target_address});
     g_free(document);
-    turns(20);
+    run_turns(20);
 }
 
 static int64_t tries(void) {
@@ -388,23 +388,23 @@
                                  "Walnutgate-Prompt-Tokens: 1210,80\r\n";
     begin();
     lead_engine(9);
-    int running = caller("/a/x", prompt);
-    for (int i = 0; i < TURNS && !strstr(asked->str, "GET /a/x"); i++) {
+    int running = send_get("/a/x", prompt);
+    for (int i = 0; i < TURNS_MAX && !strstr(target_received->str, "GET /a/x"); i++) {
         local_turn(base);
     }
-    ck_assert_ptr_nonnull(strstr(asked->str, "GET /a/x"));
-    struct evbuffer* out = bufferevent_get_output(asked_on);
+    ck_assert_ptr_nonnull(strstr(target_received->str, "GET /a/x"));
+    struct evbuffer* out = bufferevent_get_output(target_connection);
     evbuffer_add_printf(out, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                              "Content-Length: 100000\r\n\r\nid: 0\ndata: x\n\n");
-    turns(50);
-    int waiting = caller("/a/y", prompt);
+    run_turns(50);
+    int waiting = send_get("/a/y", prompt);
     int64_t before = tries();
     for (int i = 1; i <= EVENTS; i++) {
         evbuffer_add_printf(out, "id: %d\ndata: x\n\n", i);
-        turns(5);
+        run_turns(5);
     }
     ck_assert_int_ge(tries() - before, 1);
-    ck_assert_int_le(tries() - before, TRIES_MOST);
+    ck_assert_int_le(tries() - before, TRIES_MAX);
     close(running);
     close(waiting);
     end();
@@ -415,9 +415,9 @@
  */
 
 enum {
-    OTHERS = 4, /* workspaces beside the one with the most usage */
+    OTHER_WORKSPACES = 4, /* workspaces beside the one with the most usage */
     LEADERLESS_TURNS = 9000,
-    SENT_TURNS = 500
+    SENT_TURNS_MAX = 500
 };
 
 static const char shared_document[] =
@@ -429,10 +429,10 @@
 
 /* Sends usage in which workspace "most" is far above the level of the others. */
 static void lead_with_usage(void) {
-    Wgpb__WorkspaceUsage items[OTHERS + 1];
-    Wgpb__WorkspaceUsage* usage[OTHERS + 1];
+    Wgpb__WorkspaceUsage items[OTHER_WORKSPACES + 1];
+    Wgpb__WorkspaceUsage* usage[OTHER_WORKSPACES + 1];
     wg_config* config = wg_config_parse(shared_document, strlen(shared_document), NULL);
-    for (int i = 0; i <= OTHERS; i++) {
+    for (int i = 0; i <= OTHER_WORKSPACES; i++) {
         wgpb__workspace_usage__init(&items[i]);
         items[i].workspace = i ? (uint64_t)i : config->workspaces[0].hash;
         items[i].tokens = i ? 100000 : 800000;
@@ -442,23 +442,23 @@
     wg_config_unref(config);
     fake_control_leads(&leader, &(fake_word){.version = 9,
                                              .document = shared_document,
-                                             .target = target_at,
+                                             .target = target_address,
                                              .usage = usage,
-                                             .usage_num = OTHERS + 1});
-    turns(20);
+                                             .usage_num = OTHER_WORKSPACES + 1});
+    run_turns(20);
 }
 
-static bool is_sent(const char* path) {
+static bool reaches_target(const char* path) {
     static const char fields[] = "Walnutgate-Key: key-most\r\n"
                                  "Walnutgate-Prompt-Parts: 5c1e:800,91bd:410\r\n"
                                  "Walnutgate-Prompt-Tokens: 1210,80\r\n";
-    int fd = caller(path, fields);
-    for (int i = 0; i < SENT_TURNS && !strstr(asked->str, path); i++) {
+    int fd = send_get(path, fields);
+    for (int i = 0; i < SENT_TURNS_MAX && !strstr(target_received->str, path); i++) {
         local_turn(base);
     }
     close(fd);
-    turns(20);
-    return strstr(asked->str, path) != NULL;
+    run_turns(20);
+    return strstr(target_received->str, path) != NULL;
 }
 
 /* Usage reported by a leader must decay during an outage; otherwise a workspace that was above its
@@ -466,17 +466,17 @@
 START_TEST(old_usage_fades_without_a_leader) {
     begin();
     lead_with_usage();
-    ck_assert(!is_sent("/a/while-led"));
+    ck_assert(!reaches_target("/a/while-led"));
     wgn_shutdown(leader.net);
-    turns(LEADERLESS_TURNS);
-    ck_assert(is_sent("/a/without-a-leader"));
+    run_turns(LEADERLESS_TURNS);
+    ck_assert(reaches_target("/a/without-a-leader"));
     leader.net = NULL;
     wg_entry_shutdown(entry);
     g_free(leader.address);
     evconnlistener_free(listener);
     event_base_free(base);
-    g_string_free(asked, TRUE);
-    g_free(target_at);
+    g_string_free(target_received, TRUE);
+    g_free(target_address);
 }
 END_TEST
 
--- a/tests/test_entry_quarantine.c
+++ b/tests/test_entry_quarantine.c
@@ -20,19 +20,19 @@
         "\"service\":\"e\"}],\"limits\":{},\"workspaces\":[]}";
     fake_control_leads(&leader, &(fake_word){.version = 5,
                                              .document = document,
-                                             .target = target_at,
+                                             .target = target_address,
                                              .quarantined = quarantined,
                                              .quarantined_num = num,
                                              .quarantine_change = change});
-    turns(20);
+    run_turns(20);
 }
 
 /* Sends a new incarnation of the target at the same address. `replaced`: number of the previous
    one, sent as replaced; 0: the previous one is left out. */
-static void target_starts_again(uint32_t number, uint32_t replaced) {
+static void target_restart(uint32_t number, uint32_t replaced) {
     fake_control_leads(&leader, &(fake_word){.version = 5,
                                              .document = "",
-                                             .target = target_at,
+                                             .target = target_address,
                                              .number = number,
                                              .replaced_number = replaced,
                                              .change = number});
@@ -44,9 +44,9 @@
 }
 
 /* Sends a request and runs the loop until it is at the target or refused. */
-static int ask(const char* path) {
-    int fd = caller(path, "");
-    turns(20);
+static int send_get_and_run(const char* path) {
+    int fd = send_get(path, "");
+    run_turns(20);
     return fd;
 }
 
@@ -61,12 +61,12 @@
 
 START_TEST(an_end_of_a_target_is_told_with_the_request_that_was_there) {
     begin();
-    int fd = ask("/a/x");
+    int fd = send_get_and_run("/a/x");
     ck_assert_int_eq(requests_at_target(), 1);
-    target_ends();
-    turns(200);
+    target_stop();
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 1);
-    ck_assert_uint_eq(leader.crash_of, fingerprint_of("/a/x"));
+    ck_assert_uint_eq(leader.crash_fingerprint, fingerprint_of("/a/x"));
     ck_assert(!leader.crash_was_early);
     close(fd);
     one_entry_end();
@@ -75,10 +75,10 @@
 
 START_TEST(a_stream_that_had_just_begun_is_told_as_such) {
     begin();
-    int fd = ask("/s/x");
-    target_says(stream_begins);
-    target_ends();
-    turns(200);
+    int fd = send_get_and_run("/s/x");
+    target_send(stream_begins);
+    target_stop();
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 1);
     ck_assert(leader.crash_was_early);
     close(fd);
@@ -90,9 +90,9 @@
    same. */
 START_TEST(a_target_that_only_breaks_off_is_no_evidence) {
     begin();
-    int fd = ask("/a/x");
-    target_breaks_off();
-    turns(300);
+    int fd = send_get_and_run("/a/x");
+    target_close_connection();
+    run_turns(300);
     ck_assert_int_eq(leader.crashes, 0);
     close(fd);
     one_entry_end();
@@ -103,15 +103,15 @@
    incarnation at its address shows the crash. */
 START_TEST(a_target_that_is_replaced_after_it_broke_off_is_evidence) {
     begin();
-    int fd = ask("/s/x");
-    target_says(stream_begins);
-    target_breaks_off();
-    turns(200);
+    int fd = send_get_and_run("/s/x");
+    target_send(stream_begins);
+    target_close_connection();
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 0);
-    target_starts_again(2, 1);
-    turns(200);
+    target_restart(2, 1);
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 1);
-    ck_assert_uint_eq(leader.crash_of, fingerprint_of("/s/x"));
+    ck_assert_uint_eq(leader.crash_fingerprint, fingerprint_of("/s/x"));
     close(fd);
     one_entry_end();
 }
@@ -120,11 +120,12 @@
 /* A request that a proxy accepted and closed at once was not at the target when it crashed. */
 START_TEST(a_request_that_came_to_a_target_that_was_gone_is_no_evidence) {
     begin();
-    int fd = ask("/a/x"); /* closed after 20 ms, on a fresh connection, without a byte */
-    target_breaks_off();
-    turns(200);
-    target_starts_again(2, 1);
-    turns(200);
+    int fd =
+        send_get_and_run("/a/x"); /* closed after 20 ms, on a fresh connection, without a byte */
+    target_close_connection();
+    run_turns(200);
+    target_restart(2, 1);
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 0);
     close(fd);
     one_entry_end();
@@ -133,16 +134,16 @@
 
 START_TEST(a_new_link_is_told_all_evidence_again) {
     begin();
-    int fd = ask("/a/x");
-    target_ends();
-    turns(200);
+    int fd = send_get_and_run("/a/x");
+    target_stop();
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 1);
     wgn_close(leader.net, leader.link);
     int ups = leader.ups;
-    for (int i = 0; i < TURNS && leader.ups == ups; i++) {
+    for (int i = 0; i < TURNS_MAX && leader.ups == ups; i++) {
         local_turn(base);
     }
-    turns(200);
+    run_turns(200);
     ck_assert_int_eq(leader.crashes, 2);
     close(fd);
     one_entry_end();
@@ -154,21 +155,21 @@
     char answer[1024];
     begin();
     for (int i = 0; i < 2; i++) {
-        int fd = ask("/s/x");
-        target_says(stream_begins);
-        target_ends();
-        turns(200);
+        int fd = send_get_and_run("/s/x");
+        target_send(stream_begins);
+        target_stop();
+        run_turns(200);
         close(fd);
         target_start();
-        target_starts_again((uint32_t)i + 2, 0);
-        turns(1200);
+        target_restart((uint32_t)i + 2, 0);
+        run_turns(1200);
     }
     int before = requests_at_target();
-    int fd = ask("/s/x");
+    int fd = send_get_and_run("/s/x");
     ck_assert_int_eq(status_of(fd, answer), 503);
     ck_assert_int_eq(requests_at_target(), before);
     close(fd);
-    fd = ask("/s/y");
+    fd = send_get_and_run("/s/y");
     ck_assert_int_eq(requests_at_target(), before + 1);
     close(fd);
     one_entry_end();
@@ -183,19 +184,19 @@
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
     lead(list, 1, 1);
-    int fd = ask("/a/x");
+    int fd = send_get_and_run("/a/x");
     ck_assert_int_eq(status_of(fd, answer), 503);
     ck_assert_ptr_nonnull(strstr(answer, "quarantined"));
     ck_assert_ptr_nonnull(strstr(answer, "not-run"));
     ck_assert_ptr_nonnull(strstr(answer, "Retry-After: 60"));
     ck_assert_int_eq(requests_at_target(), 0);
     close(fd);
-    fd = ask("/a/y"); /* other requests are served */
+    fd = send_get_and_run("/a/y"); /* other requests are served */
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
     lead(NULL, 0, 2);
-    fd = ask("/a/x");
+    fd = send_get_and_run("/a/x");
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
@@ -209,13 +210,13 @@
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
-    int fd = ask("/a/x");
+    int fd = send_get_and_run("/a/x");
     ck_assert_int_eq(requests_at_target(), 1);
     lead(list, 1, 1);
     ck_assert_int_eq(status_of(fd, answer), 502);
     ck_assert_ptr_nonnull(strstr(answer, "may-have-run"));
-    turns(20);
-    ck_assert_ptr_null(asked_on);
+    run_turns(20);
+    ck_assert_ptr_null(target_connection);
     close(fd);
     one_entry_end();
 }
@@ -227,12 +228,12 @@
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/s/x")};
     begin();
-    int fd = ask("/s/x");
-    target_says(stream_begins);
+    int fd = send_get_and_run("/s/x");
+    target_send(stream_begins);
     lead(list, 1, 1);
-    target_says("f\r\nid: 1\ndata: x\n\n\r\n0\r\n\r\n");
+    target_send("f\r\nid: 1\ndata: x\n\n\r\n0\r\n\r\n");
     ck_assert_int_eq(status_of(fd, answer), 200);
-    turns(100);
+    run_turns(100);
     ck_assert_uint_eq(leader.ended_well, list[0]);
     close(fd);
     one_entry_end();
@@ -243,12 +244,12 @@
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
-    int fd = ask("/a/x");
+    int fd = send_get_and_run("/a/x");
     target_answer("whole");
     ck_assert_int_eq(status_of(fd, answer), 200);
     close(fd);
     lead(list, 1, 1);
-    turns(100);
+    run_turns(100);
     ck_assert_uint_eq(leader.ended_well, list[0]);
     one_entry_end();
 }
@@ -259,15 +260,15 @@
     uint64_t list[] = {0x0123456789abcdef};
     begin();
     lead(list, 1, 1);
-    int fd = send_to(READY_PORT, "GET", "/v1/quarantine", "");
+    int fd = send_request(READY_PORT, "GET", "/v1/quarantine", "");
     ck_assert_int_eq(status_of(fd, answer), 200);
     ck_assert_ptr_nonnull(strstr(answer, "0123456789abcdef"));
     close(fd);
-    fd = send_to(ORDERS_PORT, "DELETE", "/v1/quarantine/0123456789abcdef", "");
+    fd = send_request(ORDERS_PORT, "DELETE", "/v1/quarantine/0123456789abcdef", "");
     ck_assert_int_eq(status_of(fd, answer), 200);
-    ck_assert_uint_eq(leader.quarantine_ended, list[0]);
+    ck_assert_uint_eq(leader.released_fingerprint, list[0]);
     close(fd);
-    fd = send_to(ORDERS_PORT, "DELETE", "/v1/quarantine/all", "");
+    fd = send_request(ORDERS_PORT, "DELETE", "/v1/quarantine/all", "");
     ck_assert_int_eq(status_of(fd, answer), 400);
     close(fd);
     one_entry_end();
--- a/tests/test_entry_rest.c
+++ b/tests/test_entry_rest.c
@@ -6,8 +6,8 @@
 #include "one_entry.h"
 
 enum {
-    REST_S = 3,
-    SPREAD_MS = 400 /* maximum random delay of hosts after the backoff period */
+    BACKOFF_S = 3,
+    RETURN_SPREAD_MS = 400 /* maximum random delay of hosts after the backoff period */
 };
 
 static const char document[] =
@@ -15,25 +15,26 @@
     "\"path_prefix\":\"/\",\"kind\":\"safe\",\"timeout_ms\":2000,\"objective_ms\":500,"
     "\"attempts\":1,\"service\":\"e\"}],\"limits\":{},\"workspaces\":[]}";
 
-static const fake_word first_start = {.version = 1, .document = document, .id = "t", .born = 1000};
+static const fake_word first_incarnation = {
+    .version = 1, .document = document, .id = "t", .born = 1000};
 
-/* Sends `word` as leader, with the address of the target. */
-static void lead(fake_word word) {
-    word.target = target_at;
-    fake_control_leads(&leader, &word);
-    turns(20);
+/* Sends `update` as leader, with the address of the target. */
+static void lead(fake_word update) {
+    update.target = target_address;
+    fake_control_leads(&leader, &update);
+    run_turns(20);
 }
 
 static void begin(void) {
     one_entry_begin();
-    lead(first_start);
+    lead(first_incarnation);
 }
 
 /* Sends a request that reaches the target; returns the caller's connection. */
-static int asked_caller(void) {
-    g_string_truncate(asked, 0);
-    int fd = caller("/x", "");
-    ck_assert(target_was_asked());
+static int send_get_to_target(void) {
+    g_string_truncate(target_received, 0);
+    int fd = send_get("/x", "");
+    ck_assert(target_got_request());
     return fd;
 }
 
@@ -52,10 +53,10 @@
 }
 
 /* The target refuses a request with a backoff hint. */
-static void rest_begins(void) {
+static void start_backoff(void) {
     char answer[1024];
-    int fd = asked_caller();
-    target_says("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 3\r\n"
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 3\r\n"
                 "Content-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_of(fd, answer), 503);
     ck_assert_double_ge(retry_after(answer),
@@ -63,27 +64,27 @@
     close(fd);
 }
 
-static void ck_target_is_left_alone(void) {
-    g_string_truncate(asked, 0);
-    ck_assert_int_eq(status_and_close(caller("/x", "")), 503);
+static void ck_target_gets_no_request(void) {
+    g_string_truncate(target_received, 0);
+    ck_assert_int_eq(status_and_close(send_get("/x", "")), 503);
     ck_assert_int_eq(requests_at_target(), 0);
 }
 
 static void ck_target_serves(void) {
-    int fd = asked_caller();
+    int fd = send_get_to_target();
     target_answer("x");
     ck_assert_int_eq(status_and_close(fd), 200);
 }
 
 START_TEST(a_rest_ends_after_its_time) {
     begin();
-    rest_begins();
-    ck_target_is_left_alone();
-    wg_now_skip((REST_S - 1) * SECOND);
-    turns(60);
-    ck_target_is_left_alone();
-    wg_now_skip(SECOND + SPREAD_MS * MSEC);
-    turns(60);
+    start_backoff();
+    ck_target_gets_no_request();
+    wg_now_skip((BACKOFF_S - 1) * SECOND);
+    run_turns(60);
+    ck_target_gets_no_request();
+    wg_now_skip(SECOND + RETURN_SPREAD_MS * MSEC);
+    run_turns(60);
     ck_target_serves();
     one_entry_end();
 }
@@ -92,22 +93,22 @@
 /* A hint counts also in a 503 that is passed to the caller because the request may have run. */
 START_TEST(a_503_that_may_have_run_asks_for_rest_too) {
     begin();
-    int fd = asked_caller();
-    target_says("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
-    ck_target_is_left_alone();
+    ck_target_gets_no_request();
     one_entry_end();
 }
 END_TEST
 
 START_TEST(other_statuses_ask_for_no_rest) {
     begin();
-    int fd = asked_caller();
-    target_says("HTTP/1.1 429 Slow\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 429 Slow\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 429);
     ck_target_serves();
-    fd = asked_caller();
-    target_says("HTTP/1.1 503 Busy\r\nRetry-After: in a moment\r\nContent-Length: 0\r\n\r\n");
+    fd = send_get_to_target();
+    target_send("HTTP/1.1 503 Busy\r\nRetry-After: in a moment\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
     ck_target_serves();
     one_entry_end();
@@ -117,31 +118,31 @@
 /* A backoff survives renumbered targets, a new configuration and a reload of the settings. */
 START_TEST(a_rest_outlives_lists_and_configurations) {
     begin();
-    rest_begins();
-    fake_word word = first_start;
-    word.number = 9;
-    word.change = 4;
-    lead(word);
-    ck_target_is_left_alone();
-    word.version = 2;
-    lead(word);
-    ck_target_is_left_alone();
+    start_backoff();
+    fake_word update = first_incarnation;
+    update.number = 9;
+    update.change = 4;
+    lead(update);
+    ck_target_gets_no_request();
+    update.version = 2;
+    lead(update);
+    ck_target_gets_no_request();
     char* seeds[] = {leader.address, NULL};
     wg_entry_settings settings = {.fleet_listen = leader.address, .seeds = seeds};
     wg_entry_reload(entry, &settings);
-    ck_target_is_left_alone();
+    ck_target_gets_no_request();
     one_entry_end();
 }
 END_TEST
 
 START_TEST(another_start_of_the_target_asked_for_nothing) {
     begin();
-    rest_begins();
-    fake_word word = first_start;
-    word.born = 2000;
-    word.number = 2;
-    word.change = 2;
-    lead(word);
+    start_backoff();
+    fake_word update = first_incarnation;
+    update.born = 2000;
+    update.number = 2;
+    update.change = 2;
+    lead(update);
     ck_target_serves();
     one_entry_end();
 }
@@ -151,12 +152,12 @@
  */
 START_TEST(what_another_one_at_its_address_says_is_not_its_word) {
     begin();
-    int fd = asked_caller();
-    target_says("HTTP/1.1 421 Other\r\nTarget-Leaving: 1\r\nContent-Length: 0\r\n\r\n");
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 421 Other\r\nTarget-Leaving: 1\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
-    fake_word word = first_start;
-    word.change = 2; /* a heartbeat of the target itself */
-    lead(word);
+    fake_word update = first_incarnation;
+    update.change = 2; /* a heartbeat of the target itself */
+    lead(update);
     ck_target_serves();
     one_entry_end();
 }
@@ -165,26 +166,26 @@
 /* A draining target finishes its requests and gets no new ones, also without a leader. */
 START_TEST(a_target_that_leaves_gets_nothing_more) {
     begin();
-    int fd = asked_caller();
-    target_says("HTTP/1.1 200 OK\r\nTarget-Leaving: 1\r\nContent-Length: 1\r\n\r\nx");
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 200 OK\r\nTarget-Leaving: 1\r\nContent-Length: 1\r\n\r\nx");
     ck_assert_int_eq(status_and_close(fd), 200);
-    ck_target_is_left_alone();
+    ck_target_gets_no_request();
     wgn_close(leader.net, leader.link);
-    turns(100);
+    run_turns(100);
     wg_now_skip(60 * SECOND);
-    turns(60);
-    ck_target_is_left_alone();
+    run_turns(60);
+    ck_target_gets_no_request();
     one_entry_end();
 }
 END_TEST
 
-static void ck_refused_at_once(const char* fields, double least, double most) {
+static void ck_refused_at_once(const char* fields, double min, double max) {
     char answer[1024];
-    int fd = caller("/x", fields);
+    int fd = send_get("/x", fields);
     ck_assert_int_eq(status_within(fd, answer, 20), 503);
     ck_assert(strstr(answer, "not-run"));
-    ck_assert_double_ge(retry_after(answer), least);
-    ck_assert_double_le(retry_after(answer), most);
+    ck_assert_double_ge(retry_after(answer), min);
+    ck_assert_double_le(retry_after(answer), max);
     close(fd);
 }
 
@@ -192,7 +193,7 @@
    reaches to the end of the backoff or a third of the caller's deadline. */
 START_TEST(while_all_targets_rest_callers_are_refused_at_once) {
     begin();
-    rest_begins();
+    start_backoff();
     ck_refused_at_once("Walnutgate-Deadline-Ms: 30000\r\n", 2.5, 3.5);
     ck_refused_at_once("Walnutgate-Deadline-Ms: 3000\r\n", 0.7, 1.0);
     ck_refused_at_once("", 0.4, 0.67); /* without a caller deadline: the route's 2 s */
@@ -203,8 +204,8 @@
 /* A backoff that ends within the queue time delays a request instead of refusing it. */
 START_TEST(a_short_rest_is_waited_for) {
     begin();
-    int fd = asked_caller();
-    target_says("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 0.04\r\n"
+    int fd = send_get_to_target();
+    target_send("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 0.04\r\n"
                 "Content-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
     ck_target_serves();
@@ -216,23 +217,23 @@
    observe backoff hints and receive them. */
 START_TEST(questions_for_cached_prompts_heed_it_and_tell_of_it) {
     one_entry_begin();
-    fake_word word = first_start;
-    word.document =
+    fake_word update = first_incarnation;
+    update.document =
         "{\"version\":1,\"services\":[{\"name\":\"e\",\"engine\":{\"slots\":4,"
         "\"memory_tokens\":100000}}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
         "\"path_prefix\":\"/\",\"kind\":\"safe\",\"timeout_ms\":2000,\"objective_ms\":500,"
         "\"attempts\":1,\"service\":\"e\"}],\"limits\":{},\"workspaces\":[]}";
-    lead(word);
-    ck_assert(target_was_asked());
-    ck_assert(strstr(asked->str, "GET /v1/cache"));
-    target_says("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
-    ck_target_is_left_alone();
+    lead(update);
+    ck_assert(target_got_request());
+    ck_assert(strstr(target_received->str, "GET /v1/cache"));
+    target_send("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
+    ck_target_gets_no_request();
     wg_now_skip(SECOND); /* beyond the query's retry interval of 0.5 s */
-    turns(60);
+    run_turns(60);
     ck_assert_int_eq(requests_at_target(), 0);
-    wg_now_skip(REST_S * SECOND + SPREAD_MS * MSEC);
-    ck_assert(target_was_asked());
-    ck_assert(strstr(asked->str, "GET /v1/cache"));
+    wg_now_skip(BACKOFF_S * SECOND + RETURN_SPREAD_MS * MSEC);
+    ck_assert(target_got_request());
+    ck_assert(strstr(target_received->str, "GET /v1/cache"));
     one_entry_end();
 }
 END_TEST
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -12,7 +12,7 @@
     one_entry_begin();
     fake_control_leads(&leader,
                        &(fake_word){.version = 5, .document = document, .target = "10.0.0.9:80"});
-    turns(20);
+    run_turns(20);
 }
 
 /* Sends an order for target "t-7"; returns the status of the answer, 0: none. */
@@ -20,7 +20,7 @@
     char answer[1024];
     char length[48];
     g_snprintf(length, sizeof length, "Content-Length: %zu\r\nConnection: close\r\n", size);
-    int fd = send_to(ORDERS_PORT, method, "/v1/targets/t-7", length);
+    int fd = send_request(ORDERS_PORT, method, "/v1/targets/t-7", length);
     ck_assert_int_eq(send(fd, body, size, MSG_NOSIGNAL), (ssize_t)size);
     int status = status_of(fd, answer);
     close(fd);
@@ -31,13 +31,13 @@
     return order("PUT", body, strlen(body));
 }
 
-#define BEAT(service, state)                                                                       \
+#define HEARTBEAT(service, state)                                                                  \
     "{\"service\":\"" service "\",\"address\":\"10.0.0.1:80\",\"data_centre\":\"dc\","             \
     "\"version\":\"v1\",\"slots\":6,\"state\":\"" state "\",\"sequence\":4,\"born\":77}"
 
 START_TEST(a_heartbeat_goes_to_the_leader) {
     begin();
-    ck_assert_int_eq(put(BEAT("app", "ready")), 200);
+    ck_assert_int_eq(put(HEARTBEAT("app", "ready")), 200);
     ck_assert_int_eq(leader.target_orders, 1);
     ck_assert_uint_eq(leader.target_born, 77);
     ck_assert_int_eq(order("DELETE", "", 0), 200);
@@ -51,8 +51,8 @@
 
 START_TEST(what_others_write_goes_nowhere) {
     begin();
-    ck_assert_int_eq(put(BEAT("app", "unheard-of")), 400);
-    ck_assert_int_eq(put(BEAT("unheard-of", "ready")), 400);
+    ck_assert_int_eq(put(HEARTBEAT("app", "unheard-of")), 400);
+    ck_assert_int_eq(put(HEARTBEAT("unheard-of", "ready")), 400);
     ck_assert_int_eq(put("{\"service\":\"app\",\"address\":\"10.0.0.1:80\"}"), 400);
     ck_assert_int_eq(put("[1,2]"), 400);
     ck_assert_int_eq(put("not json"), 400);
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -3,13 +3,13 @@
 #include "wg_test.h"
 
 static const wg_fair_levels levels = {.fair_share = 1000, .served = 1000};
-static const wg_fair_margin trusted = {.value = 1};
+static const wg_fair_margin full_confidence = {.value = 1};
 
 static wg_policy_terms terms(double used) {
     return (wg_policy_terms){.counts = true,
                              .used = used,
                              .levels = &levels,
-                             .margin = &trusted,
+                             .margin = &full_confidence,
                              .has_prompt = true,
                              .objective = 800 * MSEC,
                              .tightest = 400 * MSEC};
@@ -19,8 +19,8 @@
     wg_policy_terms t = terms(0);
     ck_assert_int_eq(wg_policy_limit(&t, 0), 380 * MSEC);
     ck_assert_int_eq(wg_policy_limit(&t, 600 * MSEC), 190 * MSEC); /* from the remaining 200 ms */
-    wg_fair_margin doubtful = {.value = 0.12};
-    t.margin = &doubtful;
+    wg_fair_margin low_confidence = {.value = 0.12};
+    t.margin = &low_confidence;
     ck_assert_int_lt(wg_policy_limit(&t, 0), 250 * MSEC);
     ck_assert_int_gt(wg_policy_limit(&t, 0), 220 * MSEC);
 }
@@ -30,10 +30,10 @@
 START_TEST(whoever_has_more_gives_way) {
     wg_policy_terms below = terms(900);
     wg_policy_terms above = terms(1100);
-    wg_policy_terms far = terms(1400);
+    wg_policy_terms far_above = terms(1400);
     wg_admit_limits b = wg_policy_limits(&below, 0);
     wg_admit_limits a = wg_policy_limits(&above, 0);
-    wg_admit_limits f = wg_policy_limits(&far, 0);
+    wg_admit_limits f = wg_policy_limits(&far_above, 0);
     ck_assert_int_eq(b.ahead, b.total);
     ck_assert_int_lt(a.ahead, b.ahead);
     ck_assert_int_eq(f.ahead, 0);
@@ -43,21 +43,21 @@
     ck_assert(!wg_policy_may_spill_over(&above));
     ck_assert_int_eq(wg_policy_admission_requests_max(&below), 3);
     ck_assert_int_eq(wg_policy_admission_requests_max(&above), 2);
-    ck_assert_int_eq(wg_policy_admission_requests_max(&far), 0);
+    ck_assert_int_eq(wg_policy_admission_requests_max(&far_above), 0);
     ck_assert_int_eq(wg_policy_try_gap(&below), 0);
     ck_assert_int_gt(wg_policy_try_gap(&above), 0);
     ck_assert_double_eq(wg_policy_slots_share(&below), 1);
     ck_assert(wg_policy_slots_share(&above) < 1);
-    ck_assert(wg_policy_slots_share(&above) > wg_policy_slots_share(&far));
+    ck_assert(wg_policy_slots_share(&above) > wg_policy_slots_share(&far_above));
 }
 END_TEST
 
 /* A retry after a failed attempt has all admission requests, whatever the usage of its workspace.
  */
 START_TEST(a_second_attempt_is_tried_in_full) {
-    wg_policy_terms far = terms(5000);
-    far.sent_before = true;
-    ck_assert_int_eq(wg_policy_admission_requests_max(&far), 3);
+    wg_policy_terms far_above = terms(5000);
+    far_above.sent_before = true;
+    ck_assert_int_eq(wg_policy_admission_requests_max(&far_above), 3);
 }
 END_TEST
 
@@ -92,18 +92,18 @@
 
 /* Retry-After is past the backoff, spread at random, and at most a third of the caller's time. */
 START_TEST(callers_come_back_after_a_rest_and_apart) {
-    wg_time least = WG_TIME_NEVER;
-    wg_time most = 0;
+    wg_time min = WG_TIME_NEVER;
+    wg_time max = 0;
     for (uint64_t i = 0; i < 200; i++) {
         wg_time after = wg_policy_retry_after_backoff(7, i, 2 * SECOND, 30 * SECOND);
-        least = MIN(least, after);
-        most = MAX(most, after);
+        min = MIN(min, after);
+        max = MAX(max, after);
         ck_assert_int_gt(after, 2 * SECOND);
         ck_assert_int_le(wg_policy_retry_after_backoff(7, i, 9 * SECOND, 3 * SECOND), SECOND);
         ck_assert_int_ge(wg_policy_retry_after_backoff(7, i, 9 * SECOND, 3 * SECOND), SECOND / 2);
         ck_assert_int_eq(wg_policy_retry_after_backoff(7, i, 9 * SECOND, -SECOND), 0);
     }
-    ck_assert_int_ge(most - least, 150 * MSEC);
+    ck_assert_int_ge(max - min, 150 * MSEC);
 }
 END_TEST
 
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -231,14 +231,14 @@
     RUN_TARGETS = 20,
     RUN_CALLS = 400,
     RUN_HARMFUL = 2,
-    RUN_HOT = 4,          /* requests that callers send repeatedly */
-    RUN_TELL = 8,         /* maximum steps until evidence reaches the leader */
-    RUN_TAKES_MOST = 200, /* maximum steps of a request */
-    RUN_DOWN = 300,       /* steps from a crash to the restart of the target */
-    RUN_LEADERLESS = 60,  /* steps of an outage */
-    RUN_KNOWN_AFTER =
+    RUN_HOT = 4,                 /* requests that callers send repeatedly */
+    RUN_REPORT_STEPS_MAX = 8,    /* maximum steps until evidence reaches the leader */
+    RUN_REQUEST_STEPS_MAX = 200, /* maximum steps of a request */
+    RUN_DOWN_STEPS = 300,        /* steps from a crash to the restart of the target */
+    RUN_OUTAGE_STEPS = 60,       /* steps of an outage */
+    RUN_KNOWN_AFTER_STEPS =
         300, /* steps after the third crash, until all hosts have to refuse the request */
-    RUN_LATE_MOST = 3
+    RUN_LATE_MAX = 3
 };
 
 typedef struct {
@@ -256,16 +256,16 @@
     uint64_t counter;
     int step;
     run_call calls[RUN_CALLS];
-    uint32_t life[RUN_TARGETS]; /* number of the target's current incarnation */
+    uint32_t incarnation[RUN_TARGETS]; /* number of the target's current incarnation */
     int up_at[RUN_TARGETS];
     uint32_t numbers;
     wg_suspects* hosts[RUN_HOSTS];
     wg_suspects* leader;
     wg_quarantine* list;
-    GArray* told; /* run_word, in transit to the leader */
+    GArray* messages; /* run_message, in transit to the leader */
     int leader_at;
-    int ended_by[RUN_HARMFUL + 1];
-    int third_at[RUN_HARMFUL + 1];
+    int crashes_by[RUN_HARMFUL + 1];
+    int third_crash_at[RUN_HARMFUL + 1];
     int late[RUN_HARMFUL + 1];
     int harmless_sent;
     int harmless_refused;
@@ -276,9 +276,9 @@
     int at;
     bool ended_well;
     wg_crash crash;
-} run_word;
+} run_message;
 
-static int run_draw(run_state* r, int below) {
+static int run_random(run_state* r, int below) {
     return (int)(wg_jitter(r->seed, ++r->counter) % (uint64_t)below);
 }
 
@@ -296,8 +296,8 @@
 }
 
 static void run_send(run_state* r, uint64_t fp, int tries) {
-    int host = run_draw(r, RUN_HOSTS);
-    int target = run_draw(r, RUN_TARGETS);
+    int host = run_random(r, RUN_HOSTS);
+    int target = run_random(r, RUN_TARGETS);
     r->harmless_sent += !run_is_harmful(fp);
     if (run_is_refused(r, host, fp)) {
         r->harmless_refused += !run_is_harmful(fp);
@@ -306,55 +306,55 @@
     for (int i = 0; i < RUN_CALLS; i++) {
         run_call* call = &r->calls[i];
         if (!call->live && r->step >= r->up_at[target]) {
-            int begins = r->step + run_draw(r, 30);
+            int begins = r->step + run_random(r, 30);
             *call = (run_call){true, fp, host, target, begins, 0, tries};
-            call->ends = begins + 1 + run_draw(r, RUN_TAKES_MOST);
+            call->ends = begins + 1 + run_random(r, RUN_REQUEST_STEPS_MAX);
             return;
         }
     }
 }
 
-static void run_tell(run_state* r, const run_word* word) {
-    run_word copy = *word;
-    copy.at = r->step + 1 + run_draw(r, RUN_TELL);
-    g_array_append_val(r->told, copy);
+static void run_report(run_state* r, const run_message* message) {
+    run_message copy = *message;
+    copy.at = r->step + 1 + run_random(r, RUN_REPORT_STEPS_MAX);
+    g_array_append_val(r->messages, copy);
 }
 
-static void run_note_end(run_state* r, uint64_t fp) {
-    r->ended_by[fp]++;
-    if (r->ended_by[fp] == 3) {
-        r->third_at[fp] = r->step;
+static void run_record_crash(run_state* r, uint64_t fp) {
+    r->crashes_by[fp]++;
+    if (r->crashes_by[fp] == 3) {
+        r->third_crash_at[fp] = r->step;
     }
-    r->late[fp] += r->ended_by[fp] > 3 && r->step > r->third_at[fp] + RUN_KNOWN_AFTER;
+    r->late[fp] += r->crashes_by[fp] > 3 && r->step > r->third_crash_at[fp] + RUN_KNOWN_AFTER_STEPS;
 }
 
 /* Crashes a target. Its running requests become evidence; harmless ones are sent again once. */
-static void run_end_target(run_state* r, int target) {
+static void run_crash_target(run_state* r, int target) {
     for (int i = 0; i < RUN_CALLS; i++) {
         run_call* call = &r->calls[i];
         if (!call->live || call->target != target) {
             continue;
         }
-        run_word word = {
-            .crash = crash_of(call->fingerprint, r->life[target], call->begins == r->step, "w")};
+        run_message message = {.crash = crash_of(call->fingerprint, r->incarnation[target],
+                                                 call->begins == r->step, "w")};
         call->live = false;
-        if (wg_suspects_add(r->hosts[call->host], run_now(r), &word.crash)) {
-            run_tell(r, &word);
+        if (wg_suspects_add(r->hosts[call->host], run_now(r), &message.crash)) {
+            run_report(r, &message);
         }
         if (call->tries == 0 && !run_is_harmful(call->fingerprint)) {
             run_send(r, call->fingerprint, 1);
         }
     }
-    r->life[target] = ++r->numbers;
-    r->up_at[target] = r->step + RUN_DOWN;
+    r->incarnation[target] = ++r->numbers;
+    r->up_at[target] = r->step + RUN_DOWN_STEPS;
 }
 
 static void run_finish(run_state* r, run_call* call) {
     call->live = false;
     wg_suspects_clear(r->hosts[call->host], run_now(r), call->fingerprint);
     if (wg_quarantine_contains(r->list, call->fingerprint)) {
-        run_word word = {.ended_well = true, .crash = {.fingerprint = call->fingerprint}};
-        run_tell(r, &word);
+        run_message message = {.ended_well = true, .crash = {.fingerprint = call->fingerprint}};
+        run_report(r, &message);
     }
 }
 
@@ -362,8 +362,8 @@
     for (int i = 0; i < RUN_CALLS; i++) {
         run_call* call = &r->calls[i];
         if (call->live && run_is_harmful(call->fingerprint) && call->begins == r->step) {
-            run_note_end(r, call->fingerprint);
-            run_end_target(r, call->target);
+            run_record_crash(r, call->fingerprint);
+            run_crash_target(r, call->target);
         } else if (call->live && call->ends == r->step) {
             run_finish(r, call);
         } else if (call->live && call->begins > r->step &&
@@ -378,8 +378,8 @@
     change(r->list, run_now(r), fp, "w", true);
     for (int h = 0; h < RUN_HOSTS; h++) {
         if (wg_suspects_ended_well(r->hosts[h], run_now(r), fp)) {
-            run_word word = {.ended_well = true, .crash = {.fingerprint = fp}};
-            run_tell(r, &word);
+            run_message message = {.ended_well = true, .crash = {.fingerprint = fp}};
+            run_report(r, &message);
         }
     }
 }
@@ -391,16 +391,16 @@
     }
 }
 
-static void run_hear(run_state* r, const run_word* word) {
-    uint64_t fp = word->crash.fingerprint;
-    if (word->ended_well) {
+static void run_receive(run_state* r, const run_message* message) {
+    uint64_t fp = message->crash.fingerprint;
+    if (message->ended_well) {
         wg_suspects_clear(r->leader, run_now(r), fp);
         if (wg_quarantine_contains(r->list, fp)) {
             run_end_quarantine(r, fp);
         }
         return;
     }
-    const wg_suspect* suspect = wg_suspects_add(r->leader, run_now(r), &word->crash);
+    const wg_suspect* suspect = wg_suspects_add(r->leader, run_now(r), &message->crash);
     if (suspect && wg_suspect_is_due(suspect) && !wg_quarantine_contains(r->list, fp)) {
         run_begin_quarantine(r, fp);
     }
@@ -410,14 +410,14 @@
     if (r->step < r->leader_at) {
         return;
     }
-    for (guint i = 0; i < r->told->len;) {
-        run_word word = g_array_index(r->told, run_word, i);
-        if (word.at > r->step) {
+    for (guint i = 0; i < r->messages->len;) {
+        run_message message = g_array_index(r->messages, run_message, i);
+        if (message.at > r->step) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(r->told, i);
-        run_hear(r, &word);
+        g_array_remove_index_fast(r->messages, i);
+        run_receive(r, &message);
     }
 }
 
@@ -425,13 +425,13 @@
 static void run_change_leader(run_state* r) {
     wg_suspects_shutdown(r->leader);
     r->leader = wg_suspects_setup(&(wg_suspects_desc){0});
-    g_array_set_size(r->told, 0);
-    r->leader_at = r->step + RUN_LEADERLESS;
+    g_array_set_size(r->messages, 0);
+    r->leader_at = r->step + RUN_OUTAGE_STEPS;
     for (int h = 0; h < RUN_HOSTS; h++) {
         GArray* crashes = wg_suspects_crashes(r->hosts[h]);
         for (guint i = 0; i < crashes->len; i++) {
-            run_word word = {.crash = g_array_index(crashes, wg_crash, i)};
-            run_tell(r, &word);
+            run_message message = {.crash = g_array_index(crashes, wg_crash, i)};
+            run_report(r, &message);
         }
         g_array_unref(crashes);
     }
@@ -439,9 +439,9 @@
 
 static void run_arrivals(run_state* r) {
     run_send(r, 1000000 + ++r->unique, 0);
-    run_send(r, 1000 + (uint64_t)run_draw(r, RUN_HOT), 0);
+    run_send(r, 1000 + (uint64_t)run_random(r, RUN_HOT), 0);
     for (uint64_t fp = 1; fp <= RUN_HARMFUL; fp++) {
-        if (r->step > 500 && run_draw(r, 40) == 0) {
+        if (r->step > 500 && run_random(r, 40) == 0) {
             run_send(r, fp, 0);
         }
     }
@@ -450,7 +450,7 @@
 static void run_burst(run_state* r) {
     for (int t = 0; t < RUN_TARGETS; t += 2) {
         if (r->step >= r->up_at[t]) {
-            run_end_target(r, t);
+            run_crash_target(r, t);
         }
     }
 }
@@ -459,18 +459,18 @@
     run_state r = {.seed = seed, .numbers = RUN_TARGETS};
     r.leader = wg_suspects_setup(&(wg_suspects_desc){0});
     r.list = wg_quarantine_setup(&(wg_quarantine_desc){0});
-    r.told = g_array_new(FALSE, FALSE, sizeof(run_word));
+    r.messages = g_array_new(FALSE, FALSE, sizeof(run_message));
     for (int h = 0; h < RUN_HOSTS; h++) {
         r.hosts[h] = wg_suspects_setup(&(wg_suspects_desc){0});
     }
     for (int t = 0; t < RUN_TARGETS; t++) {
-        r.life[t] = (uint32_t)t + 1;
+        r.incarnation[t] = (uint32_t)t + 1;
     }
     for (r.step = 1; r.step <= RUN_STEPS; r.step++) {
         run_arrivals(&r);
         run_calls(&r);
         run_leader(&r);
-        if (run_draw(&r, 1000) == 0) {
+        if (run_random(&r, 1000) == 0) {
             run_change_leader(&r);
         }
         if (r.step == 2000 || r.step == 2400 || r.step == 2800) {
@@ -479,7 +479,7 @@
     }
     wg_suspects_shutdown(r.leader);
     wg_quarantine_shutdown(r.list);
-    g_array_unref(r.told);
+    g_array_unref(r.messages);
     for (int h = 0; h < RUN_HOSTS; h++) {
         wg_suspects_shutdown(r.hosts[h]);
     }
@@ -496,10 +496,10 @@
         sent += r.harmless_sent;
         refused += r.harmless_refused;
         for (int fp = 1; fp <= RUN_HARMFUL; fp++) {
-            ck_assert_msg(r.late[fp] <= RUN_LATE_MOST,
+            ck_assert_msg(r.late[fp] <= RUN_LATE_MAX,
                           "seed %d: request %d ended %d targets, %d of them late", (int)seed, fp,
-                          r.ended_by[fp], r.late[fp]);
-            ended += r.ended_by[fp];
+                          r.crashes_by[fp], r.late[fp]);
+            ended += r.crashes_by[fp];
         }
     }
     printf("%d runs: %.2f targets ended by a request that ends them; %d of %d others refused\n",
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -14,14 +14,14 @@
     return t;
 }
 
-static wg_heartbeat_result hear(wg_registry* r, wg_time now, const char* id, wg_target_state state,
-                                uint64_t sequence) {
+static wg_heartbeat_result receive(wg_registry* r, wg_time now, const char* id,
+                                   wg_target_state state, uint64_t sequence) {
     wg_target t = record(id, state, sequence, "10.0.0.1:1");
-    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
-    if (heard == WG_HEARTBEAT_CHANGED) {
+    wg_heartbeat_result result = wg_registry_receive(r, now, &t);
+    if (result == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
-    return heard;
+    return result;
 }
 
 static wg_target_state state_of(const wg_registry* r, const char* id) {
@@ -36,10 +36,10 @@
 
 START_TEST(heartbeats_that_say_nothing_new_change_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 0, "a", WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     uint64_t change = wg_registry_change(r);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_UNCHANGED);
-    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 1, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(receive(r, 2, "a", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
     ck_assert_uint_eq(wg_registry_change(r), change);
     wg_registry_shutdown(r);
 }
@@ -48,13 +48,13 @@
 /* A heartbeat sent before the target began to drain and received later must not revive it. */
 START_TEST(a_late_heartbeat_revives_nobody) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "a", WG_TARGET_READY, 1);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_DRAINING, 5), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear(r, 2, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear(r, 3, "a", WG_TARGET_READY, 6), WG_HEARTBEAT_UNCHANGED);
+    receive(r, 0, "a", WG_TARGET_READY, 1);
+    ck_assert_int_eq(receive(r, 1, "a", WG_TARGET_DRAINING, 5), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 2, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 3, "a", WG_TARGET_READY, 6), WG_HEARTBEAT_UNCHANGED);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_DRAINING);
-    ck_assert_int_eq(hear(r, 4, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear(r, 5, "a", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 4, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 5, "a", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
 }
@@ -63,7 +63,7 @@
 /* A change that was received but not committed must be proposed again, not acknowledged. */
 START_TEST(what_was_not_agreed_on_is_no_old_heartbeat) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "a", WG_TARGET_READY, 1);
+    receive(r, 0, "a", WG_TARGET_READY, 1);
     wg_target drain = record("a", WG_TARGET_DRAINING, 2, "10.0.0.1:1");
     ck_assert_int_eq(wg_registry_receive(r, 1, &drain), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(wg_registry_receive(r, 2, &drain), WG_HEARTBEAT_CHANGED);
@@ -74,16 +74,16 @@
 /* A late heartbeat must not register a target that has deregistered. */
 START_TEST(a_leave_without_a_record_is_remembered) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    ck_assert_int_eq(hear(r, 0, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear(r, 1, "a", WG_TARGET_READY, 7), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 0, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 1, "a", WG_TARGET_READY, 7), WG_HEARTBEAT_OUTDATED);
     wg_registry_shutdown(r);
 }
 END_TEST
 
 START_TEST(a_new_incarnation_ends_the_one_at_its_address) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "a", WG_TARGET_READY, 1);
-    hear(r, 1, "b", WG_TARGET_READY, 1);
+    receive(r, 0, "a", WG_TARGET_READY, 1);
+    receive(r, 1, "b", WG_TARGET_READY, 1);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_REMOVED);
     ck_assert_int_eq(state_of(r, "b"), WG_TARGET_READY);
     wg_registry_shutdown(r);
@@ -92,16 +92,16 @@
 
 START_TEST(silent_ones_come_back_by_a_newer_heartbeat_only) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "a", WG_TARGET_READY, 3);
+    receive(r, 0, "a", WG_TARGET_READY, 3);
     ck_assert_ptr_null(wg_registry_find_unresponsive(r, 5 * SECOND, 5 * SECOND));
-    const wg_target* silent = wg_registry_find_unresponsive(r, 5 * SECOND + 1, 5 * SECOND);
-    ck_assert_ptr_nonnull(silent);
-    wg_target gone = *silent;
-    gone.state = WG_TARGET_UNRESPONSIVE;
-    wg_registry_apply(r, 6 * SECOND, &gone);
+    const wg_target* unresponsive = wg_registry_find_unresponsive(r, 5 * SECOND + 1, 5 * SECOND);
+    ck_assert_ptr_nonnull(unresponsive);
+    wg_target unresponsive_record = *unresponsive;
+    unresponsive_record.state = WG_TARGET_UNRESPONSIVE;
+    wg_registry_apply(r, 6 * SECOND, &unresponsive_record);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_UNRESPONSIVE);
-    ck_assert_int_eq(hear(r, 7 * SECOND, "a", WG_TARGET_READY, 3), WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear(r, 8 * SECOND, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 7 * SECOND, "a", WG_TARGET_READY, 3), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 8 * SECOND, "a", WG_TARGET_READY, 4), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(state_of(r, "a"), WG_TARGET_READY);
     wg_registry_shutdown(r);
 }
@@ -111,11 +111,11 @@
    continues to send heartbeats keeps the address. */
 START_TEST(a_first_heartbeat_that_comes_late_does_not_end_a_live_target) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "lives", WG_TARGET_READY, 1);
-    hear(r, SECOND, "crashed", WG_TARGET_READY, 1);
+    receive(r, 0, "lives", WG_TARGET_READY, 1);
+    receive(r, SECOND, "crashed", WG_TARGET_READY, 1);
     ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_REMOVED);
-    ck_assert_int_eq(hear(r, 2 * SECOND, "lives", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear(r, 4 * SECOND, "lives", WG_TARGET_READY, 3), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 2 * SECOND, "lives", WG_TARGET_READY, 2), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 4 * SECOND, "lives", WG_TARGET_READY, 3), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_READY);
     ck_assert_int_eq(state_of(r, "crashed"), WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
@@ -126,44 +126,45 @@
    deregistration is final. */
 START_TEST(a_late_heartbeat_does_not_replace_the_successor) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear(r, 0, "crashed", WG_TARGET_READY, 1);
-    hear(r, 1 * SECOND, "lives", WG_TARGET_READY, 1);
+    receive(r, 0, "crashed", WG_TARGET_READY, 1);
+    receive(r, 1 * SECOND, "lives", WG_TARGET_READY, 1);
     for (uint64_t i = 2; i < 10; i++) {
-        ck_assert_int_eq(hear(r, (wg_time)i * SECOND, "crashed", WG_TARGET_READY, i),
+        ck_assert_int_eq(receive(r, (wg_time)i * SECOND, "crashed", WG_TARGET_READY, i),
                          WG_HEARTBEAT_OUTDATED);
-        hear(r, (wg_time)i * SECOND, "lives", WG_TARGET_READY, i);
+        receive(r, (wg_time)i * SECOND, "lives", WG_TARGET_READY, i);
     }
     ck_assert_int_eq(state_of(r, "lives"), WG_TARGET_READY);
-    ck_assert_int_eq(hear(r, 20 * SECOND, "lives", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear(r, 30 * SECOND, "lives", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive(r, 20 * SECOND, "lives", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive(r, 30 * SECOND, "lives", WG_TARGET_READY, 99), WG_HEARTBEAT_OUTDATED);
     wg_registry_shutdown(r);
 }
 END_TEST
 
-static wg_heartbeat_result hear_cold(wg_registry* r, wg_time now, uint64_t sequence, wg_time cold) {
+static wg_heartbeat_result receive_cold(wg_registry* r, wg_time now, uint64_t sequence,
+                                        wg_time cold) {
     wg_target t = record("a", WG_TARGET_READY, sequence, "10.0.0.1:1");
     t.cold_until = cold ? now + cold : 0;
-    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
-    if (heard == WG_HEARTBEAT_CHANGED) {
+    wg_heartbeat_result result = wg_registry_receive(r, now, &t);
+    if (result == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
-    return heard;
+    return result;
 }
 
 /* Only the transition to cold is a change, not the remaining cold time in each heartbeat. */
 START_TEST(a_target_that_turns_cold_has_changed) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear_cold(r, 0, 1, 3 * SECOND);
+    receive_cold(r, 0, 1, 3 * SECOND);
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 3 * SECOND);
-    ck_assert_int_eq(hear_cold(r, 1 * SECOND, 2, 2 * SECOND), WG_HEARTBEAT_UNCHANGED);
-    ck_assert_int_eq(hear_cold(r, 5 * SECOND, 3, 0), WG_HEARTBEAT_UNCHANGED);
-    ck_assert_int_eq(hear_cold(r, 6 * SECOND, 4, 2 * SECOND), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive_cold(r, 1 * SECOND, 2, 2 * SECOND), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(receive_cold(r, 5 * SECOND, 3, 0), WG_HEARTBEAT_UNCHANGED);
+    ck_assert_int_eq(receive_cold(r, 6 * SECOND, 4, 2 * SECOND), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 8 * SECOND);
     Wgpb__TargetRecord packed;
-    wg_target at_another;
+    wg_target unpacked;
     wg_target_pack(wg_registry_find(r, 1), 7 * SECOND, &packed);
-    ck_assert(wg_target_unpack(&packed, 100 * SECOND, &at_another));
-    ck_assert_int_eq(at_another.cold_until, 101 * SECOND);
+    ck_assert(wg_target_unpack(&packed, 100 * SECOND, &unpacked));
+    ck_assert_int_eq(unpacked.cold_until, 101 * SECOND);
     wg_registry_shutdown(r);
 }
 END_TEST
@@ -267,15 +268,15 @@
 
 /* ---- restarts under the same id ---- */
 
-static wg_heartbeat_result hear_born(wg_registry* r, wg_time now, uint64_t born,
-                                     wg_target_state state, uint64_t sequence) {
+static wg_heartbeat_result receive_incarnation(wg_registry* r, wg_time now, uint64_t born,
+                                               wg_target_state state, uint64_t sequence) {
     wg_target t = record("a", state, sequence, "10.0.0.1:1");
     t.born = born;
-    wg_heartbeat_result heard = wg_registry_receive(r, now, &t);
-    if (heard == WG_HEARTBEAT_CHANGED) {
+    wg_heartbeat_result result = wg_registry_receive(r, now, &t);
+    if (result == WG_HEARTBEAT_CHANGED) {
         wg_registry_apply(r, now, &t);
     }
-    return heard;
+    return result;
 }
 
 static const wg_target* last_record(const wg_registry* r) {
@@ -290,32 +291,36 @@
 /* A restarted target counts heartbeats from one again; they must not be taken for outdated ones. */
 START_TEST(a_target_that_starts_again_is_another_incarnation) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear_born(r, 0, 1000, WG_TARGET_READY, 1);
-    hear_born(r, SECOND, 1000, WG_TARGET_READY, 501);
-    uint32_t former = last_record(r)->number;
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear_born(r, 4 * SECOND, 2000, WG_TARGET_READY, 2), WG_HEARTBEAT_UNCHANGED);
+    receive_incarnation(r, 0, 1000, WG_TARGET_READY, 1);
+    receive_incarnation(r, SECOND, 1000, WG_TARGET_READY, 501);
+    uint32_t previous = last_record(r)->number;
+    ck_assert_int_eq(receive_incarnation(r, 3 * SECOND, 2000, WG_TARGET_READY, 1),
+                     WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive_incarnation(r, 4 * SECOND, 2000, WG_TARGET_READY, 2),
+                     WG_HEARTBEAT_UNCHANGED);
     const wg_target* target = last_record(r);
-    ck_assert_uint_ne(target->number, former);
+    ck_assert_uint_ne(target->number, previous);
     ck_assert_int_eq(target->state, WG_TARGET_READY);
-    ck_assert_int_eq(wg_registry_find(r, former)->state, WG_TARGET_REMOVED);
+    ck_assert_int_eq(wg_registry_find(r, previous)->state, WG_TARGET_REMOVED);
     wg_registry_shutdown(r);
 }
 END_TEST
 
 START_TEST(what_a_former_start_said_changes_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear_born(r, 0, 1000, WG_TARGET_READY, 500);
-    hear_born(r, SECOND, 2000, WG_TARGET_READY, 1);
+    receive_incarnation(r, 0, 1000, WG_TARGET_READY, 500);
+    receive_incarnation(r, SECOND, 2000, WG_TARGET_READY, 1);
     uint64_t change = wg_registry_change(r);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 501), WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_DRAINING, 502),
+    ck_assert_int_eq(receive_incarnation(r, 2 * SECOND, 1000, WG_TARGET_READY, 501),
+                     WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive_incarnation(r, 2 * SECOND, 1000, WG_TARGET_DRAINING, 502),
+                     WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive_incarnation(r, 2 * SECOND, 1000, WG_TARGET_REMOVED, 0),
                      WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_REMOVED, 0), WG_HEARTBEAT_OUTDATED);
     /* A change of the previous incarnation, committed after the restart. */
-    wg_target silent = record("a", WG_TARGET_UNRESPONSIVE, 500, "10.0.0.1:1");
-    silent.born = 1000;
-    wg_registry_apply(r, 2 * SECOND, &silent);
+    wg_target unresponsive = record("a", WG_TARGET_UNRESPONSIVE, 500, "10.0.0.1:1");
+    unresponsive.born = 1000;
+    wg_registry_apply(r, 2 * SECOND, &unresponsive);
     ck_assert_uint_eq(wg_registry_change(r), change);
     ck_assert_int_eq(last_record(r)->state, WG_TARGET_READY);
     wg_registry_shutdown(r);
@@ -324,10 +329,13 @@
 
 START_TEST(a_target_that_left_may_start_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
-    hear_born(r, 0, 1000, WG_TARGET_DRAINING, 5);
-    hear_born(r, SECOND, 0, WG_TARGET_REMOVED, 0); /* a deregistration may lack the incarnation */
-    ck_assert_int_eq(hear_born(r, 2 * SECOND, 1000, WG_TARGET_READY, 900), WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 2000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
+    receive_incarnation(r, 0, 1000, WG_TARGET_DRAINING, 5);
+    receive_incarnation(r, SECOND, 0, WG_TARGET_REMOVED,
+                        0); /* a deregistration may lack the incarnation */
+    ck_assert_int_eq(receive_incarnation(r, 2 * SECOND, 1000, WG_TARGET_READY, 900),
+                     WG_HEARTBEAT_OUTDATED);
+    ck_assert_int_eq(receive_incarnation(r, 3 * SECOND, 2000, WG_TARGET_READY, 1),
+                     WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(last_record(r)->state, WG_TARGET_READY);
     wg_registry_shutdown(r);
 }
@@ -337,17 +345,19 @@
 START_TEST(copies_and_snapshots_keep_starts_apart) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_registry* loaded = wg_registry_setup(&(wg_registry_desc){0});
-    hear_born(r, 0, 1000, WG_TARGET_READY, 7);
-    hear_born(r, SECOND, 2000, WG_TARGET_READY, 1);
+    receive_incarnation(r, 0, 1000, WG_TARGET_READY, 7);
+    receive_incarnation(r, SECOND, 2000, WG_TARGET_READY, 1);
     Wgpb__RegistryState* state = wg_registry_dump(r, SECOND);
     ck_assert(wg_registry_load(loaded, SECOND, state));
     wgpb__registry_state__free_unpacked(state, NULL);
-    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 1000, WG_TARGET_READY, 8),
+    ck_assert_int_eq(receive_incarnation(loaded, 2 * SECOND, 1000, WG_TARGET_READY, 8),
                      WG_HEARTBEAT_OUTDATED);
-    ck_assert_int_eq(hear_born(loaded, 2 * SECOND, 2000, WG_TARGET_READY, 2),
+    ck_assert_int_eq(receive_incarnation(loaded, 2 * SECOND, 2000, WG_TARGET_READY, 2),
                      WG_HEARTBEAT_UNCHANGED);
-    ck_assert_int_eq(hear_born(loaded, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
-    ck_assert_int_eq(hear_born(r, 3 * SECOND, 3000, WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive_incarnation(loaded, 3 * SECOND, 3000, WG_TARGET_READY, 1),
+                     WG_HEARTBEAT_CHANGED);
+    ck_assert_int_eq(receive_incarnation(r, 3 * SECOND, 3000, WG_TARGET_READY, 1),
+                     WG_HEARTBEAT_CHANGED);
     ck_assert_uint_eq(last_record(loaded)->number, last_record(r)->number);
     wg_registry_shutdown(loaded);
     wg_registry_shutdown(r);
@@ -358,9 +368,9 @@
 START_TEST(many_starts_under_one_id_stay_bounded) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 4});
     for (uint64_t born = 1; born <= 50; born++) {
-        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 1),
+        ck_assert_int_eq(receive_incarnation(r, (wg_time)born, born, WG_TARGET_READY, 1),
                          WG_HEARTBEAT_CHANGED);
-        ck_assert_int_eq(hear_born(r, (wg_time)born, born, WG_TARGET_READY, 2),
+        ck_assert_int_eq(receive_incarnation(r, (wg_time)born, born, WG_TARGET_READY, 2),
                          WG_HEARTBEAT_UNCHANGED);
     }
     int num = 0;
--- a/tests/test_resting_targets.c
+++ b/tests/test_resting_targets.c
@@ -16,15 +16,15 @@
     DISKS = 3,
     TARGETS = 4, /* every other one serves the requested service */
     FORM_MS = 30000,
-    TURN_MS = 16, /* between two requests */
+    REQUEST_INTERVAL_MS = 16, /* between two requests */
     RUN_MS = 5000,
     ANSWER_S = 4,
-    WHOLE_PERCENT = 95
+    COMPLETE_PERCENT = 95
 };
 
 typedef struct {
     int sent;
-    int whole;
+    int complete;
     int refused; /* 503 */
     int failed;
 } answers;
@@ -32,7 +32,7 @@
 typedef struct {
     struct event_base* base;
     hosts h;
-    int asked;
+    int requests;
     answers got;
 } fleet;
 
@@ -42,18 +42,18 @@
 static void on_answer(struct evhttp_request* request, void* user_data) {
     answers* got = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    got->whole += status == 200;
+    got->complete += status == 200;
     got->refused += status == 503;
     got->failed += status != 200 && status != 503;
 }
 
-static void ask(fleet* f, int host_number) {
+static void send_request(fleet* f, int host_number) {
     const host* w = &f->h.hosts[host_number - 1];
     char ip[WG_ADDRESS_MAX];
     char text[32];
     uint16_t port;
     f->got.sent++;
-    f->asked++;
+    f->requests++;
     wgn_split_address(w->callers, ip, &port);
     struct evhttp_connection* connection = evhttp_connection_base_new(f->base, NULL, ip, port);
     evhttp_connection_set_timeout(connection, ANSWER_S);
@@ -62,7 +62,7 @@
     struct evhttp_request* request = evhttp_request_new(on_answer, &f->got);
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Host", "h");
-    g_snprintf(text, sizeof text, "q%d", f->asked);
+    g_snprintf(text, sizeof text, "q%d", f->requests);
     evhttp_add_header(out, "Walnutgate-Request", text);
     g_snprintf(text, sizeof text, "%d", host_number);
     evhttp_add_header(out, "Asked-Host", text);
@@ -70,11 +70,11 @@
 }
 
 /* Sends requests to the first `num` hosts in turn. */
-static void ask_for(fleet* f, int num, int ms) {
+static void send_for(fleet* f, int num, int ms) {
     wg_time until = wg_now() + ms * MSEC;
     while (wg_now() < until) {
-        ask(f, 1 + f->asked % num);
-        hosts_run_for(&f->h, TURN_MS);
+        send_request(f, 1 + f->requests % num);
+        hosts_run_for(&f->h, REQUEST_INTERVAL_MS);
     }
 }
 
@@ -108,7 +108,7 @@
     }
     ck_assert(hosts_set_target(&f->h, first_target(f), "refuse=0&fail=0"));
     ck_assert(hosts_set_target(&f->h, second_target(f), "refuse=0&fail=0&work_us=60000"));
-    ask_for(f, HOSTS, 500);
+    send_for(f, HOSTS, 500);
     hosts_run_for(&f->h, 200);
     f->got = (answers){0};
 }
@@ -121,9 +121,9 @@
     return num;
 }
 
-static void tell(const char* what, const fleet* f, int num) {
+static void print_result(const char* what, const fleet* f, int num) {
     printf("%s: %d sent, %d whole, %d refused, %d failed; %d against a target's wish\n", what,
-           f->got.sent, f->got.whole, f->got.refused, f->got.failed, num);
+           f->got.sent, f->got.complete, f->got.refused, f->got.failed, num);
     fflush(stdout);
 }
 
@@ -135,27 +135,27 @@
 /* ---- tests ------------------------------------------------------------------------------------
  */
 
-static void check_rest(const char* what, int hosts_num) {
+static void check_backoff(const char* what, int hosts_num) {
     fleet f;
     begin(&f);
     ck_assert(hosts_set_target(&f.h, first_target(&f), "refuse=100&rest_ms=3000"));
-    ask_for(&f, hosts_num, RUN_MS);
+    send_for(&f, hosts_num, RUN_MS);
     hosts_run_for(&f.h, 300);
     int num = unheeded(&f);
-    bool good = num == 0 && f.got.whole >= f.got.sent * WHOLE_PERCENT / 100;
-    tell(what, &f, num);
+    bool good = num == 0 && f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
+    print_result(what, &f, num);
     end(&f, good);
     ck_assert_msg(good, "%d rests got more than two requests, %d of %d whole; logs in %s", num,
-                  f.got.whole, f.got.sent, f.h.folder);
+                  f.got.complete, f.got.sent, f.h.folder);
 }
 
 START_TEST(a_resting_target_is_left_alone_by_one_host) {
-    check_rest("one host", 1);
+    check_backoff("one host", 1);
 }
 END_TEST
 
 START_TEST(a_resting_target_is_left_alone_by_all_hosts) {
-    check_rest("three hosts", HOSTS);
+    check_backoff("three hosts", HOSTS);
 }
 END_TEST
 
@@ -164,12 +164,12 @@
     fleet f;
     begin(&f);
     ck_assert(hosts_set_target(&f.h, first_target(&f), "refuse=100"));
-    ask_for(&f, HOSTS, RUN_MS);
+    send_for(&f, HOSTS, RUN_MS);
     hosts_run_for(&f.h, 300);
-    bool good = f.got.whole >= f.got.sent * WHOLE_PERCENT / 100;
-    tell("turned away", &f, 0);
+    bool good = f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
+    print_result("turned away", &f, 0);
     end(&f, good);
-    ck_assert_msg(good, "%d of %d whole; logs in %s", f.got.whole, f.got.sent, f.h.folder);
+    ck_assert_msg(good, "%d of %d whole; logs in %s", f.got.complete, f.got.sent, f.h.folder);
 }
 END_TEST
 
@@ -178,11 +178,11 @@
     fleet f;
     begin(&f);
     ck_assert(hosts_set_target(&f.h, first_target(&f), "leaving=1"));
-    ask_for(&f, HOSTS, RUN_MS);
+    send_for(&f, HOSTS, RUN_MS);
     hosts_run_for(&f.h, 300);
     int num = unheeded(&f);
-    bool good = num == 0 && f.got.whole >= f.got.sent * WHOLE_PERCENT / 100;
-    tell("leaving", &f, num);
+    bool good = num == 0 && f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
+    print_result("leaving", &f, num);
     end(&f, good);
     ck_assert_msg(good, "%d requests came later than 2.2 s after it had told; logs in %s", num,
                   f.h.folder);
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -6,11 +6,11 @@
 
 enum {
     CALLERS = 8, /* concurrent callers, each without a pause */
-    REST_S = 3,
+    BACKOFF_S = 3,
     AT_ONCE_MS = 100 /* limit for an answer that needs no target */
 };
 
-static load_result ask_for(int seconds) {
+static load_result run_load(int seconds) {
     load_desc desc = callers(LOAD_KIND_DEFAULT, CALLERS, seconds * SECOND);
     load_result result;
     load_run(&desc, &result);
@@ -23,24 +23,24 @@
 
 START_TEST(a_resting_target_is_left_alone) {
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
-    load_result result = ask_for(1);
+    load_result result = run_load(1);
     ck_clean(&result);
     load_clear(&result);
-    proc_process* resting = proc_find(&fleet, "service1");
+    proc_process* target = proc_find(&fleet, "service1");
     ck_assert_int_gt(lookups_at("service1"), 0);
-    proc_faults(resting, "refuse=100&rest_ms=3000");
-    result = ask_for(2 * REST_S);
-    int64_t num = proc_journal(resting, "unheeded");
+    proc_faults(target, "refuse=100&rest_ms=3000");
+    result = run_load(2 * BACKOFF_S);
+    int64_t num = proc_journal(target, "unheeded");
     printf("%lu whole, %lu failed; %d rests got more than two requests\n", result.whole,
            result.failed, (int)num);
     fflush(stdout);
     ck_clean(&result);
     load_clear(&result);
     ck_assert_int_eq(num, 0);
-    proc_faults(resting, "refuse=0");
-    proc_sleep(REST_S * 1000 + 500);
+    proc_faults(target, "refuse=0");
+    proc_sleep(BACKOFF_S * 1000 + 500);
     int64_t before = lookups_at("service1");
-    result = ask_for(1);
+    result = run_load(1);
     load_clear(&result);
     ck_assert_int_gt(lookups_at("service1"), before); /* the backoff period is over */
     proc_fleet_stop(&fleet);
@@ -50,15 +50,15 @@
 /* A target that refuses all requests without a hint must not draw requests either. */
 START_TEST(a_target_that_turns_all_away_does_not_draw_requests) {
     enum {
-        WHOLE_PERCENT = 95
+        COMPLETE_PERCENT = 95
     };
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     proc_faults(proc_find(&fleet, "service1"), "refuse=100");
-    load_result result = ask_for(6);
+    load_result result = run_load(6);
     uint64_t all = result.whole + result.failed;
     printf("%lu whole, %lu failed\n", result.whole, result.failed);
     fflush(stdout);
-    ck_assert_uint_ge(result.whole, all * WHOLE_PERCENT / 100);
+    ck_assert_uint_ge(result.whole, all * COMPLETE_PERCENT / 100);
     load_clear(&result);
     proc_fleet_stop(&fleet);
 }
@@ -71,16 +71,16 @@
         g_snprintf(name, sizeof name, "service%d", i);
         proc_faults(proc_find(&fleet, name), "refuse=100&rest_ms=20000");
     }
-    load_result result = ask_for(1); /* puts both targets in backoff */
+    load_result result = run_load(1); /* puts both targets in backoff */
     load_clear(&result);
     wg_time at = wg_now();
     proc_answer answer =
         proc_ask(proc_find(&fleet, "r1")->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
-    int64_t took = (wg_now() - at) / MSEC;
+    int64_t elapsed = (wg_now() - at) / MSEC;
     ck_assert_int_eq(answer.status, 503);
     ck_assert_str_eq(answer.verdict, "not-run");
     ck_assert_int_ge(answer.retry_after, 10);
-    ck_assert_int_lt(took, AT_ONCE_MS);
+    ck_assert_int_lt(elapsed, AT_ONCE_MS);
     proc_answer_clear(&answer);
     proc_fleet_stop(&fleet);
 }
--- a/tests/test_suspended_host.c
+++ b/tests/test_suspended_host.c
@@ -18,8 +18,8 @@
 START_TEST(a_request_whose_time_is_over_is_answered_at_once) {
     char answer[1024];
     begin();
-    int fd = caller("/a/x", "");
-    ck_assert(target_was_asked());
+    int fd = send_get("/a/x", "");
+    ck_assert(target_got_request());
     wg_now_skip(SUSPENDED_MS * MSEC);
     ck_assert_int_eq(status_within(fd, answer, AWAKE_MS), 504);
     close(fd);
@@ -32,7 +32,7 @@
     begin();
     int reports = leader.reports;
     wg_now_skip(SUSPENDED_MS * MSEC);
-    turns(AWAKE_MS);
+    run_turns(AWAKE_MS);
     ck_assert_int_eq(leader.downs, 0);
     ck_assert_int_gt(leader.reports, reports);
     one_entry_end();
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -5,51 +5,52 @@
 #include "wg_usage.h"
 
 enum {
-    MOST = 1,
+    HEAVY = 1,
     OTHER = 2,
     HOSTS = 10
 };
 
-/* A ledger with a report in which MOST has eight times the usage of OTHER, and both demand more. */
-static wg_usage_ledger* told(wg_time now) {
-    static const wg_usage word[] = {{MOST, 800000, 900000}, {OTHER, 100000, 900000}};
-    wg_usage_ledger* book = wg_usage_setup();
-    wg_usage_apply_report(book, now, word, G_N_ELEMENTS(word), 0);
-    return book;
+/* A ledger with a report in which HEAVY has eight times the usage of OTHER, and both demand more.
+ */
+static wg_usage_ledger* ledger_with_report(wg_time now) {
+    static const wg_usage report[] = {{HEAVY, 800000, 900000}, {OTHER, 100000, 900000}};
+    wg_usage_ledger* ledger = wg_usage_setup();
+    wg_usage_apply_report(ledger, now, report, G_N_ELEMENTS(report), 0);
+    return ledger;
 }
 
-static void pass(wg_usage_ledger* book, wg_time* now, wg_time duration, uint64_t workspace,
-                 uint64_t tokens_per_tick) {
+static void advance(wg_usage_ledger* ledger, wg_time* now, wg_time duration, uint64_t workspace,
+                    uint64_t tokens_per_tick) {
     for (wg_time until = *now + duration; *now < until;) {
         *now += 50 * MSEC;
-        wg_usage_record_demand(book, workspace, tokens_per_tick);
-        wg_usage_record_served(book, workspace, tokens_per_tick);
-        wg_usage_decay(book, *now, HOSTS, 0);
+        wg_usage_record_demand(ledger, workspace, tokens_per_tick);
+        wg_usage_record_served(ledger, workspace, tokens_per_tick);
+        wg_usage_decay(ledger, *now, HOSTS, 0);
     }
 }
 
 START_TEST(fresh_word_is_taken_as_it_is) {
     wg_time now = 100 * SECOND;
-    wg_usage_ledger* book = told(now);
-    pass(book, &now, 900 * MSEC, OTHER, 1000);
-    ck_assert(fabs(wg_usage_of(book, MOST) - 800000) < 1);
-    ck_assert(fabs(wg_usage_of(book, OTHER) - 100000) < 1);
-    ck_assert(fabs(wg_usage_levels(book)->served - 450000) < 1);
-    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
-    wg_usage_shutdown(book);
+    wg_usage_ledger* ledger = ledger_with_report(now);
+    advance(ledger, &now, 900 * MSEC, OTHER, 1000);
+    ck_assert(fabs(wg_usage_of(ledger, HEAVY) - 800000) < 1);
+    ck_assert(fabs(wg_usage_of(ledger, OTHER) - 100000) < 1);
+    ck_assert(fabs(wg_usage_levels(ledger)->served - 450000) < 1);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(ledger, HEAVY), wg_usage_levels(ledger)) <= 0);
+    wg_usage_shutdown(ledger);
 }
 END_TEST
 
 /* A report decays without a leader, so that a workspace above the level does not stay refused. */
 START_TEST(old_word_fades_and_is_dropped) {
     wg_time now = 100 * SECOND;
-    wg_usage_ledger* book = told(now);
-    pass(book, &now, 1200 * MSEC, OTHER, 0);
-    ck_assert(fabs(wg_usage_of(book, MOST) - 400000) < 4000);
-    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) <= 0);
-    pass(book, &now, 3800 * MSEC, OTHER, 0);
-    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
-    wg_usage_shutdown(book);
+    wg_usage_ledger* ledger = ledger_with_report(now);
+    advance(ledger, &now, 1200 * MSEC, OTHER, 0);
+    ck_assert(fabs(wg_usage_of(ledger, HEAVY) - 400000) < 4000);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(ledger, HEAVY), wg_usage_levels(ledger)) <= 0);
+    advance(ledger, &now, 3800 * MSEC, OTHER, 0);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(ledger, HEAVY), wg_usage_levels(ledger)) >= 1);
+    wg_usage_shutdown(ledger);
 }
 END_TEST
 
@@ -57,44 +58,44 @@
    hosts stand for 200,000 tokens/s, or 346,000 tokens in the usage window. */
 START_TEST(own_work_stands_for_that_of_others) {
     wg_time now = 100 * SECOND;
-    wg_usage_ledger* book = told(now);
-    pass(book, &now, 15 * SECOND, OTHER, 1000);
-    ck_assert(fabs(wg_usage_of(book, OTHER) - 346000) < 20000);
-    wg_usage_record_demand(book, MOST, 100000);
-    pass(book, &now, 100 * MSEC, OTHER, 1000);
-    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, MOST), wg_usage_levels(book)) >= 1);
-    ck_assert(wg_fair_wait_tolerance(wg_usage_of(book, OTHER), wg_usage_levels(book)) < 1);
-    wg_usage_shutdown(book);
+    wg_usage_ledger* ledger = ledger_with_report(now);
+    advance(ledger, &now, 15 * SECOND, OTHER, 1000);
+    ck_assert(fabs(wg_usage_of(ledger, OTHER) - 346000) < 20000);
+    wg_usage_record_demand(ledger, HEAVY, 100000);
+    advance(ledger, &now, 100 * MSEC, OTHER, 1000);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(ledger, HEAVY), wg_usage_levels(ledger)) >= 1);
+    ck_assert(wg_fair_wait_tolerance(wg_usage_of(ledger, OTHER), wg_usage_levels(ledger)) < 1);
+    wg_usage_shutdown(ledger);
 }
 END_TEST
 
 /* A new report replaces the estimate; usage from before the report is not counted again. */
 START_TEST(new_word_replaces_the_estimate) {
-    static const wg_usage word[] = {{OTHER, 5000, 6000}};
+    static const wg_usage report[] = {{OTHER, 5000, 6000}};
     wg_time now = 100 * SECOND;
-    wg_usage_ledger* book = told(now);
-    pass(book, &now, 5 * SECOND, MOST, 1000);
-    wg_usage_apply_report(book, now, word, G_N_ELEMENTS(word), 0);
-    ck_assert(fabs(wg_usage_of(book, MOST)) < 1);
-    ck_assert(fabs(wg_usage_of(book, OTHER) - 5000) < 1);
-    pass(book, &now, 1050 * MSEC, OTHER, 0);
-    ck_assert(wg_usage_of(book, MOST) < 1);
-    wg_usage_shutdown(book);
+    wg_usage_ledger* ledger = ledger_with_report(now);
+    advance(ledger, &now, 5 * SECOND, HEAVY, 1000);
+    wg_usage_apply_report(ledger, now, report, G_N_ELEMENTS(report), 0);
+    ck_assert(fabs(wg_usage_of(ledger, HEAVY)) < 1);
+    ck_assert(fabs(wg_usage_of(ledger, OTHER) - 5000) < 1);
+    advance(ledger, &now, 1050 * MSEC, OTHER, 0);
+    ck_assert(wg_usage_of(ledger, HEAVY) < 1);
+    wg_usage_shutdown(ledger);
 }
 END_TEST
 
 START_TEST(own_totals_only_grow) {
     wg_time now = 100 * SECOND;
-    wg_usage_ledger* book = told(now);
-    pass(book, &now, 5 * SECOND, OTHER, 1000);
-    GPtrArray* own = wg_usage_own(book);
+    wg_usage_ledger* ledger = ledger_with_report(now);
+    advance(ledger, &now, 5 * SECOND, OTHER, 1000);
+    GPtrArray* own = wg_usage_own(ledger);
     ck_assert_uint_eq(own->len, 1);
     const wg_usage* total = own->pdata[0];
     ck_assert_uint_eq(total->workspace, OTHER);
     ck_assert_uint_eq(total->tokens, 100000);
     ck_assert_uint_eq(total->asked, 100000);
     g_ptr_array_unref(own);
-    wg_usage_shutdown(book);
+    wg_usage_shutdown(ledger);
 }
 END_TEST
 
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -3,53 +3,53 @@
 #include "wg_watch.h"
 
 START_TEST(a_loop_in_time_says_nothing) {
-    wg_pulse pulse = {0};
+    wg_pulse monitor = {0};
     wg_time late = 0;
     for (int i = 1; i <= 1000; i++) {
-        ck_assert(!wg_pulse_beat(&pulse, i * 10 * MSEC, 10 * MSEC, &late));
+        ck_assert(!wg_pulse_beat(&monitor, i * 10 * MSEC, 10 * MSEC, &late));
     }
-    ck_assert_uint_eq(pulse.late.max, 0);
+    ck_assert_uint_eq(monitor.late.max, 0);
 }
 END_TEST
 
 START_TEST(a_late_loop_is_told_once_a_second_at_its_worst) {
-    wg_pulse pulse = {0};
+    wg_pulse monitor = {0};
     wg_time late = 0;
     wg_time now = 100 * SECOND;
-    wg_pulse_beat(&pulse, now, 10 * MSEC, &late);
+    wg_pulse_beat(&monitor, now, 10 * MSEC, &late);
     now += 210 * MSEC;
-    ck_assert(wg_pulse_beat(&pulse, now, 10 * MSEC, &late));
+    ck_assert(wg_pulse_beat(&monitor, now, 10 * MSEC, &late));
     ck_assert_int_eq(late, 200 * MSEC);
     now += 310 * MSEC;
-    ck_assert(!wg_pulse_beat(&pulse, now, 10 * MSEC, &late));
+    ck_assert(!wg_pulse_beat(&monitor, now, 10 * MSEC, &late));
     now += 160 * MSEC;
-    ck_assert(!wg_pulse_beat(&pulse, now, 10 * MSEC, &late));
+    ck_assert(!wg_pulse_beat(&monitor, now, 10 * MSEC, &late));
     now += SECOND + 10 * MSEC;
-    ck_assert(wg_pulse_beat(&pulse, now, 10 * MSEC, &late));
+    ck_assert(wg_pulse_beat(&monitor, now, 10 * MSEC, &late));
     ck_assert_int_eq(late, SECOND);
-    ck_assert_uint_eq(pulse.late.num, 4);
+    ck_assert_uint_eq(monitor.late.num, 4);
 }
 END_TEST
 
 START_TEST(an_absence_is_told_after_one_second_and_then_seldom) {
-    wg_absence absence = {0};
+    wg_absence outage = {0};
     int lines = 0;
     for (wg_time now = SECOND; now <= 65 * SECOND; now += 50 * MSEC) {
-        lines += wg_absence_note(&absence, false, now);
+        lines += wg_absence_note(&outage, false, now);
     }
     ck_assert_int_eq(lines, 7); /* after 1, 2, 4, 8, 16, 32 and 64 seconds */
-    ck_assert_int_eq(wg_absence_length(&absence, 65 * SECOND), 64 * SECOND);
+    ck_assert_int_eq(wg_absence_length(&outage, 65 * SECOND), 64 * SECOND);
 }
 END_TEST
 
 START_TEST(what_is_back_is_forgotten) {
-    wg_absence absence = {0};
-    ck_assert(!wg_absence_note(&absence, false, SECOND));
-    ck_assert(!wg_absence_note(&absence, true, SECOND + 900 * MSEC));
-    ck_assert_int_eq(wg_absence_length(&absence, SECOND + 900 * MSEC), 0);
-    ck_assert(!wg_absence_note(&absence, false, 2 * SECOND));
-    ck_assert(!wg_absence_note(&absence, false, 2 * SECOND + 900 * MSEC));
-    ck_assert(wg_absence_note(&absence, false, 3 * SECOND));
+    wg_absence outage = {0};
+    ck_assert(!wg_absence_note(&outage, false, SECOND));
+    ck_assert(!wg_absence_note(&outage, true, SECOND + 900 * MSEC));
+    ck_assert_int_eq(wg_absence_length(&outage, SECOND + 900 * MSEC), 0);
+    ck_assert(!wg_absence_note(&outage, false, 2 * SECOND));
+    ck_assert(!wg_absence_note(&outage, false, 2 * SECOND + 900 * MSEC));
+    ck_assert(wg_absence_note(&outage, false, 3 * SECOND));
 }
 END_TEST
 
