--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -639,8 +639,8 @@
                 first += first_sends[i];
                 again += retries[i];
             }
-            ck_assert_msg(again <= first * 20 / 100 + 58, "seed %d: %d of %d", (int)seed, again,
-                          first);
+            ck_assert_msg(again <= first * 20 / 100 + 58, "seed %d: %d retries of %d first sends",
+                          (int)seed, again, first);
         }
     }
 }
--- a/tests/test_crashing_request.c
+++ b/tests/test_crashing_request.c
@@ -172,8 +172,8 @@
 }
 
 static void print_result(const fleet* f, int late) {
-    printf("%d targets ended, %d of them late; crashing %d sent, %d refused, %d failed; "
-           "ordinary %d sent, %d whole, %d refused, %d failed\n",
+    printf("%d targets crashed, %d of them late; crashing %d sent, %d refused, %d failed; "
+           "ordinary %d sent, %d complete, %d refused, %d failed\n",
            f->crashes_num, late, f->crashing.sent, f->crashing.refused, f->crashing.failed,
            f->ordinary.sent, f->ordinary.complete, f->ordinary.refused, f->ordinary.failed);
     fflush(stdout);
@@ -220,8 +220,10 @@
     bool good = f.crashes_num >= 2 && late <= LATE_MAX && f.crashes_num <= CRASHES_MAX;
     print_result(&f, late);
     end(&f, good);
-    ck_assert_msg(good, "%d targets ended, %d of them when all hosts had to know; logs in %s",
-                  f.crashes_num, late, f.h.folder);
+    ck_assert_msg(
+        good,
+        "%d targets crashed, %d of them after all hosts had to refuse the request; logs in %s",
+        f.crashes_num, late, f.h.folder);
 }
 END_TEST
 
@@ -240,8 +242,8 @@
     bool good =
         before >= 2 && f.crashes_num == before && f.ordinary.complete > f.ordinary.sent * 9 / 10;
     end(&f, good);
-    ck_assert_msg(good, "%d targets ended before all processes did, %d afterwards; logs in %s",
-                  before, f.crashes_num - before, f.h.folder);
+    ck_assert_msg(good, "%d targets crashed before the restart, %d after it; logs in %s", before,
+                  f.crashes_num - before, f.h.folder);
 }
 END_TEST
 
@@ -260,12 +262,12 @@
         hosts_run_for(&f.h, ORDINARY_MS);
         restart_targets(&f);
     }
-    printf("%d targets ended; the same request %d sent, %d whole, %d refused, %d failed\n",
+    printf("%d targets killed; frequent request: %d sent, %d complete, %d refused, %d failed\n",
            f.crashes_num, hot.sent, hot.complete, hot.refused, hot.failed);
     fflush(stdout);
     bool good = f.crashes_num >= 6 && hot.complete >= hot.sent * HOT_COMPLETE_PERCENT / 100;
     end(&f, good);
-    ck_assert_msg(good, "%d of %d whole, %d refused; logs in %s", hot.complete, hot.sent,
+    ck_assert_msg(good, "%d of %d complete, %d refused; logs in %s", hot.complete, hot.sent,
                   hot.refused, f.h.folder);
 }
 END_TEST
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -46,7 +46,7 @@
         char* fields = g_strdup_printf("%s: made-up\r\nX-Own: 1\r\n%s: made-up\r\n%s: made-up\r\n",
                                        names[i], lower, upper);
         char* sent = forward(fields, "");
-        ck_assert_msg(!strstr(sent, "made-up"), "%s was handed on:\n%s", names[i], sent);
+        ck_assert_msg(!strstr(sent, "made-up"), "%s was passed on:\n%s", names[i], sent);
         ck_assert_int_eq(occurrences(sent, "X-Own: 1\r\n"), 1);
         g_free(sent);
         g_free(fields);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -497,13 +497,14 @@
         refused += r.harmless_refused;
         for (int fp = 1; fp <= RUN_HARMFUL; fp++) {
             ck_assert_msg(r.late[fp] <= RUN_LATE_MAX,
-                          "seed %d: request %d ended %d targets, %d of them late", (int)seed, fp,
+                          "seed %d: request %d crashed %d targets, %d of them late", (int)seed, fp,
                           r.crashes_by[fp], r.late[fp]);
             ended += r.crashes_by[fp];
         }
     }
-    printf("%d runs: %.2f targets ended by a request that ends them; %d of %d others refused\n",
-           RUN_SEEDS, (double)ended / RUN_SEEDS / RUN_HARMFUL, refused, sent);
+    printf(
+        "%d runs: %.2f targets crashed per harmful request; %d of %d harmless requests refused\n",
+        RUN_SEEDS, (double)ended / RUN_SEEDS / RUN_HARMFUL, refused, sent);
     ck_assert_int_le(ended, 4 * RUN_SEEDS * RUN_HARMFUL);
     ck_assert_int_le(refused, sent / 1000);
 }
--- a/tests/test_resting_targets.c
+++ b/tests/test_resting_targets.c
@@ -122,7 +122,7 @@
 }
 
 static void print_result(const char* what, const fleet* f, int num) {
-    printf("%s: %d sent, %d whole, %d refused, %d failed; %d against a target's wish\n", what,
+    printf("%s: %d sent, %d complete, %d refused, %d failed; %d against a target's hint\n", what,
            f->got.sent, f->got.complete, f->got.refused, f->got.failed, num);
     fflush(stdout);
 }
@@ -145,8 +145,9 @@
     bool good = num == 0 && f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
     print_result(what, &f, num);
     end(&f, good);
-    ck_assert_msg(good, "%d rests got more than two requests, %d of %d whole; logs in %s", num,
-                  f.got.complete, f.got.sent, f.h.folder);
+    ck_assert_msg(good,
+                  "%d backoff periods with more than two requests, %d of %d complete; logs in %s",
+                  num, f.got.complete, f.got.sent, f.h.folder);
 }
 
 START_TEST(a_resting_target_is_left_alone_by_one_host) {
@@ -167,9 +168,9 @@
     send_for(&f, HOSTS, RUN_MS);
     hosts_run_for(&f.h, 300);
     bool good = f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
-    print_result("turned away", &f, 0);
+    print_result("refused without a hint", &f, 0);
     end(&f, good);
-    ck_assert_msg(good, "%d of %d whole; logs in %s", f.got.complete, f.got.sent, f.h.folder);
+    ck_assert_msg(good, "%d of %d complete; logs in %s", f.got.complete, f.got.sent, f.h.folder);
 }
 END_TEST
 
@@ -182,10 +183,10 @@
     hosts_run_for(&f.h, 300);
     int num = unheeded(&f);
     bool good = num == 0 && f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
-    print_result("leaving", &f, num);
+    print_result("draining", &f, num);
     end(&f, good);
-    ck_assert_msg(good, "%d requests came later than 2.2 s after it had told; logs in %s", num,
-                  f.h.folder);
+    ck_assert_msg(good, "%d requests arrived more than 2.2 s after the draining report; logs in %s",
+                  num, f.h.folder);
 }
 END_TEST
 
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -31,8 +31,8 @@
     proc_faults(target, "refuse=100&rest_ms=3000");
     result = run_load(2 * BACKOFF_S);
     int64_t num = proc_journal(target, "unheeded");
-    printf("%lu whole, %lu failed; %d rests got more than two requests\n", result.whole,
-           result.failed, (int)num);
+    printf("%lu complete, %lu failed; %d backoff periods with more than two requests\n",
+           result.whole, result.failed, (int)num);
     fflush(stdout);
     ck_clean(&result);
     load_clear(&result);
@@ -56,7 +56,7 @@
     proc_faults(proc_find(&fleet, "service1"), "refuse=100");
     load_result result = run_load(6);
     uint64_t all = result.whole + result.failed;
-    printf("%lu whole, %lu failed\n", result.whole, result.failed);
+    printf("%lu complete, %lu failed\n", result.whole, result.failed);
     fflush(stdout);
     ck_assert_uint_ge(result.whole, all * COMPLETE_PERCENT / 100);
     load_clear(&result);
