--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -147,8 +147,7 @@
 }
 END_TEST
 
-/* A home that denied the request is still the source of copies, if it is known to hold the parts.
- */
+/* A home that denied the request remains a copy source if it is known to hold the parts. */
 START_TEST(a_denied_home_is_copied_from) {
     begin(18);
     wg_prompt p = prompt(77, 78);
--- a/tests/test_cold_coordinators.c
+++ b/tests/test_cold_coordinators.c
@@ -163,8 +163,7 @@
 }
 END_TEST
 
-/* A change of members must not delay admissions to targets that this host continues to coordinate.
- */
+/* A change of members must not delay admissions to targets with an unchanged coordinator. */
 START_TEST(a_host_that_stays_coordinator_goes_on_granting) {
     fake_entry_cold_settle_ms = SETTLE_MS;
     begin();
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -350,7 +350,8 @@
 }
 END_TEST
 
-/* ---- what a waiting request costs ---------------------------------------------------------------
+/* ---- tries of queued requests
+ * --------------------------------------------------------------------
  */
 
 enum {
--- a/tests/test_entry_rest.c
+++ b/tests/test_entry_rest.c
@@ -59,8 +59,7 @@
     target_send("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 3\r\n"
                 "Content-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_of(fd, answer), 503);
-    ck_assert_double_ge(retry_after(answer),
-                        0.4); /* a third of the route's 2 s, less a random part */
+    ck_assert_double_ge(retry_after(answer), 0.4); /* a third of the route's 2 s, jittered */
     close(fd);
 }
 
@@ -148,8 +147,7 @@
 }
 END_TEST
 
-/* A 421 comes from another process at the target's address; its fields do not apply to the target.
- */
+/* A 421 comes from another process at the target's address; its fields are ignored. */
 START_TEST(what_another_one_at_its_address_says_is_not_its_word) {
     begin();
     int fd = send_get_to_target();
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -52,8 +52,7 @@
 }
 END_TEST
 
-/* A retry after a failed attempt has all admission requests, whatever the usage of its workspace.
- */
+/* A retry has all admission requests, whatever the usage of its workspace. */
 START_TEST(a_second_attempt_is_tried_in_full) {
     wg_policy_terms far_above = terms(5000);
     far_above.sent_before = true;
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -1,5 +1,4 @@
-/* test_registry.c -- registered targets: outdated heartbeats, draining, reused addresses, restarts
- */
+/* test_registry.c -- outdated heartbeats, draining, reused addresses, restarts of targets */
 #include <stdio.h>
 
 #include "wg_registry.h"
@@ -174,8 +173,7 @@
     ck_assert_int_eq(wg_registry_evacuate(r, now, &evacuation), changes);
 }
 
-/* Repeated orders change nothing, snapshots contain the evacuation, and targets are cold after it.
- */
+/* Repeated orders change nothing, snapshots contain evacuations, targets are cold afterwards. */
 START_TEST(targets_of_an_evacuated_data_centre_take_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_target t = record("a", WG_TARGET_READY, 1, "10.0.0.1:1");
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -10,8 +10,7 @@
     HOSTS = 10
 };
 
-/* A ledger with a report in which HEAVY has eight times the usage of OTHER, and both demand more.
- */
+/* A ledger with a report: HEAVY has eight times the usage of OTHER, both demand more. */
 static wg_usage_ledger* ledger_with_report(wg_time now) {
     static const wg_usage report[] = {{HEAVY, 800000, 900000}, {OTHER, 100000, 900000}};
     wg_usage_ledger* ledger = wg_usage_setup();
