--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -10,8 +10,8 @@
     wgn_net* net;
     char* address;
     wgn_link link; /* to the entry host */
-    int ups;
-    int downs;
+    int links_up;
+    int links_down;
     int reports;
     int refusals;                /* number of coming orders to answer with "not the leader" */
     int evacuations;             /* orders to begin or end an evacuation */
@@ -32,7 +32,7 @@
     fake_control* f = user_data;
     if (peer->role == WGW_ROLE_ENTRY) {
         f->link = link;
-        f->ups++;
+        f->links_up++;
     }
 }
 
@@ -94,7 +94,7 @@
 
 static inline void fake_control_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
-    ((fake_control*)user_data)->downs += peer != NULL;
+    ((fake_control*)user_data)->links_down += peer != NULL;
 }
 
 static inline void fake_control_begin_as(struct event_base* base, fake_control* f, int number,
@@ -124,7 +124,7 @@
 }
 
 /* Sends that this control does not lead. `leader`: address of the leader, NULL if unknown. */
-static inline void fake_control_says(fake_control* f, const char* leader) {
+static inline void fake_control_send_leader(fake_control* f, const char* leader) {
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     state.leader_address = (char*)(leader ? leader : "");
     ck_assert(wgn_send(f->net, f->link, WGW_TYPE_ENTRY_STATE, &state.base));
@@ -187,9 +187,9 @@
     const uint64_t* quarantined; /* fingerprints */
     size_t quarantined_num;
     uint64_t quarantine_change;
-} fake_word;
+} fake_update;
 
-static inline void fake_control_send_state(fake_control* f, const fake_word* update, bool leads) {
+static inline void fake_control_send_state(fake_control* f, const fake_update* update, bool leads) {
     Wgpb__Configuration configuration = WGPB__CONFIGURATION__INIT;
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     Wgpb__TargetRecord record = WGPB__TARGET_RECORD__INIT;
@@ -255,11 +255,11 @@
     g_free(callers);
 }
 
-static inline void fake_control_leads(fake_control* f, const fake_word* update) {
+static inline void fake_control_send_leader_state(fake_control* f, const fake_update* update) {
     fake_control_send_state(f, update, true);
 }
 
 /* Sends the state that this control has applied, without a leader. */
-static inline void fake_control_send_standby_state(fake_control* f, const fake_word* update) {
+static inline void fake_control_send_standby_state(fake_control* f, const fake_update* update) {
     fake_control_send_state(f, update, false);
 }
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -130,7 +130,7 @@
     fake_control_begin(base, &leader, 1);
     char* seeds[] = {leader.address, NULL};
     entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS_MAX && leader.ups == 0; i++) {
+    for (int i = 0; i < TURNS_MAX && leader.links_up == 0; i++) {
         local_turn(base);
     }
 }
@@ -164,9 +164,9 @@
         "\"path_prefix\":\"%s\",\"kind\":\"safe\",\"timeout_ms\":%d,\"objective_ms\":500,"
         "\"attempts\":1,\"service\":\"e\"}],\"limits\":{%s},\"workspaces\":[]}",
         (int)route->version, route->prefix, route->timeout_ms, limits);
-    fake_control_leads(
+    fake_control_send_leader_state(
         &leader,
-        &(fake_word){.version = route->version, .document = document, .target = target_address});
+        &(fake_update){.version = route->version, .document = document, .target = target_address});
     g_free(document);
     g_free(limits);
     run_turns(20);
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -25,7 +25,7 @@
 }
 
 /* Admissions to many hosts at once must not exceed what the target can read in time. */
-START_TEST(many_hosts_do_not_fill_a_target) {
+START_TEST(admissions_to_many_hosts_are_bounded) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     int granted = 0;
     uint64_t unread = 0;
@@ -53,7 +53,7 @@
 END_TEST
 
 /* A new coordinator takes the parts that the target reports as cached into its account. */
-START_TEST(a_fresh_account_knows_what_the_target_tells) {
+START_TEST(fresh_account_includes_reported_parts) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     const uint64_t first_only[] = {100, 999};
     wg_admit_record_held_parts(admit, 0, 7, first_only, 2);
@@ -70,7 +70,7 @@
 END_TEST
 
 /* A cold target gets no more than its rate in any second. */
-START_TEST(a_cold_target_gets_what_it_bears) {
+START_TEST(admissions_to_a_cold_target_keep_its_rate) {
     enum {
         HOSTS = 90,
         STEPS = 4000 /* milliseconds */
@@ -98,7 +98,7 @@
 END_TEST
 
 /* Two hosts that both take themselves for the coordinator together stay within a bound. */
-START_TEST(two_coordinators_do_not_break_a_cold_target) {
+START_TEST(two_coordinators_keep_a_cold_target_bounded) {
     static const double rates[] = {0.5, 1, 3, 9.8, 10, 30, 400};
     for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
         int granted = 0;
@@ -119,7 +119,7 @@
 END_TEST
 
 /* Cached parts are evicted in order of last use, as in engines. */
-START_TEST(parts_are_given_up_for_newer_ones) {
+START_TEST(least_recently_used_parts_are_evicted) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     decide(0, 1, 1);
     wg_admit_first_event(admit, SECOND, 1, 1);
@@ -145,7 +145,7 @@
 }
 END_TEST
 
-START_TEST(a_refusal_takes_nothing) {
+START_TEST(refusal_reserves_nothing) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     ck_assert(decide(0, 9, 9).granted);
     wg_admit_request r = request(1, 1, 2900);
@@ -190,7 +190,7 @@
 END_TEST
 
 /* The coordinator ejects a target after three failures on any hosts, for a period that doubles. */
-START_TEST(a_target_that_fails_is_put_aside) {
+START_TEST(failing_target_is_ejected) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     for (uint32_t target = 1; target <= 7; target++) {
         wg_admit_request r = request(9, target, 100);
@@ -214,7 +214,7 @@
 END_TEST
 
 /* If all targets fail, ejection would leave none. */
-START_TEST(where_all_fail_none_is_put_aside) {
+START_TEST(no_target_is_ejected_if_all_fail) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     for (uint32_t target = 1; target <= 4; target++) {
         for (uint64_t ticket = 1; ticket <= 3; ticket++) {
@@ -231,7 +231,7 @@
 }
 END_TEST
 
-START_TEST(slots_bound_what_runs) {
+START_TEST(slots_limit_running_requests) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 10);
     r.running_most = 1;
@@ -245,7 +245,7 @@
 END_TEST
 
 /* A new coordinator does not know earlier admissions and uses `floor_unread` until it does. */
-START_TEST(a_fresh_account_counts_what_is_known_otherwise) {
+START_TEST(fresh_account_uses_the_given_floor) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.floor_unread = 4000;
@@ -256,7 +256,7 @@
 }
 END_TEST
 
-START_TEST(the_speed_is_learnt) {
+START_TEST(reading_speed_is_learnt) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_time before = decide(0, 1, 1000).wait;
     wg_admit_end(admit, 0, 1, 1000, false);
@@ -275,7 +275,7 @@
 END_TEST
 
 /* After random requests, ends and closed links, accounts contain running requests only. */
-START_TEST(accounts_come_out_even) {
+START_TEST(accounts_return_to_zero) {
     for (uint64_t seed = 1; seed <= 50; seed++) {
         admit = wg_admit_setup(&(wg_admit_desc){0});
         uint64_t counter = 0;
@@ -319,11 +319,10 @@
 }
 END_TEST
 
-WG_TEST_MAIN("admit", a_fresh_account_knows_what_the_target_tells, many_hosts_do_not_fill_a_target,
-             a_cold_target_gets_what_it_bears, two_coordinators_do_not_break_a_cold_target,
-             shared_parts_are_read_once, parts_are_given_up_for_newer_ones,
-             what_is_copied_is_not_read, a_refusal_takes_nothing, shared_parts_can_count_as_ahead,
-             large_prompts_have_a_limit_of_their_own, a_target_that_fails_is_put_aside,
-             where_all_fail_none_is_put_aside, slots_bound_what_runs,
-             a_fresh_account_counts_what_is_known_otherwise, the_speed_is_learnt,
-             accounts_come_out_even)
+WG_TEST_MAIN("admit", fresh_account_includes_reported_parts, admissions_to_many_hosts_are_bounded,
+             admissions_to_a_cold_target_keep_its_rate, two_coordinators_keep_a_cold_target_bounded,
+             shared_parts_are_read_once, least_recently_used_parts_are_evicted,
+             what_is_copied_is_not_read, refusal_reserves_nothing, shared_parts_can_count_as_ahead,
+             large_prompts_have_a_limit_of_their_own, failing_target_is_ejected,
+             no_target_is_ejected_if_all_fail, slots_limit_running_requests,
+             fresh_account_uses_the_given_floor, reading_speed_is_learnt, accounts_return_to_zero)
--- a/tests/test_backoff.c
+++ b/tests/test_backoff.c
@@ -22,7 +22,7 @@
     return wg_backoff_hint_period(&hint, UNIX_TIME, 3600 * SECOND);
 }
 
-START_TEST(a_rest_is_read_in_all_its_forms) {
+START_TEST(retry_after_is_parsed_in_all_formats) {
     ck_assert_int_eq(period_of("3"), 3 * SECOND);
     ck_assert_int_eq(period_of(" 0.25 "), 250 * MSEC);
     ck_assert_int_eq(period_of("2."), 2 * SECOND);
@@ -36,7 +36,7 @@
 }
 END_TEST
 
-START_TEST(what_cannot_be_read_asks_for_nothing) {
+START_TEST(unreadable_hint_has_no_period) {
     static const char* const values[] = {
         "-3",   "soon", "",   "1e3",   "3s", "nan",      "inf",         "3, 4",
         "0x10", "..",   ".5", "1.2.3", "+3", "\xff\xfe", "Sun, 06 Nov", "3 4"};
@@ -51,7 +51,7 @@
 }
 END_TEST
 
-START_TEST(of_several_fields_the_longest_rest_counts) {
+START_TEST(longest_of_several_hints_counts) {
     wg_backoff_hint hint = hint_of(503, "Retry-After", "2");
     wg_text name = text_of("Retry-After");
     wg_backoff_read_field(&hint, "Target-Leaving", name, text_of("later"));
@@ -74,7 +74,7 @@
 END_TEST
 
 /* With other statuses Retry-After is meant for the caller. */
-START_TEST(only_a_request_that_is_turned_away_asks_for_rest) {
+START_TEST(only_status_503_starts_a_backoff) {
     static const int others[] = {200, 301, 413, 429, 500, 502, 504};
     for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
         wg_backoff_hint hint = hint_of(others[i], "Retry-After", "3");
@@ -89,7 +89,7 @@
     return wg_backoff_record(b, now, target, &hint, UNIX_TIME);
 }
 
-START_TEST(a_rest_holds_to_its_end_and_never_becomes_shorter) {
+START_TEST(backoff_is_never_shortened) {
     wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
     wg_time at = 7 * SECOND;
     ck_assert_int_eq(wg_backoff_ends_at(b, at, 1), 0);
@@ -115,7 +115,7 @@
 
 /* Hosts that were refused at once must return at different times, or the target would refuse most
    of them again. */
-START_TEST(hosts_that_were_asked_at_once_come_back_apart) {
+START_TEST(hosts_return_from_backoff_at_different_times) {
     enum {
         HOSTS = 100
     };
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-START_TEST(leaving_is_final) {
+START_TEST(draining_is_final) {
     wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
     wg_backoff_hint draining = hint_of(200, "target-leaving", "1");
     wg_backoff_hint not_draining = hint_of(200, "Target-Leaving", "0");
@@ -152,7 +152,7 @@
 END_TEST
 
 /* An unreadable hint is reported once per target, and only with status 503. */
-START_TEST(what_cannot_be_read_is_told_once_a_target) {
+START_TEST(unreadable_hint_is_reported_once_per_target) {
     wg_backoff* b = wg_backoff_setup(&(wg_backoff_desc){0});
     ck_assert(record_backoff(b, SECOND, 1, "soon").unreadable);
     ck_assert(!record_backoff(b, 2 * SECOND, 1, "soon").unreadable);
@@ -165,7 +165,7 @@
 END_TEST
 
 /* Expired backoffs are evicted first, then the oldest entries. */
-START_TEST(no_more_targets_are_kept_than_allowed) {
+START_TEST(backoff_entries_are_bounded) {
     enum {
         TARGETS_MAX = 8
     };
@@ -187,9 +187,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("backoff", a_rest_is_read_in_all_its_forms, what_cannot_be_read_asks_for_nothing,
-             of_several_fields_the_longest_rest_counts, a_date_counts_from_the_date_of_the_answer,
-             only_a_request_that_is_turned_away_asks_for_rest,
-             a_rest_holds_to_its_end_and_never_becomes_shorter,
-             hosts_that_were_asked_at_once_come_back_apart, leaving_is_final,
-             what_cannot_be_read_is_told_once_a_target, no_more_targets_are_kept_than_allowed)
+WG_TEST_MAIN("backoff", retry_after_is_parsed_in_all_formats, unreadable_hint_has_no_period,
+             longest_of_several_hints_counts, a_date_counts_from_the_date_of_the_answer,
+             only_status_503_starts_a_backoff, backoff_is_never_shortened,
+             hosts_return_from_backoff_at_different_times, draining_is_final,
+             unreadable_hint_is_reported_once_per_target, backoff_entries_are_bounded)
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -41,7 +41,7 @@
 }
 
 /* Hosts agree on the homes of a prefix without communication. */
-START_TEST(a_prefix_has_its_homes_on_every_host) {
+START_TEST(hosts_agree_on_the_homes_of_a_prefix) {
     begin(18);
     wg_balance* other = wg_balance_setup(&(wg_balance_desc){.data_centre = "", .seed = 99});
     wg_balance_sync(other, 0, registry);
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(a_loaded_home_spills_to_the_second) {
+START_TEST(loaded_home_spills_over_to_the_second) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     uint32_t first = choose(&p, 0).target;
@@ -83,7 +83,7 @@
 END_TEST
 
 /* A target that is no home copies missing parts from a home. */
-START_TEST(what_a_home_holds_is_copied) {
+START_TEST(missing_parts_are_copied_from_a_home) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
@@ -106,7 +106,7 @@
 
 /* The second home is assumed to hold the parts but may have evicted them, so the choice still names
    the first home as source. */
-START_TEST(the_second_home_copies_what_it_lacks) {
+START_TEST(second_home_copies_missing_parts) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
@@ -122,7 +122,7 @@
 END_TEST
 
 /* When a home drains, the new home copies the prefix from the previous one. */
-START_TEST(a_new_home_copies_from_the_former) {
+START_TEST(new_home_copies_from_the_previous) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
@@ -148,7 +148,7 @@
 END_TEST
 
 /* A home that denied the request remains a copy source if it is known to hold the parts. */
-START_TEST(a_denied_home_is_copied_from) {
+START_TEST(denied_home_is_a_copy_source) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
@@ -167,7 +167,7 @@
 END_TEST
 
 /* A load reported by a coordinator replaces the leader's until it is no longer fresh. */
-START_TEST(newer_loads_count) {
+START_TEST(newer_load_replaces_the_reported_one) {
     begin(1);
     wg_prompt p = prompt(77, 78);
     uint32_t unread = 0;
@@ -187,7 +187,7 @@
 END_TEST
 
 /* Rendezvous hashing: the removal of a target leaves the prefixes of others in place. */
-START_TEST(a_lost_target_moves_only_its_own_prefixes) {
+START_TEST(removed_target_moves_only_its_own_prefixes) {
     begin(18);
     uint32_t before[200];
     for (uint64_t i = 0; i < G_N_ELEMENTS(before); i++) {
@@ -208,7 +208,7 @@
 END_TEST
 
 /* Many hosts with the same outdated loads must not all choose the least loaded target. */
-START_TEST(hosts_do_not_all_take_the_least_loaded) {
+START_TEST(hosts_do_not_all_choose_the_least_loaded) {
     begin(90);
     int sent[91] = {0};
     for (uint64_t h = 0; h < 69; h++) {
@@ -245,7 +245,7 @@
 }
 
 /* The load of other hosts decays over reports, faster in a small fleet. */
-START_TEST(what_others_had_fades) {
+START_TEST(load_of_other_hosts_decays) {
     wg_time flooded = wait_after_flood(69, 0);
     ck_assert(wait_after_flood(69, 1) > flooded / 2);
     ck_assert(wait_after_flood(69, 1) < flooded);
@@ -342,7 +342,7 @@
 END_TEST
 
 /* Time spent queued behind other requests must not count as service time. */
-START_TEST(the_work_of_a_plain_request_is_learnt_without_its_wait) {
+START_TEST(service_time_excludes_queue_time) {
     enum {
         AT_ONCE = 4 * PLAIN_SLOTS
     };
@@ -413,7 +413,7 @@
 
 /* Third homes that often lack their prefixes are given up for the two homes of the fleet, because
    reading a prefix again costs more than a remote request. */
-START_TEST(third_homes_that_lack_their_prefixes_are_left) {
+START_TEST(third_homes_without_their_prefixes_are_given_up) {
     begin_two_data_centres(10);
     ck_assert_int_eq(chosen_local_num(3000), 200);
     for (int i = 0; i < 200; i++) {
@@ -429,7 +429,7 @@
 END_TEST
 
 /* Loads return to zero after any order of events. */
-START_TEST(accounts_come_out_even) {
+START_TEST(accounts_return_to_zero) {
     for (uint64_t seed = 1; seed <= 30; seed++) {
         begin(5);
         wg_choice open[40] = {0};
@@ -460,7 +460,7 @@
 }
 END_TEST
 
-START_TEST(failing_targets_are_put_aside_and_come_back) {
+START_TEST(failing_targets_are_ejected_and_return) {
     begin(3);
     wg_need need = {.service = "m", .slots = 64};
     wg_time now = 0;
@@ -488,7 +488,7 @@
 END_TEST
 
 /* The address of a crashed target was reused before a leader could report it. */
-START_TEST(a_target_that_moved_gets_nothing_until_its_record_changes) {
+START_TEST(replaced_target_gets_nothing_until_its_record_changes) {
     begin(2);
     wg_choice c = {.target = 1};
     wg_balance_begin(balance, 0, &c);
@@ -511,7 +511,7 @@
 END_TEST
 
 /* A home counts as holding a prefix only after a prompt was sent or a warm-up time has passed. */
-START_TEST(a_cold_fleet_is_not_taken_for_a_warm_one) {
+START_TEST(homes_count_as_cached_after_warm_up_only) {
     begin(18);
     wg_prompt p = prompt(77, 78);
     wg_choice c = choose(&p, 0);
@@ -525,7 +525,7 @@
 }
 END_TEST
 
-START_TEST(slots_are_left_for_those_who_are_owed_them) {
+START_TEST(slots_are_reserved_for_workspaces_within_their_share) {
     begin(1);
     for (int i = 0; i < 32; i++) {
         wg_choice c = {.target = 1};
@@ -539,7 +539,7 @@
 }
 END_TEST
 
-START_TEST(the_level_is_max_min) {
+START_TEST(fair_level_is_max_min) {
     ck_assert(fabs(wg_fair_level((double[]){10, 20, 90}, 3, 90) - 60) < 1e-9);
     ck_assert(fabs(wg_fair_level((double[]){50, 50, 50}, 3, 90) - 30) < 1e-9);
     ck_assert(fabs(wg_fair_level((double[]){10, 20, 30}, 3, 60) - 30) < 1e-9);
@@ -586,7 +586,7 @@
 END_TEST
 
 /* Confidence drops after late first events and recovers after timely ones. */
-START_TEST(the_margin_follows_what_came) {
+START_TEST(confidence_follows_timely_first_events) {
     wg_fair_margin margin = {0};
     ck_assert(wg_fair_confidence(&margin) == 1);
     for (int i = 0; i < 200; i++) {
@@ -602,7 +602,7 @@
 
 /* In every window the fleet stays within the retry budget, though hosts restart and all requests
    fail. */
-START_TEST(the_fleet_keeps_its_retry_budget) {
+START_TEST(fleet_stays_within_its_retry_budget) {
     enum {
         STEPS = 6000, /* 10 ms each */
         HOSTS = 11
@@ -645,17 +645,17 @@
 }
 END_TEST
 
-WG_TEST_MAIN("balance", a_prefix_has_its_homes_on_every_host, a_loaded_home_spills_to_the_second,
-             what_a_home_holds_is_copied, the_second_home_copies_what_it_lacks,
-             a_new_home_copies_from_the_former, a_denied_home_is_copied_from, newer_loads_count,
-             what_others_had_fades, hosts_do_not_all_take_the_least_loaded,
-             a_lost_target_moves_only_its_own_prefixes, draining_targets_get_nothing,
-             a_small_prefix_has_a_home_in_each_data_centre,
-             third_homes_that_lack_their_prefixes_are_left,
+WG_TEST_MAIN("balance", hosts_agree_on_the_homes_of_a_prefix, loaded_home_spills_over_to_the_second,
+             missing_parts_are_copied_from_a_home, second_home_copies_missing_parts,
+             new_home_copies_from_the_previous, denied_home_is_a_copy_source,
+             newer_load_replaces_the_reported_one, load_of_other_hosts_decays,
+             hosts_do_not_all_choose_the_least_loaded, removed_target_moves_only_its_own_prefixes,
+             draining_targets_get_nothing, a_small_prefix_has_a_home_in_each_data_centre,
+             third_homes_without_their_prefixes_are_given_up,
              a_plain_request_waits_at_a_target_that_answers_in_time,
-             the_work_of_a_plain_request_is_learnt_without_its_wait,
-             targets_of_an_evacuated_data_centre_get_nothing, accounts_come_out_even,
-             failing_targets_are_put_aside_and_come_back,
-             a_target_that_moved_gets_nothing_until_its_record_changes,
-             slots_are_left_for_those_who_are_owed_them, a_cold_fleet_is_not_taken_for_a_warm_one,
-             the_level_is_max_min, the_margin_follows_what_came, the_fleet_keeps_its_retry_budget)
+             service_time_excludes_queue_time, targets_of_an_evacuated_data_centre_get_nothing,
+             accounts_return_to_zero, failing_targets_are_ejected_and_return,
+             replaced_target_gets_nothing_until_its_record_changes,
+             slots_are_reserved_for_workspaces_within_their_share,
+             homes_count_as_cached_after_warm_up_only, fair_level_is_max_min,
+             confidence_follows_timely_first_events, fleet_stays_within_its_retry_budget)
--- a/tests/test_cold_coordinators.c
+++ b/tests/test_cold_coordinators.c
@@ -15,11 +15,11 @@
     static const char document[] =
         "{\"version\":5,\"services\":[{\"name\":\"e\"}],\"routes\":[],\"limits\":{},"
         "\"workspaces\":[]}";
-    fake_control_leads(&leader, &(fake_word){.version = 5,
-                                             .document = document,
-                                             .target = target_address,
-                                             .other_member = other_member,
-                                             .members_change = members_change});
+    fake_control_send_leader_state(&leader, &(fake_update){.version = 5,
+                                                           .document = document,
+                                                           .target = target_address,
+                                                           .other_member = other_member,
+                                                           .members_change = members_change});
     run_turns(20);
 }
 
@@ -109,7 +109,7 @@
 
 /* A coordinator without a leader may not know a new target, or that it is cold: the request says
    so. */
-START_TEST(a_coordinator_heeds_that_the_asker_knows_a_target_as_cold) {
+START_TEST(coordinator_applies_the_cold_rate_of_the_request) {
     begin();
     request_admissions(ANY_TARGET);
     ck_assert_int_eq(admissions_granted, COLD_RATE);
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-START_TEST(a_coordinator_that_has_just_started_grants_no_cold_target) {
+START_TEST(started_coordinator_grants_no_cold_target) {
     fake_entry_cold_settle_ms = 60000;
     begin();
     request_admissions(ANY_TARGET);
@@ -138,7 +138,7 @@
     return target;
 }
 
-START_TEST(a_host_grants_no_cold_target_that_another_one_coordinates) {
+START_TEST(only_the_coordinator_grants_a_cold_target) {
     begin();
     lead("there", 2);
     request_admissions(target_coordinated_by("there"));
@@ -148,7 +148,7 @@
 END_TEST
 
 /* A new coordinator waits until admissions by the previous one no longer count. */
-START_TEST(a_host_that_becomes_coordinator_waits_before_it_grants) {
+START_TEST(new_coordinator_waits_before_it_grants) {
     fake_entry_cold_settle_ms = SETTLE_MS;
     begin();
     settle("there", 2);
@@ -164,7 +164,7 @@
 END_TEST
 
 /* A change of members must not delay admissions to targets with an unchanged coordinator. */
-START_TEST(a_host_that_stays_coordinator_goes_on_granting) {
+START_TEST(unchanged_coordinator_grants_without_a_wait) {
     fake_entry_cold_settle_ms = SETTLE_MS;
     begin();
     settle(NULL, 1);
@@ -182,8 +182,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("cold coordinators", a_coordinator_heeds_that_the_asker_knows_a_target_as_cold,
-             a_coordinator_that_has_just_started_grants_no_cold_target,
-             a_host_grants_no_cold_target_that_another_one_coordinates,
-             a_host_that_becomes_coordinator_waits_before_it_grants,
-             a_host_that_stays_coordinator_goes_on_granting)
+WG_TEST_MAIN("cold coordinators", coordinator_applies_the_cold_rate_of_the_request,
+             started_coordinator_grants_no_cold_target, only_the_coordinator_grants_a_cold_target,
+             new_coordinator_waits_before_it_grants, unchanged_coordinator_grants_without_a_wait)
--- a/tests/test_crashing_request.c
+++ b/tests/test_crashing_request.c
@@ -212,7 +212,7 @@
 /* ---- tests ------------------------------------------------------------------------------------
  */
 
-START_TEST(a_request_that_ends_targets_is_known_to_all_hosts) {
+START_TEST(crashing_request_is_refused_by_all_hosts) {
     fleet f;
     begin(&f);
     run_for(&f, RUN_MS, true);
@@ -229,7 +229,7 @@
 
 /* A quarantine is in the replicated log: after a restart of the fleet it is in force before any
    request is served. */
-START_TEST(a_quarantine_outlives_all_processes) {
+START_TEST(quarantine_survives_a_restart_of_the_fleet) {
     fleet f;
     begin(&f);
     run_for(&f, QUARANTINE_MS, true);
@@ -249,7 +249,7 @@
 
 /* A frequent request that runs at each target when half of them are killed must not stay
    quarantined, as it ends well on other targets. */
-START_TEST(a_request_that_is_only_there_is_not_refused) {
+START_TEST(request_running_at_killed_targets_is_not_refused) {
     fleet f;
     answers hot = {0};
     begin(&f);
@@ -272,5 +272,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("crashing_request", a_request_that_ends_targets_is_known_to_all_hosts,
-             a_quarantine_outlives_all_processes, a_request_that_is_only_there_is_not_refused)
+WG_TEST_MAIN("crashing_request", crashing_request_is_refused_by_all_hosts,
+             quarantine_survives_a_restart_of_the_fleet,
+             request_running_at_killed_targets_is_not_refused)
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -107,7 +107,7 @@
 }
 
 /* At the limit, a new connection closes the connection that has been idle for longest. */
-START_TEST(the_longest_idle_caller_gives_way) {
+START_TEST(longest_idle_caller_is_closed_at_the_limit) {
     int callers[CALLERS_MAX + 3];
     begin(CALLERS_MAX, 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
@@ -129,7 +129,7 @@
 END_TEST
 
 /* A connection with a partly received request is not closed for a new one. */
-START_TEST(a_caller_that_sends_does_not_give_way) {
+START_TEST(caller_with_a_partial_request_is_not_closed) {
     int callers[CALLERS_MAX];
     begin(CALLERS_MAX, 0);
     for (int i = 0; i < CALLERS_MAX; i++) {
@@ -150,7 +150,7 @@
 
 /* A connection with an unread request is not closed for a new one: its request would go without an
    answer. */
-START_TEST(a_caller_whose_request_is_unread_does_not_give_way) {
+START_TEST(caller_with_an_unread_request_is_not_closed) {
     static const char request[] = "GET /x/ HTTP/1.1\r\nHost: h\r\n\r\n";
     int callers[CALLERS_MAX];
     char answer[512] = "";
@@ -180,7 +180,7 @@
 }
 END_TEST
 
-START_TEST(descriptors_bound_the_callers) {
+START_TEST(descriptors_limit_callers) {
     int first;
     begin(1000, 10); /* leaves seven descriptors for callers */
     first = connect_caller();
@@ -199,5 +199,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry", the_longest_idle_caller_gives_way, a_caller_that_sends_does_not_give_way,
-             a_caller_whose_request_is_unread_does_not_give_way, descriptors_bound_the_callers)
+WG_TEST_MAIN("entry", longest_idle_caller_is_closed_at_the_limit,
+             caller_with_a_partial_request_is_not_closed,
+             caller_with_an_unread_request_is_not_closed, descriptors_limit_callers)
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -123,7 +123,7 @@
  */
 
 /* A disconnect of a caller must not queue behind the requests of all other callers. */
-START_TEST(work_for_a_caller_that_left_stops_before_new_requests_are_taken) {
+START_TEST(caller_disconnect_is_handled_before_new_requests) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     begin();
     int fd = send_get("/a/x", "");
@@ -147,7 +147,7 @@
 
 /* The idle timeout must not close a connection whose request waits unread while the loop lags: the
    caller would get no answer. */
-START_TEST(a_request_that_waits_unread_keeps_its_connection) {
+START_TEST(unread_request_keeps_its_connection_open) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[1024];
     begin();
@@ -162,7 +162,7 @@
 END_TEST
 
 /* The timeout of a partly read request must not count time in which the remainder waited unread. */
-START_TEST(the_rest_of_a_request_that_waits_unread_is_not_too_slow) {
+START_TEST(unread_remainder_of_a_request_does_not_time_out) {
     static const char first[] = "POST /none HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nab";
     char answer[1024];
     begin();
@@ -177,7 +177,7 @@
 }
 END_TEST
 
-START_TEST(a_connection_that_rests_is_closed) {
+START_TEST(idle_connection_is_closed) {
     char byte;
     begin();
     int fd = connect_only();
@@ -192,7 +192,7 @@
 
 /* A planned stop must not end while a request waits unread: its connection would close without an
    answer. */
-START_TEST(a_planned_stop_answers_what_waits_unread) {
+START_TEST(planned_stop_answers_unread_requests) {
     static const char request[] = "GET /none HTTP/1.1\r\nHost: h\r\n\r\n";
     char byte;
     begin();
@@ -223,7 +223,7 @@
 
 /* The deadline passed to a target must include the time that a request waited unread; otherwise
    targets work on after the caller's deadline. */
-START_TEST(the_time_of_a_request_begins_before_it_is_read) {
+START_TEST(deadline_includes_time_unread) {
     static const char request[] =
         "GET /a/x HTTP/1.1\r\nHost: h\r\nWalnutgate-Deadline-Ms: 20000\r\n\r\n";
     struct event* busy[BUSY_NUM];
@@ -253,7 +253,7 @@
 
 /* A request that no target accepts is refused after its queue time, also when a loop round takes
    longer than a tick: retries at each tick must not restart the queue time. */
-START_TEST(a_request_that_waits_in_vain_is_refused_in_time) {
+START_TEST(request_without_a_target_is_refused_in_time) {
     static const char request[] =
         "GET /a/x HTTP/1.1\r\nHost: h\r\nWalnutgate-Deadline-Ms: 20000\r\n\r\n";
     struct event* busy[BUSY_NUM];
@@ -286,7 +286,7 @@
 /* The priority of a connection must not change while its callback is pending: libevent would remove
    the callback from the wrong queue and lose events. Here an answer and the caller's next request
    arrive at once. */
-START_TEST(an_answer_and_the_next_request_at_once_lose_nothing) {
+START_TEST(answer_and_next_request_at_once_are_both_handled) {
     static const char* const requests[] = {"GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\n",
                                            "GET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n",
                                            "GET /a/3 HTTP/1.1\r\nHost: h\r\n\r\n"};
@@ -310,10 +310,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry flooded", work_for_a_caller_that_left_stops_before_new_requests_are_taken,
-             a_request_that_waits_unread_keeps_its_connection,
-             the_rest_of_a_request_that_waits_unread_is_not_too_slow,
-             a_connection_that_rests_is_closed, a_planned_stop_answers_what_waits_unread,
-             a_request_that_waits_in_vain_is_refused_in_time,
-             the_time_of_a_request_begins_before_it_is_read,
-             an_answer_and_the_next_request_at_once_lose_nothing)
+WG_TEST_MAIN("entry flooded", caller_disconnect_is_handled_before_new_requests,
+             unread_request_keeps_its_connection_open,
+             unread_remainder_of_a_request_does_not_time_out, idle_connection_is_closed,
+             planned_stop_answers_unread_requests, request_without_a_target_is_refused_in_time,
+             deadline_includes_time_unread, answer_and_next_request_at_once_are_both_handled)
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -36,7 +36,7 @@
 
 /* The deadline passed to a target is the remaining time of the caller or the route, less the wait
    at this host. */
-START_TEST(no_more_time_is_handed_on_than_is_left) {
+START_TEST(target_deadline_is_the_remaining_time) {
     static const struct {
         const char* fields;
         int64_t max;
@@ -75,7 +75,7 @@
 END_TEST
 
 /* A caller's disconnect cancels its request at the target at once. */
-START_TEST(a_caller_that_leaves_stops_its_work) {
+START_TEST(caller_disconnect_cancels_the_target_request) {
     begin();
     int fd = send_get("/a/x", "");
     ck_assert(target_got_request());
@@ -88,7 +88,7 @@
 END_TEST
 
 /* A request whose caller disconnected before the host read it must not reach a target. */
-START_TEST(a_request_of_a_caller_that_has_left_is_not_sent) {
+START_TEST(request_of_a_disconnected_caller_is_not_sent) {
     static const char request[] = "GET /a/x HTTP/1.1\r\nHost: h\r\n\r\n";
     char answer[1024];
     begin();
@@ -109,7 +109,7 @@
 
 /* A planned stop reports not ready at once, answers running requests and closes their connections,
    and still accepts new requests. */
-START_TEST(a_planned_stop_cuts_nothing_off) {
+START_TEST(planned_stop_aborts_no_request) {
     char answer[1024];
     begin();
     int probe = send_request(READY_PORT, "GET", "/v1/ready", "");
@@ -137,7 +137,7 @@
 END_TEST
 
 /* An older configuration, for example from a previous leader, is ignored. */
-START_TEST(a_configuration_only_moves_forward) {
+START_TEST(older_configuration_is_ignored) {
     char answer[1024];
     begin();
     lead_route(4, "/old/");
@@ -172,12 +172,12 @@
         "\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/a/\",\"kind\":\"safe\","
         "\"timeout_ms\":2000,\"objective_ms\":500,\"attempts\":1,\"service\":\"e\"}],\"limits\":{},"
         "\"workspaces\":[]}";
-    fake_control_leads(&leader, &(fake_word){.version = 9,
-                                             .document = document,
-                                             .target = target_address,
-                                             .evacuated = evacuated,
-                                             .cold_us = cold_us,
-                                             .change = change});
+    fake_control_send_leader_state(&leader, &(fake_update){.version = 9,
+                                                           .document = document,
+                                                           .target = target_address,
+                                                           .evacuated = evacuated,
+                                                           .cold_us = cold_us,
+                                                           .change = change});
     run_turns(20);
 }
 
@@ -199,7 +199,7 @@
 END_TEST
 
 /* The only host coordinates the target and may use its full cold rate, no more. */
-START_TEST(a_cold_target_gets_no_more_than_it_bears) {
+START_TEST(cold_target_gets_no_more_than_its_rate) {
     int fd[COLD_CALLS];
     begin();
     lead_targets(NULL, 60 * WG_USEC_PER_SEC, 2);
@@ -217,7 +217,7 @@
 
 /* After a start the member lists of hosts differ, and each host could take itself for the
    coordinator of every target. */
-START_TEST(a_host_that_has_just_started_leaves_cold_targets_alone) {
+START_TEST(started_host_sends_nothing_to_cold_targets) {
     char answer[1024];
     fake_entry_cold_settle_ms = 1000;
     begin();
@@ -236,25 +236,25 @@
 END_TEST
 
 /* Queries for cached prompts must not add to the load of a cold target. */
-START_TEST(a_cold_target_is_not_asked_what_it_holds) {
+START_TEST(cold_target_is_not_queried_for_cached_prompts) {
     static const char document[] =
         "{\"version\":9,\"services\":[{\"name\":\"e\",\"cold_s\":3,\"cold_per_second\":3,"
         "\"engine\":{\"slots\":4,\"memory_tokens\":100000}}],\"routes\":[],\"limits\":{},"
         "\"workspaces\":[]}";
-    fake_word update = {.version = 9,
-                        .document = document,
-                        .target = target_address,
-                        .cold_us = 60 * WG_USEC_PER_SEC,
-                        .change = 2};
+    fake_update update = {.version = 9,
+                          .document = document,
+                          .target = target_address,
+                          .cold_us = 60 * WG_USEC_PER_SEC,
+                          .change = 2};
     begin();
     g_string_truncate(target_received, 0);
     update.target = target_address;
-    fake_control_leads(&leader, &update);
+    fake_control_send_leader_state(&leader, &update);
     run_turns(300);
     ck_assert_uint_eq(target_received->len, 0);
     update.cold_us = 0;
     update.change = 3;
-    fake_control_leads(&leader, &update);
+    fake_control_send_leader_state(&leader, &update);
     ck_assert(target_got_request());
     end();
 }
@@ -269,7 +269,7 @@
     return status;
 }
 
-START_TEST(an_evacuation_is_passed_to_the_leader) {
+START_TEST(evacuation_order_is_forwarded_to_the_leader) {
     static const char length[] = "Content-Length: 0\r\n";
     begin();
     lead_targets(NULL, 0, 2);
@@ -290,7 +290,7 @@
 END_TEST
 
 /* After a stall a host reads orders whose senders have disconnected and retried elsewhere. */
-START_TEST(an_order_whose_sender_has_left_is_not_passed_on) {
+START_TEST(order_of_a_disconnected_sender_is_not_forwarded) {
     static const char request[] = "PUT /v1/evacuations/dc HTTP/1.1\r\nHost: o\r\n\r\n";
     begin();
     lead_targets(NULL, 0, 2);
@@ -316,7 +316,7 @@
 }
 
 /* Descriptors of target connections reduce those available to callers. */
-START_TEST(connections_to_targets_leave_fewer_for_callers) {
+START_TEST(target_connections_reduce_the_caller_limit) {
     enum {
         DESCRIPTORS = 40,
         BUSY = 15, /* connections whose requests are at a target */
@@ -368,8 +368,9 @@
         "\"attempts\":1,\"service\":\"e\",\"affinity\":true}],\"limits\":{},"
         "\"workspaces\":[]}",
         (int)version, TIMEOUT_MS);
-    fake_control_leads(
-        &leader, &(fake_word){.version = version, .document = document, .target = target_address});
+    fake_control_send_leader_state(
+        &leader,
+        &(fake_update){.version = version, .document = document, .target = target_address});
     g_free(document);
     run_turns(20);
 }
@@ -441,11 +442,11 @@
         usage[i] = &items[i];
     }
     wg_config_unref(config);
-    fake_control_leads(&leader, &(fake_word){.version = 9,
-                                             .document = shared_document,
-                                             .target = target_address,
-                                             .usage = usage,
-                                             .usage_num = OTHER_WORKSPACES + 1});
+    fake_control_send_leader_state(&leader, &(fake_update){.version = 9,
+                                                           .document = shared_document,
+                                                           .target = target_address,
+                                                           .usage = usage,
+                                                           .usage_num = OTHER_WORKSPACES + 1});
     run_turns(20);
 }
 
@@ -464,7 +465,7 @@
 
 /* Usage reported by a leader must decay during an outage; otherwise a workspace that was above its
    fair share is refused until there is a leader again. */
-START_TEST(old_usage_fades_without_a_leader) {
+START_TEST(usage_decays_without_a_leader) {
     begin();
     lead_with_usage();
     ck_assert(!reaches_target("/a/while-led"));
@@ -481,12 +482,14 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry promises", old_usage_fades_without_a_leader,
-             connections_to_targets_leave_fewer_for_callers,
-             events_of_streams_do_not_try_waiting_requests, no_more_time_is_handed_on_than_is_left,
-             a_request_ends_at_the_timeout_of_its_route, a_caller_that_leaves_stops_its_work,
-             a_request_of_a_caller_that_has_left_is_not_sent, a_planned_stop_cuts_nothing_off,
-             a_configuration_only_moves_forward, an_evacuated_data_centre_gets_no_request,
-             a_cold_target_gets_no_more_than_it_bears, a_cold_target_is_not_asked_what_it_holds,
-             a_host_that_has_just_started_leaves_cold_targets_alone,
-             an_evacuation_is_passed_to_the_leader, an_order_whose_sender_has_left_is_not_passed_on)
+WG_TEST_MAIN("entry promises", usage_decays_without_a_leader,
+             target_connections_reduce_the_caller_limit,
+             events_of_streams_do_not_try_waiting_requests, target_deadline_is_the_remaining_time,
+             a_request_ends_at_the_timeout_of_its_route,
+             caller_disconnect_cancels_the_target_request,
+             request_of_a_disconnected_caller_is_not_sent, planned_stop_aborts_no_request,
+             older_configuration_is_ignored, an_evacuated_data_centre_gets_no_request,
+             cold_target_gets_no_more_than_its_rate, cold_target_is_not_queried_for_cached_prompts,
+             started_host_sends_nothing_to_cold_targets,
+             evacuation_order_is_forwarded_to_the_leader,
+             order_of_a_disconnected_sender_is_not_forwarded)
--- a/tests/test_entry_quarantine.c
+++ b/tests/test_entry_quarantine.c
@@ -18,24 +18,24 @@
         "\"attempts\":1,\"service\":\"e\"},{\"name\":\"s\",\"host\":\"h\",\"path_prefix\":\"/s/\","
         "\"kind\":\"stream\",\"timeout_ms\":2000,\"objective_ms\":500,\"attempts\":1,"
         "\"service\":\"e\"}],\"limits\":{},\"workspaces\":[]}";
-    fake_control_leads(&leader, &(fake_word){.version = 5,
-                                             .document = document,
-                                             .target = target_address,
-                                             .quarantined = quarantined,
-                                             .quarantined_num = num,
-                                             .quarantine_change = change});
+    fake_control_send_leader_state(&leader, &(fake_update){.version = 5,
+                                                           .document = document,
+                                                           .target = target_address,
+                                                           .quarantined = quarantined,
+                                                           .quarantined_num = num,
+                                                           .quarantine_change = change});
     run_turns(20);
 }
 
 /* Sends a new incarnation of the target at the same address. `replaced`: number of the previous
    one, sent as replaced; 0: the previous one is left out. */
 static void target_restart(uint32_t number, uint32_t replaced) {
-    fake_control_leads(&leader, &(fake_word){.version = 5,
-                                             .document = "",
-                                             .target = target_address,
-                                             .number = number,
-                                             .replaced_number = replaced,
-                                             .change = number});
+    fake_control_send_leader_state(&leader, &(fake_update){.version = 5,
+                                                           .document = "",
+                                                           .target = target_address,
+                                                           .number = number,
+                                                           .replaced_number = replaced,
+                                                           .change = number});
 }
 
 static void begin(void) {
@@ -59,7 +59,7 @@
 /* ---- evidence ---------------------------------------------------------------------------------
  */
 
-START_TEST(an_end_of_a_target_is_told_with_the_request_that_was_there) {
+START_TEST(target_crash_is_reported_with_its_request) {
     begin();
     int fd = send_get_and_run("/a/x");
     ck_assert_int_eq(requests_at_target(), 1);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(a_stream_that_had_just_begun_is_told_as_such) {
+START_TEST(crash_of_a_new_stream_is_reported_as_early) {
     begin();
     int fd = send_get_and_run("/s/x");
     target_send(stream_begins);
@@ -88,7 +88,7 @@
 
 /* A closed connection alone is no evidence: resets and connections beyond a target's limit look the
    same. */
-START_TEST(a_target_that_only_breaks_off_is_no_evidence) {
+START_TEST(closed_connection_alone_is_no_evidence) {
     begin();
     int fd = send_get_and_run("/a/x");
     target_close_connection();
@@ -101,7 +101,7 @@
 
 /* A proxy may accept connections for a crashed target, or the target may be back at once; a new
    incarnation at its address shows the crash. */
-START_TEST(a_target_that_is_replaced_after_it_broke_off_is_evidence) {
+START_TEST(replaced_target_after_a_closed_connection_is_evidence) {
     begin();
     int fd = send_get_and_run("/s/x");
     target_send(stream_begins);
@@ -118,7 +118,7 @@
 END_TEST
 
 /* A request that a proxy accepted and closed at once was not at the target when it crashed. */
-START_TEST(a_request_that_came_to_a_target_that_was_gone_is_no_evidence) {
+START_TEST(request_to_a_crashed_target_is_no_evidence) {
     begin();
     int fd =
         send_get_and_run("/a/x"); /* closed after 20 ms, on a fresh connection, without a byte */
@@ -132,15 +132,15 @@
 }
 END_TEST
 
-START_TEST(a_new_link_is_told_all_evidence_again) {
+START_TEST(evidence_is_reported_again_on_a_new_link) {
     begin();
     int fd = send_get_and_run("/a/x");
     target_stop();
     run_turns(200);
     ck_assert_int_eq(leader.crashes, 1);
     wgn_close(leader.net, leader.link);
-    int ups = leader.ups;
-    for (int i = 0; i < TURNS_MAX && leader.ups == ups; i++) {
+    int ups = leader.links_up;
+    for (int i = 0; i < TURNS_MAX && leader.links_up == ups; i++) {
         local_turn(base);
     }
     run_turns(200);
@@ -151,7 +151,7 @@
 END_TEST
 
 /* Without a leader a host refuses requests by its own evidence. */
-START_TEST(a_host_refuses_by_itself_what_ended_targets) {
+START_TEST(host_refuses_crashing_requests_by_its_own_evidence) {
     char answer[1024];
     begin();
     for (int i = 0; i < 2; i++) {
@@ -206,7 +206,7 @@
 
 /* A quarantine aborts a request at a target that has not answered yet, which may save the target.
    The request may have run. */
-START_TEST(a_quarantine_stops_what_is_under_way) {
+START_TEST(quarantine_aborts_unanswered_requests) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
@@ -224,7 +224,7 @@
 
 /* A quarantined request whose answer has begun continues; if it ends well, the quarantine was
    wrong. */
-START_TEST(a_request_that_ends_well_is_told) {
+START_TEST(request_that_ends_well_is_reported) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/s/x")};
     begin();
@@ -240,7 +240,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_ended_well_before_is_told) {
+START_TEST(earlier_good_end_is_reported) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
@@ -255,7 +255,7 @@
 }
 END_TEST
 
-START_TEST(an_operator_lists_and_lets_through) {
+START_TEST(operator_lists_and_releases_quarantines) {
     char answer[1024];
     uint64_t list[] = {0x0123456789abcdef};
     begin();
@@ -275,12 +275,11 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry quarantine", an_end_of_a_target_is_told_with_the_request_that_was_there,
-             a_stream_that_had_just_begun_is_told_as_such,
-             a_target_that_only_breaks_off_is_no_evidence,
-             a_target_that_is_replaced_after_it_broke_off_is_evidence,
-             a_request_that_came_to_a_target_that_was_gone_is_no_evidence,
-             a_new_link_is_told_all_evidence_again, a_host_refuses_by_itself_what_ended_targets,
-             a_quarantined_request_is_refused_at_once, a_quarantine_stops_what_is_under_way,
-             a_request_that_ends_well_is_told, a_request_that_ended_well_before_is_told,
-             an_operator_lists_and_lets_through)
+WG_TEST_MAIN("entry quarantine", target_crash_is_reported_with_its_request,
+             crash_of_a_new_stream_is_reported_as_early, closed_connection_alone_is_no_evidence,
+             replaced_target_after_a_closed_connection_is_evidence,
+             request_to_a_crashed_target_is_no_evidence, evidence_is_reported_again_on_a_new_link,
+             host_refuses_crashing_requests_by_its_own_evidence,
+             a_quarantined_request_is_refused_at_once, quarantine_aborts_unanswered_requests,
+             request_that_ends_well_is_reported, earlier_good_end_is_reported,
+             operator_lists_and_releases_quarantines)
--- a/tests/test_entry_rest.c
+++ b/tests/test_entry_rest.c
@@ -15,13 +15,13 @@
     "\"path_prefix\":\"/\",\"kind\":\"safe\",\"timeout_ms\":2000,\"objective_ms\":500,"
     "\"attempts\":1,\"service\":\"e\"}],\"limits\":{},\"workspaces\":[]}";
 
-static const fake_word first_incarnation = {
+static const fake_update first_incarnation = {
     .version = 1, .document = document, .id = "t", .born = 1000};
 
 /* Sends `update` as leader, with the address of the target. */
-static void lead(fake_word update) {
+static void lead(fake_update update) {
     update.target = target_address;
-    fake_control_leads(&leader, &update);
+    fake_control_send_leader_state(&leader, &update);
     run_turns(20);
 }
 
@@ -75,7 +75,7 @@
     ck_assert_int_eq(status_and_close(fd), 200);
 }
 
-START_TEST(a_rest_ends_after_its_time) {
+START_TEST(backoff_ends_after_its_period) {
     begin();
     start_backoff();
     ck_target_gets_no_request();
@@ -90,7 +90,7 @@
 END_TEST
 
 /* A hint counts also in a 503 that is passed to the caller because the request may have run. */
-START_TEST(a_503_that_may_have_run_asks_for_rest_too) {
+START_TEST(hint_counts_in_a_503_that_may_have_run) {
     begin();
     int fd = send_get_to_target();
     target_send("HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(other_statuses_ask_for_no_rest) {
+START_TEST(other_statuses_start_no_backoff) {
     begin();
     int fd = send_get_to_target();
     target_send("HTTP/1.1 429 Slow\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n");
@@ -115,10 +115,10 @@
 END_TEST
 
 /* A backoff survives renumbered targets, a new configuration and a reload of the settings. */
-START_TEST(a_rest_outlives_lists_and_configurations) {
+START_TEST(backoff_survives_new_lists_and_configurations) {
     begin();
     start_backoff();
-    fake_word update = first_incarnation;
+    fake_update update = first_incarnation;
     update.number = 9;
     update.change = 4;
     lead(update);
@@ -134,10 +134,10 @@
 }
 END_TEST
 
-START_TEST(another_start_of_the_target_asked_for_nothing) {
+START_TEST(backoff_does_not_apply_to_a_new_incarnation) {
     begin();
     start_backoff();
-    fake_word update = first_incarnation;
+    fake_update update = first_incarnation;
     update.born = 2000;
     update.number = 2;
     update.change = 2;
@@ -148,12 +148,12 @@
 END_TEST
 
 /* A 421 comes from another process at the target's address; its fields are ignored. */
-START_TEST(what_another_one_at_its_address_says_is_not_its_word) {
+START_TEST(fields_of_a_misdirected_answer_are_ignored) {
     begin();
     int fd = send_get_to_target();
     target_send("HTTP/1.1 421 Other\r\nTarget-Leaving: 1\r\nContent-Length: 0\r\n\r\n");
     ck_assert_int_eq(status_and_close(fd), 503);
-    fake_word update = first_incarnation;
+    fake_update update = first_incarnation;
     update.change = 2; /* a heartbeat of the target itself */
     lead(update);
     ck_target_serves();
@@ -162,7 +162,7 @@
 END_TEST
 
 /* A draining target finishes its requests and gets no new ones, also without a leader. */
-START_TEST(a_target_that_leaves_gets_nothing_more) {
+START_TEST(draining_target_gets_no_more_requests) {
     begin();
     int fd = send_get_to_target();
     target_send("HTTP/1.1 200 OK\r\nTarget-Leaving: 1\r\nContent-Length: 1\r\n\r\nx");
@@ -189,7 +189,7 @@
 
 /* While all targets are in backoff, callers are refused without a wait, with a Retry-After that
    reaches to the end of the backoff or a third of the caller's deadline. */
-START_TEST(while_all_targets_rest_callers_are_refused_at_once) {
+START_TEST(callers_are_refused_at_once_while_all_targets_back_off) {
     begin();
     start_backoff();
     ck_refused_at_once("Walnutgate-Deadline-Ms: 30000\r\n", 2.5, 3.5);
@@ -200,7 +200,7 @@
 END_TEST
 
 /* A backoff that ends within the queue time delays a request instead of refusing it. */
-START_TEST(a_short_rest_is_waited_for) {
+START_TEST(short_backoff_is_waited_for) {
     begin();
     int fd = send_get_to_target();
     target_send("HTTP/1.1 503 Busy\r\nTarget-Not-Run: 1\r\nRetry-After: 0.04\r\n"
@@ -213,9 +213,9 @@
 
 /* A new coordinator queries a target for its cached prompts, up to three times; these queries
    observe backoff hints and receive them. */
-START_TEST(questions_for_cached_prompts_heed_it_and_tell_of_it) {
+START_TEST(cache_queries_observe_and_start_backoff) {
     one_entry_begin();
-    fake_word update = first_incarnation;
+    fake_update update = first_incarnation;
     update.document =
         "{\"version\":1,\"services\":[{\"name\":\"e\",\"engine\":{\"slots\":4,"
         "\"memory_tokens\":100000}}],\"routes\":[{\"name\":\"r\",\"host\":\"h\","
@@ -236,10 +236,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry rest", a_rest_ends_after_its_time, a_503_that_may_have_run_asks_for_rest_too,
-             other_statuses_ask_for_no_rest, a_rest_outlives_lists_and_configurations,
-             another_start_of_the_target_asked_for_nothing,
-             what_another_one_at_its_address_says_is_not_its_word,
-             a_target_that_leaves_gets_nothing_more,
-             while_all_targets_rest_callers_are_refused_at_once, a_short_rest_is_waited_for,
-             questions_for_cached_prompts_heed_it_and_tell_of_it)
+WG_TEST_MAIN("entry rest", backoff_ends_after_its_period, hint_counts_in_a_503_that_may_have_run,
+             other_statuses_start_no_backoff, backoff_survives_new_lists_and_configurations,
+             backoff_does_not_apply_to_a_new_incarnation,
+             fields_of_a_misdirected_answer_are_ignored, draining_target_gets_no_more_requests,
+             callers_are_refused_at_once_while_all_targets_back_off, short_backoff_is_waited_for,
+             cache_queries_observe_and_start_backoff)
--- a/tests/test_entry_standby.c
+++ b/tests/test_entry_standby.c
@@ -14,14 +14,14 @@
     "\"attempts\":1,\"service\":\"e\"}],\"limits\":{},"
     "\"workspaces\":[{\"name\":\"w\",\"keys\":[\"known\"]}]}";
 
-static fake_word update_with(uint64_t version, const char* text) {
-    return (fake_word){.version = version, .document = text, .target = target_address};
+static fake_update update_with(uint64_t version, const char* text) {
+    return (fake_update){.version = version, .document = text, .target = target_address};
 }
 
 static void begin(int standby_ms) {
     fake_entry_standby_ms = standby_ms;
     one_entry_begin();
-    fake_control_says(&leader, NULL);
+    fake_control_send_leader(&leader, NULL);
 }
 
 static void wait_without_leader(int ms) {
@@ -37,15 +37,15 @@
     return leader.standby_requests > 0;
 }
 
-static void send_standby_state(const fake_word* update) {
+static void send_standby_state(const fake_update* update) {
     ck_assert(wait_for_standby_request(TURNS_MAX));
     fake_control_send_standby_state(&leader, update);
     run_turns(20);
 }
 
-START_TEST(a_host_without_a_leader_serves_by_what_a_replica_holds) {
+START_TEST(host_without_a_leader_serves_by_a_replicas_state) {
     begin(STANDBY_MS);
-    fake_word update = update_with(5, document);
+    fake_update update = update_with(5, document);
     send_standby_state(&update);
     int fd = send_get("/x", "Walnutgate-Key: known\r\n");
     ck_assert(target_got_request());
@@ -57,7 +57,7 @@
 }
 END_TEST
 
-START_TEST(it_waits_for_a_leader_first) {
+START_TEST(standby_state_is_requested_after_a_wait_only) {
     begin(10 * STANDBY_MS);
     wait_without_leader(4 * STANDBY_MS);
     ck_assert_int_eq(leader.standby_requests, 0);
@@ -65,7 +65,7 @@
 }
 END_TEST
 
-START_TEST(it_never_does_when_told_so) {
+START_TEST(standby_can_be_disabled) {
     begin(0);
     wait_without_leader(2 * STANDBY_MS);
     ck_assert_int_eq(leader.standby_requests, 0);
@@ -75,9 +75,9 @@
 
 /* A newer configuration may have the key or the route: the answer is 503 with Retry-After, not a
    denial. */
-START_TEST(what_that_does_not_allow_is_no_denial) {
+START_TEST(standby_refusal_is_retryable) {
     begin(STANDBY_MS);
-    fake_word update = update_with(5, document);
+    fake_update update = update_with(5, document);
     send_standby_state(&update);
     char answer[1024];
     int fd = send_get("/x", "Walnutgate-Key: other\r\n");
@@ -88,11 +88,11 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_comes_decides_again) {
+START_TEST(new_leader_replaces_standby_state) {
     begin(STANDBY_MS);
-    fake_word update = update_with(5, document);
+    fake_update update = update_with(5, document);
     send_standby_state(&update);
-    fake_control_leads(&leader, &update);
+    fake_control_send_leader_state(&leader, &update);
     run_turns(20);
     char answer[1024];
     int fd = send_get("/x", "Walnutgate-Key: other\r\n");
@@ -103,15 +103,15 @@
 END_TEST
 
 /* The state of a replica that lags does not replace newer state from a leader. */
-START_TEST(an_older_configuration_is_not_taken) {
+START_TEST(older_standby_configuration_is_ignored) {
     begin(STANDBY_MS);
-    fake_word update = update_with(5, document);
-    fake_control_leads(&leader, &update);
+    fake_update update = update_with(5, document);
+    fake_control_send_leader_state(&leader, &update);
     run_turns(20);
-    fake_control_says(&leader, NULL);
+    fake_control_send_leader(&leader, NULL);
     static const char older[] = "{\"version\":4,\"services\":[{\"name\":\"e\"}],\"routes\":[],"
                                 "\"limits\":{},\"workspaces\":[]}";
-    fake_word outdated = update_with(4, older);
+    fake_update outdated = update_with(4, older);
     send_standby_state(&outdated);
     int fd = send_get("/x", "Walnutgate-Key: known\r\n");
     ck_assert(target_got_request());
@@ -120,7 +120,7 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry_standby", a_host_without_a_leader_serves_by_what_a_replica_holds,
-             it_waits_for_a_leader_first, it_never_does_when_told_so,
-             what_that_does_not_allow_is_no_denial, a_leader_that_comes_decides_again,
-             an_older_configuration_is_not_taken)
+WG_TEST_MAIN("entry_standby", host_without_a_leader_serves_by_a_replicas_state,
+             standby_state_is_requested_after_a_wait_only, standby_can_be_disabled,
+             standby_refusal_is_retryable, new_leader_replaces_standby_state,
+             older_standby_configuration_is_ignored)
--- a/tests/test_entry_targets.c
+++ b/tests/test_entry_targets.c
@@ -10,8 +10,8 @@
         "{\"version\":5,\"services\":[{\"name\":\"app\"}],\"routes\":[],\"limits\":{},"
         "\"workspaces\":[]}";
     one_entry_begin();
-    fake_control_leads(&leader,
-                       &(fake_word){.version = 5, .document = document, .target = "10.0.0.9:80"});
+    fake_control_send_leader_state(
+        &leader, &(fake_update){.version = 5, .document = document, .target = "10.0.0.9:80"});
     run_turns(20);
 }
 
@@ -35,7 +35,7 @@
     "{\"service\":\"" service "\",\"address\":\"10.0.0.1:80\",\"data_centre\":\"dc\","             \
     "\"version\":\"v1\",\"slots\":6,\"state\":\"" state "\",\"sequence\":4,\"born\":77}"
 
-START_TEST(a_heartbeat_goes_to_the_leader) {
+START_TEST(heartbeat_is_forwarded_to_the_leader) {
     begin();
     ck_assert_int_eq(put(HEARTBEAT("app", "ready")), 200);
     ck_assert_int_eq(leader.target_orders, 1);
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-START_TEST(what_others_write_goes_nowhere) {
+START_TEST(malformed_orders_are_not_forwarded) {
     begin();
     ck_assert_int_eq(put(HEARTBEAT("app", "unheard-of")), 400);
     ck_assert_int_eq(put(HEARTBEAT("unheard-of", "ready")), 400);
@@ -65,4 +65,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("entry targets", a_heartbeat_goes_to_the_leader, what_others_write_goes_nowhere)
+WG_TEST_MAIN("entry targets", heartbeat_is_forwarded_to_the_leader,
+             malformed_orders_are_not_forwarded)
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -56,7 +56,7 @@
 }
 END_TEST
 
-START_TEST(what_the_system_sets_is_there_once) {
+START_TEST(system_fields_are_sent_once) {
     char* sent = forward("Attempt-Id: a1\r\nPrompt-Prefix: 5c:800,91:410\r\n"
                          "Token-Usage: 1210,80\r\nModel: m\r\nDeadline-Ms: 9000\r\n",
                          "");
@@ -89,7 +89,7 @@
 END_TEST
 
 /* Trailer fields of a chunked body are consumed and dropped. */
-START_TEST(trailers_are_not_handed_on) {
+START_TEST(trailers_are_not_forwarded) {
     static const char head_text[] =
         "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
     wg_message_head head;
@@ -107,6 +107,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("forward", fields_that_the_system_sets_are_withheld,
-             what_the_system_sets_is_there_once, the_last_event_is_the_newest,
-             trailers_are_not_handed_on)
+WG_TEST_MAIN("forward", fields_that_the_system_sets_are_withheld, system_fields_are_sent_once,
+             the_last_event_is_the_newest, trailers_are_not_forwarded)
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -40,7 +40,7 @@
     do {
         turn();
         now = wg_now();
-        ck_assert(follower->downs == 0 || now - since >= LEADERLESS_TIME);
+        ck_assert(follower->links_down == 0 || now - since >= LEADERLESS_TIME);
     } while (now - since < ms * (wg_time)WG_USEC_PER_MSEC);
     return now - since;
 }
@@ -55,21 +55,21 @@
     fake_control_begin(base, &leader, 2);
     char* seeds[] = {follower.address, NULL};
     wg_entry* entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && follower.ups == 0; i++) {
+    for (int i = 0; i < TURNS && follower.links_up == 0; i++) {
         turn();
     }
-    ck_assert_int_eq(follower.ups, 1);
+    ck_assert_int_eq(follower.links_up, 1);
     wg_time since = wg_now();
-    fake_control_says(&follower, NULL);
+    fake_control_send_leader(&follower, NULL);
     bool in_time = wait_at(&follower, since, 100) < LEADERLESS_TIME;
     if (in_time) {
-        ck_assert_int_eq(follower.downs, 0);
-        fake_control_says(&follower, leader.address);
+        ck_assert_int_eq(follower.links_down, 0);
+        fake_control_send_leader(&follower, leader.address);
         for (int i = 0; i < TURNS && leader.reports == 0; i++) {
             turn();
         }
-        ck_assert_int_eq(follower.downs, 1);
-        ck_assert_int_eq(leader.ups, 1);
+        ck_assert_int_eq(follower.links_down, 1);
+        ck_assert_int_eq(leader.links_up, 1);
         ck_assert_int_gt(leader.reports, 0);
     }
     wg_entry_shutdown(entry);
@@ -96,14 +96,14 @@
     fake_control_begin_as(base, &other, 1, WGW_ROLE_ENTRY);
     char* seeds[] = {other.address, NULL};
     wg_entry* entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && other.ups == 0; i++) {
+    for (int i = 0; i < TURNS && other.links_up == 0; i++) {
         turn();
     }
-    fake_control_says(&other, NULL);
-    for (int i = 0; i < 100 && other.downs == 0; i++) {
+    fake_control_send_leader(&other, NULL);
+    for (int i = 0; i < 100 && other.links_down == 0; i++) {
         turn();
     }
-    ck_assert_int_eq(other.downs, 1);
+    ck_assert_int_eq(other.links_down, 1);
     wg_entry_shutdown(entry);
     fake_control_end(&other);
     event_base_free(base);
@@ -117,13 +117,13 @@
     fake_control_begin(base, &follower, 1);
     char* seeds[] = {follower.address, NULL};
     wg_entry* entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && follower.downs == 0; i++) {
+    for (int i = 0; i < TURNS && follower.links_down == 0; i++) {
         turn();
-        if (follower.ups > 0 && follower.downs == 0) {
-            fake_control_says(&follower, NULL);
+        if (follower.links_up > 0 && follower.links_down == 0) {
+            fake_control_send_leader(&follower, NULL);
         }
     }
-    ck_assert_int_eq(follower.downs, 1);
+    ck_assert_int_eq(follower.links_down, 1);
     wg_entry_shutdown(entry);
     fake_control_end(&follower);
     event_base_free(base);
@@ -160,7 +160,8 @@
     "\"memory_tokens\":1000}}],\"routes\":[],\"limits\":{},\"workspaces\":[]}";
 
 static void fake_leads(fake_control* f, const char* target) {
-    fake_control_leads(f, &(fake_word){.version = 1, .document = one_engine, .target = target});
+    fake_control_send_leader_state(
+        f, &(fake_update){.version = 1, .document = one_engine, .target = target});
 }
 
 /* Who begins to coordinate a target asks it what it holds: once, and again when that fails. */
@@ -180,7 +181,7 @@
     wg_entry* entry = fake_control_entry(base, seeds);
     for (int i = 0; i < TURNS && lists_asked <= LISTS_FAILED_FIRST; i++) {
         turn();
-        if (leader.ups > 0 && i % 100 == 0) {
+        if (leader.links_up > 0 && i % 100 == 0) {
             fake_leads(&leader, target);
         }
     }
@@ -226,8 +227,8 @@
     for (int i = 0; i < TURNS && leader.reports == 0; i++) {
         turn();
     }
-    fake_control_leads(&leader,
-                       &(fake_word){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
+    fake_control_send_leader_state(
+        &leader, &(fake_update){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
     for (int i = 0; i < 100; i++) {
         turn();
     }
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -15,7 +15,7 @@
                              .tightest_objective = 400 * MSEC};
 }
 
-START_TEST(the_tightest_objective_bounds_all) {
+START_TEST(tightest_objective_limits_all_waits) {
     wg_policy_terms t = terms(0);
     ck_assert_int_eq(wg_policy_limit(&t, 0), 380 * MSEC);
     ck_assert_int_eq(wg_policy_limit(&t, 600 * MSEC), 190 * MSEC); /* from the remaining 200 ms */
@@ -27,7 +27,7 @@
 END_TEST
 
 /* Wait tolerance is full below the level, reduced above it, none far above it. */
-START_TEST(whoever_has_more_gives_way) {
+START_TEST(workspaces_above_the_level_wait_less) {
     wg_policy_terms below = terms(900);
     wg_policy_terms above = terms(1100);
     wg_policy_terms far_above = terms(1400);
@@ -53,7 +53,7 @@
 END_TEST
 
 /* A retry has all admission requests, whatever the usage of its workspace. */
-START_TEST(a_second_attempt_is_tried_in_full) {
+START_TEST(retry_has_all_admission_requests) {
     wg_policy_terms far_above = terms(5000);
     far_above.sent_before = true;
     ck_assert_int_eq(wg_policy_admission_requests_max(&far_above), 3);
@@ -61,7 +61,7 @@
 END_TEST
 
 /* With relaxed limits, workspaces below their fair share may be late instead of refused. */
-START_TEST(the_modest_are_sent_late_rather_than_refused) {
+START_TEST(workspaces_below_their_share_may_be_late) {
     wg_policy_terms t = terms(400);
     ck_assert(wg_policy_may_be_late(&t));
     wg_time before = wg_policy_limits(&t, 0).total;
@@ -73,7 +73,7 @@
 END_TEST
 
 /* A request that counts for no workspace has full wait tolerance but does not spill over. */
-START_TEST(open_routes_wait_like_anybody) {
+START_TEST(uncharged_requests_have_full_wait_tolerance) {
     wg_policy_terms t = terms(5000);
     t.counts = false;
     ck_assert_int_eq(wg_policy_limits(&t, 0).ahead, wg_policy_limits(&t, 0).total);
@@ -90,7 +90,7 @@
 END_TEST
 
 /* Retry-After is past the backoff, spread at random, and at most a third of the caller's time. */
-START_TEST(callers_come_back_after_a_rest_and_apart) {
+START_TEST(retry_after_is_past_the_backoff_and_spread) {
     wg_time min = WG_TIME_NEVER;
     wg_time max = 0;
     for (uint64_t i = 0; i < 200; i++) {
@@ -106,7 +106,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("policy", the_tightest_objective_bounds_all, whoever_has_more_gives_way,
-             a_second_attempt_is_tried_in_full, the_modest_are_sent_late_rather_than_refused,
-             open_routes_wait_like_anybody, a_refusal_comes_within_a_quarter_of_the_objective,
-             callers_come_back_after_a_rest_and_apart)
+WG_TEST_MAIN("policy", tightest_objective_limits_all_waits, workspaces_above_the_level_wait_less,
+             retry_has_all_admission_requests, workspaces_below_their_share_may_be_late,
+             uncharged_requests_have_full_wait_tolerance,
+             a_refusal_comes_within_a_quarter_of_the_objective,
+             retry_after_is_past_the_backoff_and_spread)
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -56,7 +56,7 @@
     return suspect && wg_suspect_is_due(suspect);
 }
 
-START_TEST(three_ends_of_targets_are_enough) {
+START_TEST(three_crashes_make_a_request_due) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
     ck_assert(!is_due_after(s, SECOND, 7, 1, false));
     ck_assert(!is_due_after(s, SECOND, 7, 1, false)); /* copies at one target count once */
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(two_ends_are_enough_when_the_target_had_just_begun) {
+START_TEST(two_early_crashes_make_a_request_due) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
     ck_assert(!is_due_after(s, SECOND, 7, 1, true));
     ck_assert(is_due_after(s, SECOND, 7, 2, true));
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-START_TEST(evidence_is_forgotten_after_a_time) {
+START_TEST(evidence_expires) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){.lifetime = 100 * SECOND});
     ck_assert(!is_due_after(s, SECOND, 7, 1, true));
     wg_suspects_tick(s, 100 * SECOND);
@@ -104,7 +104,7 @@
 }
 END_TEST
 
-START_TEST(a_workspace_pushes_out_its_own_suspects) {
+START_TEST(workspace_evicts_its_own_suspects_first) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){.max = 8});
     wg_crash other = crash_of(1, 1, true, "other");
     wg_suspects_add(s, 0, &other);
@@ -121,7 +121,7 @@
 END_TEST
 
 /* A new leader rebuilds its evidence from reports of hosts; repeated reports count once. */
-START_TEST(evidence_can_be_told_again) {
+START_TEST(evidence_can_be_reported_again) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
     wg_suspects* leader = wg_suspects_setup(&(wg_suspects_desc){0});
     ck_assert(!is_due_after(s, SECOND, 7, 1, true));
@@ -171,7 +171,7 @@
 }
 END_TEST
 
-START_TEST(a_workspace_has_a_part_of_the_list) {
+START_TEST(workspace_has_a_quota_of_the_list) {
     wg_quarantine* q = wg_quarantine_setup(&(wg_quarantine_desc){.max = 6, .per_workspace = 4});
     ck_assert(change(q, 0, 1, "a", true));
     for (uint64_t fp = 100; fp < 120; fp++) {
@@ -190,7 +190,7 @@
 }
 END_TEST
 
-START_TEST(a_snapshot_and_a_copy_hold_the_same) {
+START_TEST(snapshot_and_copy_match_the_original) {
     wg_quarantine* q = wg_quarantine_setup(&(wg_quarantine_desc){0});
     wg_quarantine* loaded = wg_quarantine_setup(&(wg_quarantine_desc){0});
     wg_quarantine* copy = wg_quarantine_setup(&(wg_quarantine_desc){0});
@@ -510,9 +510,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quarantine", the_same_request_has_one_fingerprint, three_ends_of_targets_are_enough,
-             two_ends_are_enough_when_the_target_had_just_begun,
-             a_request_that_ended_well_is_no_suspect, evidence_is_forgotten_after_a_time,
-             a_workspace_pushes_out_its_own_suspects, evidence_can_be_told_again,
-             a_quarantine_begins_and_ends_once, a_workspace_has_a_part_of_the_list,
-             a_snapshot_and_a_copy_hold_the_same, random_runs_keep_the_bounds)
+WG_TEST_MAIN("quarantine", the_same_request_has_one_fingerprint, three_crashes_make_a_request_due,
+             two_early_crashes_make_a_request_due, a_request_that_ended_well_is_no_suspect,
+             evidence_expires, workspace_evicts_its_own_suspects_first,
+             evidence_can_be_reported_again, a_quarantine_begins_and_ends_once,
+             workspace_has_a_quota_of_the_list, snapshot_and_copy_match_the_original,
+             random_runs_keep_the_bounds)
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -33,7 +33,7 @@
     return WG_TARGET_DEFAULT;
 }
 
-START_TEST(heartbeats_that_say_nothing_new_change_nothing) {
+START_TEST(unchanged_heartbeats_change_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     ck_assert_int_eq(receive(r, 0, "a", WG_TARGET_READY, 1), WG_HEARTBEAT_CHANGED);
     uint64_t change = wg_registry_change(r);
@@ -45,7 +45,7 @@
 END_TEST
 
 /* A heartbeat sent before the target began to drain and received later must not revive it. */
-START_TEST(a_late_heartbeat_revives_nobody) {
+START_TEST(late_heartbeat_does_not_revive_a_target) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "a", WG_TARGET_READY, 1);
     ck_assert_int_eq(receive(r, 1, "a", WG_TARGET_DRAINING, 5), WG_HEARTBEAT_CHANGED);
@@ -60,7 +60,7 @@
 END_TEST
 
 /* A change that was received but not committed must be proposed again, not acknowledged. */
-START_TEST(what_was_not_agreed_on_is_no_old_heartbeat) {
+START_TEST(uncommitted_change_is_proposed_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "a", WG_TARGET_READY, 1);
     wg_target drain = record("a", WG_TARGET_DRAINING, 2, "10.0.0.1:1");
@@ -71,7 +71,7 @@
 END_TEST
 
 /* A late heartbeat must not register a target that has deregistered. */
-START_TEST(a_leave_without_a_record_is_remembered) {
+START_TEST(deregistration_without_a_record_is_kept) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     ck_assert_int_eq(receive(r, 0, "a", WG_TARGET_REMOVED, 0), WG_HEARTBEAT_CHANGED);
     ck_assert_int_eq(receive(r, 1, "a", WG_TARGET_READY, 7), WG_HEARTBEAT_OUTDATED);
@@ -89,7 +89,7 @@
 }
 END_TEST
 
-START_TEST(silent_ones_come_back_by_a_newer_heartbeat_only) {
+START_TEST(unresponsive_target_returns_by_a_newer_heartbeat_only) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "a", WG_TARGET_READY, 3);
     ck_assert_ptr_null(wg_registry_find_unresponsive(r, 5 * SECOND, 5 * SECOND));
@@ -123,7 +123,7 @@
 
 /* Late heartbeats of a crashed target must not replace its replacement, and the replacement's
    deregistration is final. */
-START_TEST(a_late_heartbeat_does_not_replace_the_successor) {
+START_TEST(late_heartbeat_does_not_replace_the_replacement) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "crashed", WG_TARGET_READY, 1);
     receive(r, 1 * SECOND, "lives", WG_TARGET_READY, 1);
@@ -174,7 +174,7 @@
 }
 
 /* Repeated orders change nothing, snapshots contain evacuations, targets are cold afterwards. */
-START_TEST(targets_of_an_evacuated_data_centre_take_nothing) {
+START_TEST(evacuated_targets_accept_nothing) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_target t = record("a", WG_TARGET_READY, 1, "10.0.0.1:1");
     wg_copy_name(t.data_centre, sizeof t.data_centre, "dc");
@@ -304,7 +304,7 @@
 }
 END_TEST
 
-START_TEST(what_a_former_start_said_changes_nothing) {
+START_TEST(messages_of_a_previous_incarnation_are_ignored) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive_incarnation(r, 0, 1000, WG_TARGET_READY, 500);
     receive_incarnation(r, SECOND, 2000, WG_TARGET_READY, 1);
@@ -325,7 +325,7 @@
 }
 END_TEST
 
-START_TEST(a_target_that_left_may_start_again) {
+START_TEST(deregistered_target_may_register_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive_incarnation(r, 0, 1000, WG_TARGET_DRAINING, 5);
     receive_incarnation(r, SECOND, 0, WG_TARGET_REMOVED,
@@ -340,7 +340,7 @@
 END_TEST
 
 /* A snapshot distinguishes two incarnations of one id. */
-START_TEST(copies_and_snapshots_keep_starts_apart) {
+START_TEST(snapshots_distinguish_incarnations) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     wg_registry* loaded = wg_registry_setup(&(wg_registry_desc){0});
     receive_incarnation(r, 0, 1000, WG_TARGET_READY, 7);
@@ -363,7 +363,7 @@
 END_TEST
 
 /* Ended records of previous incarnations are dropped; the current one stays. */
-START_TEST(many_starts_under_one_id_stay_bounded) {
+START_TEST(records_of_incarnations_are_bounded) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 4});
     for (uint64_t born = 1; born <= 50; born++) {
         ck_assert_int_eq(receive_incarnation(r, (wg_time)born, born, WG_TARGET_READY, 1),
@@ -381,13 +381,13 @@
 }
 END_TEST
 
-WG_TEST_MAIN("registry", heartbeats_that_say_nothing_new_change_nothing,
-             a_late_heartbeat_revives_nobody, what_was_not_agreed_on_is_no_old_heartbeat,
-             a_leave_without_a_record_is_remembered, a_new_incarnation_ends_the_one_at_its_address,
-             silent_ones_come_back_by_a_newer_heartbeat_only,
+WG_TEST_MAIN("registry", unchanged_heartbeats_change_nothing,
+             late_heartbeat_does_not_revive_a_target, uncommitted_change_is_proposed_again,
+             deregistration_without_a_record_is_kept, a_new_incarnation_ends_the_one_at_its_address,
+             unresponsive_target_returns_by_a_newer_heartbeat_only,
              a_first_heartbeat_that_comes_late_does_not_end_a_live_target,
-             a_late_heartbeat_does_not_replace_the_successor, a_target_that_turns_cold_has_changed,
-             targets_of_an_evacuated_data_centre_take_nothing, copies_follow_past_the_kept_records,
+             late_heartbeat_does_not_replace_the_replacement, a_target_that_turns_cold_has_changed,
+             evacuated_targets_accept_nothing, copies_follow_past_the_kept_records,
              a_target_that_starts_again_is_another_incarnation,
-             what_a_former_start_said_changes_nothing, a_target_that_left_may_start_again,
-             copies_and_snapshots_keep_starts_apart, many_starts_under_one_id_stay_bounded)
+             messages_of_a_previous_incarnation_are_ignored, deregistered_target_may_register_again,
+             snapshots_distinguish_incarnations, records_of_incarnations_are_bounded)
--- a/tests/test_resting_targets.c
+++ b/tests/test_resting_targets.c
@@ -150,18 +150,18 @@
                   num, f.got.complete, f.got.sent, f.h.folder);
 }
 
-START_TEST(a_resting_target_is_left_alone_by_one_host) {
+START_TEST(target_in_backoff_gets_no_requests_from_one_host) {
     check_backoff("one host", 1);
 }
 END_TEST
 
-START_TEST(a_resting_target_is_left_alone_by_all_hosts) {
+START_TEST(target_in_backoff_gets_no_requests_from_all_hosts) {
     check_backoff("three hosts", HOSTS);
 }
 END_TEST
 
 /* A target that refuses all requests without a hint must not draw requests either. */
-START_TEST(a_target_that_turns_all_away_does_not_draw_requests) {
+START_TEST(target_that_refuses_all_does_not_draw_requests) {
     fleet f;
     begin(&f);
     ck_assert(hosts_set_target(&f.h, first_target(&f), "refuse=100"));
@@ -175,7 +175,7 @@
 END_TEST
 
 /* The target reports that it drains only in its answers, and continues to serve. */
-START_TEST(a_target_that_says_it_leaves_gets_no_more) {
+START_TEST(reported_draining_stops_requests) {
     fleet f;
     begin(&f);
     ck_assert(hosts_set_target(&f.h, first_target(&f), "leaving=1"));
@@ -190,7 +190,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("resting_targets", a_resting_target_is_left_alone_by_one_host,
-             a_resting_target_is_left_alone_by_all_hosts,
-             a_target_that_turns_all_away_does_not_draw_requests,
-             a_target_that_says_it_leaves_gets_no_more)
+WG_TEST_MAIN("resting_targets", target_in_backoff_gets_no_requests_from_one_host,
+             target_in_backoff_gets_no_requests_from_all_hosts,
+             target_that_refuses_all_does_not_draw_requests, reported_draining_stops_requests)
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -21,7 +21,7 @@
     return proc_journal(proc_find(&fleet, service), "lookups");
 }
 
-START_TEST(a_resting_target_is_left_alone) {
+START_TEST(target_in_backoff_gets_no_requests) {
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     load_result result = run_load(1);
     ck_clean(&result);
@@ -48,7 +48,7 @@
 END_TEST
 
 /* A target that refuses all requests without a hint must not draw requests either. */
-START_TEST(a_target_that_turns_all_away_does_not_draw_requests) {
+START_TEST(target_that_refuses_all_does_not_draw_requests) {
     enum {
         COMPLETE_PERCENT = 95
     };
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(while_all_targets_rest_callers_are_refused_at_once) {
+START_TEST(callers_are_refused_at_once_while_all_targets_back_off) {
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     for (int i = 1; i <= 2; i++) {
         char name[16];
@@ -86,6 +86,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("router rest", a_resting_target_is_left_alone,
-             a_target_that_turns_all_away_does_not_draw_requests,
-             while_all_targets_rest_callers_are_refused_at_once)
+WG_TEST_MAIN("router rest", target_in_backoff_gets_no_requests,
+             target_that_refuses_all_does_not_draw_requests,
+             callers_are_refused_at_once_while_all_targets_back_off)
--- a/tests/test_suspended_host.c
+++ b/tests/test_suspended_host.c
@@ -15,7 +15,7 @@
     one_entry_lead(&(one_route){.version = 5, .prefix = "/a/", .timeout_ms = 2000});
 }
 
-START_TEST(a_request_whose_time_is_over_is_answered_at_once) {
+START_TEST(expired_request_is_answered_at_once_after_a_suspension) {
     char answer[1024];
     begin();
     int fd = send_get("/a/x", "");
@@ -28,16 +28,16 @@
 END_TEST
 
 /* After a suspension the time since last contact must not count against the link to the leader. */
-START_TEST(a_host_that_wakes_keeps_its_leader) {
+START_TEST(resumed_host_keeps_its_leader) {
     begin();
     int reports = leader.reports;
     wg_now_skip(SUSPENDED_MS * MSEC);
     run_turns(AWAKE_MS);
-    ck_assert_int_eq(leader.downs, 0);
+    ck_assert_int_eq(leader.links_down, 0);
     ck_assert_int_gt(leader.reports, reports);
     one_entry_end();
 }
 END_TEST
 
-WG_TEST_MAIN("suspended host", a_request_whose_time_is_over_is_answered_at_once,
-             a_host_that_wakes_keeps_its_leader)
+WG_TEST_MAIN("suspended host", expired_request_is_answered_at_once_after_a_suspension,
+             resumed_host_keeps_its_leader)
--- a/tests/test_target_read.c
+++ b/tests/test_target_read.c
@@ -18,7 +18,7 @@
     return is_good;
 }
 
-START_TEST(a_heartbeat_is_read) {
+START_TEST(heartbeat_is_parsed) {
     wg_target target;
     ck_assert(read_text(good, &target));
     ck_assert_str_eq(target.id, "t-1");
@@ -61,7 +61,7 @@
 }
 END_TEST
 
-START_TEST(a_state_or_an_address_that_there_is_not_is_an_error) {
+START_TEST(unknown_state_or_invalid_address_is_an_error) {
     static const char* const states[] = {"", "Ready", "ready ", "gone", "silent", "starting"};
     static const char* const addresses[] = {"", "10.0.0.1", "host:80", "10.0.0.1:0x50", ":80"};
     wg_target target;
@@ -85,7 +85,7 @@
 }
 END_TEST
 
-START_TEST(a_leave_may_say_which_start_leaves) {
+START_TEST(deregistration_may_name_the_incarnation) {
     wg_target target;
     ck_assert(wg_target_read_deregistration(NULL, "t-1", &target, NULL));
     ck_assert_uint_eq(target.born, 0);
@@ -100,7 +100,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("target read", a_heartbeat_is_read,
+WG_TEST_MAIN("target read", heartbeat_is_parsed,
              a_field_that_is_missing_or_of_another_type_is_an_error,
-             a_state_or_an_address_that_there_is_not_is_an_error,
-             a_leave_may_say_which_start_leaves)
+             unknown_state_or_invalid_address_is_an_error, deregistration_may_name_the_incarnation)
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -28,7 +28,7 @@
     }
 }
 
-START_TEST(fresh_word_is_taken_as_it_is) {
+START_TEST(fresh_report_is_used_unchanged) {
     wg_time now = 100 * SECOND;
     wg_usage_ledger* ledger = ledger_with_report(now);
     advance(ledger, &now, 900 * MSEC, OTHER, 1000);
@@ -41,7 +41,7 @@
 END_TEST
 
 /* A report decays without a leader, so that a workspace above the level does not stay refused. */
-START_TEST(old_word_fades_and_is_dropped) {
+START_TEST(old_report_decays_and_is_dropped) {
     wg_time now = 100 * SECOND;
     wg_usage_ledger* ledger = ledger_with_report(now);
     advance(ledger, &now, 1200 * MSEC, OTHER, 0);
@@ -55,7 +55,7 @@
 
 /* Without a leader a host extrapolates its own usage to all hosts: 20,000 tokens/s on one of ten
    hosts stand for 200,000 tokens/s, or 346,000 tokens in the usage window. */
-START_TEST(own_work_stands_for_that_of_others) {
+START_TEST(own_usage_is_extrapolated_to_all_hosts) {
     wg_time now = 100 * SECOND;
     wg_usage_ledger* ledger = ledger_with_report(now);
     advance(ledger, &now, 15 * SECOND, OTHER, 1000);
@@ -69,7 +69,7 @@
 END_TEST
 
 /* A new report replaces the estimate; usage from before the report is not counted again. */
-START_TEST(new_word_replaces_the_estimate) {
+START_TEST(new_report_replaces_the_estimate) {
     static const wg_usage report[] = {{OTHER, 5000, 6000}};
     wg_time now = 100 * SECOND;
     wg_usage_ledger* ledger = ledger_with_report(now);
@@ -98,6 +98,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("usage", fresh_word_is_taken_as_it_is, old_word_fades_and_is_dropped,
-             own_work_stands_for_that_of_others, new_word_replaces_the_estimate,
+WG_TEST_MAIN("usage", fresh_report_is_used_unchanged, old_report_decays_and_is_dropped,
+             own_usage_is_extrapolated_to_all_hosts, new_report_replaces_the_estimate,
              own_totals_only_grow)
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -2,7 +2,7 @@
 #include "wg_test.h"
 #include "wg_watch.h"
 
-START_TEST(a_loop_in_time_says_nothing) {
+START_TEST(loop_without_lag_logs_nothing) {
     wg_lag_monitor monitor = {0};
     wg_time late = 0;
     for (int i = 1; i <= 1000; i++) {
@@ -12,7 +12,7 @@
 }
 END_TEST
 
-START_TEST(a_late_loop_is_told_once_a_second_at_its_worst) {
+START_TEST(loop_lag_is_logged_once_a_second_with_its_maximum) {
     wg_lag_monitor monitor = {0};
     wg_time late = 0;
     wg_time now = 100 * SECOND;
@@ -31,7 +31,7 @@
 }
 END_TEST
 
-START_TEST(an_absence_is_told_after_one_second_and_then_seldom) {
+START_TEST(outage_is_logged_at_doubling_intervals) {
     wg_outage outage = {0};
     int lines = 0;
     for (wg_time now = SECOND; now <= 65 * SECOND; now += 50 * MSEC) {
@@ -42,7 +42,7 @@
 }
 END_TEST
 
-START_TEST(what_is_back_is_forgotten) {
+START_TEST(outage_ends_on_return) {
     wg_outage outage = {0};
     ck_assert(!wg_outage_update(&outage, false, SECOND));
     ck_assert(!wg_outage_update(&outage, true, SECOND + 900 * MSEC));
@@ -53,5 +53,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("watch", a_loop_in_time_says_nothing, a_late_loop_is_told_once_a_second_at_its_worst,
-             an_absence_is_told_after_one_second_and_then_seldom, what_is_back_is_forgotten)
+WG_TEST_MAIN("watch", loop_without_lag_logs_nothing,
+             loop_lag_is_logged_once_a_second_with_its_maximum,
+             outage_is_logged_at_doubling_intervals, outage_ends_on_return)
