--- a/tests/fleet_common.h
+++ b/tests/fleet_common.h
@@ -1,5 +1,5 @@
 #pragma once
-/* fleet_common.h -- what the process tests share */
+/* fleet_common.h -- helpers shared by the tests that start real processes */
 #include <arpa/inet.h>
 #include <signal.h>
 #include <stdio.h>
@@ -10,7 +10,8 @@
 #include "proc.h"
 #include "wg_test.h"
 
-/* One fleet a test program; not every program uses every helper (-Wno-unused-function). */
+/* The fleet of the test program. Programs that use only some of the helpers need
+   -Wno-unused-function. */
 static proc_fleet fleet;
 
 static void start(const proc_desc* desc) {
@@ -49,7 +50,7 @@
     ck_assert_uint_gt(result->whole, 0);
 }
 
-/* Told "did not run" means that no stand-in saw it; nothing ran twice. */
+/* Checks that no action ran twice, and that none reported as not run reached a service. */
 static void ck_actions(const load_result* result) {
     for (int i = 0; i < fleet.num; i++) {
         proc_process* p = &fleet.processes[i];
--- a/tests/local_control.h
+++ b/tests/local_control.h
@@ -1,6 +1,6 @@
 #pragma once
-/* local_control.h -- a control of one replica that runs within a test, and entry hosts that only
-   speak to it */
+/* local_control.h -- a single-replica control that runs within a test process, and simulated entry
+   hosts that connect to it. The test owns the event base, the control and the entry hosts. */
 #include <string.h>
 #include <unistd.h>
 
@@ -16,23 +16,24 @@
 };
 
 static inline struct event_base* local_base(void) {
-    return wg_loop_setup(); /* as the daemons do */
+    return wg_loop_setup();
 }
 
-/* One millisecond of the loop. */
+/* Runs the pending events of the loop, then sleeps for 1 ms. */
 static inline void local_turn(struct event_base* base) {
     event_base_loop(base, EVLOOP_NONBLOCK);
     g_usleep(1000);
 }
 
-/* A loopback address of this process's own. */
+/* A loopback address in the range reserved for this process; the caller frees it. */
 static inline char* local_address(int number, int port) {
     return g_strdup_printf("127.78.%d.%d:%d", loopback_part(), number, port);
 }
 
-/* Settings of a control that is the only seed of a first start; returns where it listens. */
+/* Fills in the settings of a control that is the only seed of a first start. Returns the address
+   that it listens on, valid until the next call. */
 static inline const char* local_control_settings(wgco_settings* settings, char* folder) {
-    static char* seeds[3]; /* room for one more */
+    static char* seeds[3]; /* one seed, space for a second and the terminating NULL */
     static char* none[1];
     static char name[WG_ADDRESS_MAX];
     uint16_t port;
@@ -70,29 +71,29 @@
     return seeds[0];
 }
 
-/* An entry host that reports, sends orders, and notes what the control says. */
+/* A simulated entry host: sends reports and orders, and records the messages of the control. */
 typedef struct {
     struct event_base* base;
     wgn_net* net;
     wgn_link link;
     bool up;
     uint64_t members_change;
-    int members; /* of the last list that came; -1 none */
+    int members; /* entry hosts in the last list received; -1: no list received yet */
     uint64_t configuration_version;
-    uint64_t configuration_base; /* of the last one that came; 0: it was whole */
-    size_t configuration_bytes;  /* of the same, packed */
+    uint64_t configuration_base; /* base version of the last configuration; 0: sent complete */
+    size_t configuration_bytes;  /* packed size of the last configuration */
     uint64_t state_seen;
-    int states;                  /* that came */
-    int targets;                 /* records of targets that came */
-    int evacuated;               /* data centres, as the control last said */
-    uint64_t registry_change;    /* the same */
-    uint64_t quarantine_change;  /* the same */
-    int quarantined;             /* requests, as the control last said */
-    bool cold;                   /* a target was told as cold */
-    bool leads;                  /* as the control last said */
-    char leader[WG_ADDRESS_MAX]; /* the same */
-    int outcome;                 /* of the last order that was answered; -1 none */
-    uint64_t read_version;       /* that the answer to a read held */
+    int states;                  /* state messages received */
+    int targets;                 /* target records received */
+    int evacuated;               /* evacuated data centres in the last state */
+    uint64_t registry_change;    /* change number of the last registry received */
+    uint64_t quarantine_change;  /* change number of the last quarantine list received */
+    int quarantined;             /* quarantined requests in the last list */
+    bool cold;                   /* a received target record was marked cold */
+    bool leads;                  /* the control reported itself as leader */
+    char leader[WG_ADDRESS_MAX]; /* leader address in the last state */
+    int outcome;                 /* outcome of the last answered order; -1: no answer yet */
+    uint64_t read_version;       /* configuration version in the last order answer; 0: none */
 } local_entry;
 
 static inline void local_entry_report(local_entry* f) {
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -1,4 +1,5 @@
-/* test_quorum.c -- the replicated log: elections, leases, lost disks, hand-over, random runs */
+/* test_quorum.c -- replicated log: elections, leader leases, lost disks, leadership transfer,
+   randomised runs */
 #include "sim_quorum.h"
 #include "wg_test.h"
 
@@ -14,7 +15,7 @@
     return simq_leader(run);
 }
 
-/* The n-th replica that is not the leader. */
+/* The slot of the n-th replica after the leader. */
 static int other(int leader, int n, int replicas) {
     return (leader + 1 + n) % replicas;
 }
@@ -79,7 +80,8 @@
 }
 END_TEST
 
-/* A leader's lease outlives a silent cut. Its follower's promise keeps others from leading. */
+/* A leader whose links are cut keeps its lease until it expires; a follower that acknowledged it
+   must not vote for another replica before that. */
 START_TEST(promise_to_a_leader_is_kept) {
     simq_run* run = quiet(3);
     int leader = wait_leader(run);
@@ -87,8 +89,8 @@
     int outside = other(leader, 1, 3);
     simq_run_for(run, SECOND);
     cut_both(run, leader, outside, true);
-    /* `outside` would stand again and again; the moment `keeps` cannot warn the leader, a vote by
-       it would make two leaders. simq_tick asserts that there never are. */
+    /* `outside` starts election after election. A vote by `keeps` while its messages to the leader
+       are cut would make two leaders; simq_tick asserts that there is at most one. */
     for (int i = 0; i < 400; i++) {
         simq_cut(run, keeps, leader, i % 40 >= 20);
         simq_tick(run);
@@ -116,7 +118,8 @@
 }
 END_TEST
 
-/* When every voter has just started, nobody can hold a lease: no wait for one. */
+/* When every voter has just started, no lease can be held, so the election need not wait for one
+   to expire. */
 START_TEST(all_that_start_at_once_elect_at_once) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
@@ -135,7 +138,8 @@
 }
 END_TEST
 
-/* One of them with an empty disk: its former self is gone, so its promises are. */
+/* A replica that starts with an empty disk holds no promises, so the election need not wait for
+   them. */
 START_TEST(all_that_start_with_a_disk_lost_elect_at_once) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
@@ -156,7 +160,8 @@
 }
 END_TEST
 
-/* One that has not started may be a leader that still holds its lease: the usual waits hold. */
+/* A voter that did not restart may be a leader that still holds its lease: the others wait for the
+   normal election time-out. */
 START_TEST(one_that_kept_running_is_waited_for) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
@@ -169,19 +174,19 @@
                 simq_restart(run, i);
             }
         }
-        for (int i = 0; i < 60; i++) { /* that there are never two is asserted by each tick */
+        for (int i = 0; i < 60; i++) { /* simq_tick asserts that there is at most one leader */
             simq_tick(run);
             ck_assert(simq_leader(run) < 0 || simq_leader(run) == leader);
         }
-        simq_run_for(run, SECOND); /* the lease is over */
+        simq_run_for(run, SECOND); /* the lease has expired */
         ck_assert_int_ne(wait_leader(run), leader);
         simq_shutdown(run);
     }
 }
 END_TEST
 
-/* The waits of deploy/replica.ini on a network that loses one message in fifty and delays one in a
-   hundred by 0.4 s, longer than the shortest wait: nobody unseats a leader that is alive. */
+/* With the time-outs of deploy/replica.ini, lost messages and delays longer than the shortest
+   election time-out do not unseat a running leader. */
 START_TEST(short_waits_keep_a_leader_on_a_bad_network) {
     uint64_t elections = 0;
     for (int seed = 0; seed < 20; seed++) {
@@ -201,7 +206,7 @@
 }
 END_TEST
 
-/* And a leader that is lost has a successor within two of the longest waits. */
+/* A failed leader is replaced within twice the longest election time-out. */
 START_TEST(short_waits_replace_a_lost_leader_soon) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
@@ -226,7 +231,7 @@
         simq_run_for(run, SECOND);
         simq_hand_over(run, leader);
         ck_assert(!simq_believes_to_lead(run, leader));
-        /* The old leader does not hear of its successor. */
+        /* The previous leader receives nothing from the new one. */
         simq_cut(run, other(leader, 0, 3), leader, true);
         simq_cut(run, other(leader, 1, 3), leader, true);
         simq_run_for(run, 200 * MSEC);
@@ -269,7 +274,7 @@
 START_TEST(one_way_cut_of_a_leader_ends_its_lease) {
     simq_run* run = quiet(3);
     int leader = wait_leader(run);
-    /* It still sends, but hears nobody. */
+    /* The leader still sends, but receives nothing. */
     simq_cut(run, other(leader, 0, 3), leader, true);
     simq_cut(run, other(leader, 1, 3), leader, true);
     simq_run_for(run, 2 * SECOND);
@@ -292,7 +297,7 @@
     uint64_t answered = simq_answered(run);
     simq_lose_disk(run, lost);
     simq_run_for(run, 3 * SECOND);
-    /* With the third away, an empty replica must not make a majority. */
+    /* With the third replica down, an empty replica must not complete a majority. */
     simq_crash(run, third);
     simq_run_for(run, 3 * SECOND);
     ck_assert_int_eq(simq_leader(run), -1);
@@ -303,7 +308,7 @@
     simq_run_for(run, 5 * SECOND);
     leader = wait_leader(run);
     ck_assert_int_eq(simq_set(run, leader)->num, 3);
-    /* A second failure right after the repair loses nothing that was accepted. */
+    /* A second failure right after the replacement loses no accepted edit. */
     simq_crash(run, third);
     simq_run_for(run, 5 * SECOND);
     leader = wait_leader(run);
@@ -313,7 +318,8 @@
 }
 END_TEST
 
-/* Raft's figure 8: an entry of an older term on a majority may still be overwritten. */
+/* Raft paper, figure 8: an entry of an older term that is stored on a majority may still be
+   overwritten, so it must not be committed by counting replicas. */
 START_TEST(older_terms_are_not_committed_by_counting) {
     simq_run* run = quiet(5);
     int a = wait_leader(run);
@@ -327,7 +333,7 @@
     simq_run_for(run, 50 * MSEC);
     simq_crash(run, a);
     simq_crash(run, b);
-    /* One of the three others is elected, but its first entry reaches nobody. */
+    /* One of the three other replicas is elected, but its first entry reaches no other replica. */
     int x = -1;
     for (int t = 0; t < 1000 && x < 0; t++) {
         simq_tick(run);
@@ -346,7 +352,7 @@
     ck_assert_int_eq(simq_stats(run, x).role, WGR_ROLE_LEADER);
     ck_assert_uint_eq(simq_stats(run, x).last_index, index);
     simq_crash(run, x);
-    /* The first two come back and feed their entry to the rest, one entry a message. */
+    /* Replicas a and b restart and replicate their entry, one entry a message. */
     for (int i = 0; i < 5; i++) {
         for (int j = 0; j < 5; j++) {
             simq_cut(run, i, j, false);
@@ -363,7 +369,7 @@
         }
     }
     ck_assert(fed);
-    /* They still hear that it arrived, but send nothing more. */
+    /* Replicas a and b still receive acknowledgements, but their messages are cut. */
     for (int i = 1; i < 4; i++) {
         simq_cut(run, a, other(a, i, 5), true);
         simq_cut(run, b, other(a, i, 5), true);
@@ -372,7 +378,7 @@
     simq_crash(run, a);
     simq_crash(run, b);
     simq_restart(run, x);
-    simq_run_for(run, 6 * SECOND); /* asserts one entry at one index */
+    simq_run_for(run, 6 * SECOND); /* asserts equal entries at equal indexes */
     simq_settle(run, 20 * SECOND);
     simq_shutdown(run);
 }
@@ -389,7 +395,7 @@
     ck_assert_uint_eq(counts.edits_accepted, 1);
     ck_assert_uint_eq(counts.edits_conflict, 1);
     ck_assert_uint_eq(counts.edits_resent, 1);
-    /* Also from another leader, after snapshots. */
+    /* The first answer is also given by a new leader, and after snapshots. */
     for (uint64_t i = 10; i < 60; i++) {
         simq_edit(run, "v", (int64_t)i, 0, i);
         simq_run_for(run, 20 * MSEC);
@@ -421,7 +427,7 @@
 }
 END_TEST
 
-/* Longer than claims are kept, which shorter runs never were. */
+/* Runs for longer than the retention period of claims. */
 START_TEST(random_runs_hold_past_the_keeping_time_of_claims) {
     simq_run* run = simq_setup(&(simq_desc){.seed = 90711, .replicas = 3, .faults = true});
     simq_steps(run, 200000);
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -1,18 +1,7 @@
-/* test_quorum_leaders_change.c -- a replica that is gone is replaced while leaders change
+/* test_quorum_leaders_change.c -- a failed replica is replaced although leaders change often
 
-   What users saw: every host refused everything, for good. Order of events: a host with a disk
-   ended without a word, and an empty one came in its place; for the next 6.5 s each leader stood
-   still for longer than an election takes, so that four led one after the other; then another disk
-   was lost. Cause: how long a voter had been silent was known to the leader alone, and counted anew
-   from the begin of each term. The newcomer had all entries 0.1 s after it had come, but no leader
-   lasted for the silence (1 s) after which a voter may be taken out. So the voter that was gone,
-   the one whose disk was lost and one that was whole were the three voters, and the newcomer had no
-   vote.
-
-   Evidence, from the replicas of that run: leaders of terms 5 to 8 from 43.9, 46.1, 47.7 and 49.3 s
-   on, each ending with "late_ms=761", 645, 686 and 1565 of its own loop; "voters=1,3,6 learners=7
-   down=6" at 46.35 s and no other set after it; then "MAJORITY_MISSING voters_up=1 elections=0" to
-   the end. */
+   Guards against losing the majority for good when each new leader counts the time since the last
+   contact with a voter anew: the failed voter then stays in the set until another disk is lost. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -22,11 +11,11 @@
 enum {
     VOTERS = 3,
     NEWCOMER = 3,
-    RUNS = 300,          /* for each test; RUNS=n in the environment plays more */
-    CONTACT_MS = 3000,   /* the bound: a whole set so long after the newcomer has caught up */
-    STAND_MS_MIN = 550,  /* how long a leader stands still: longer than the longest election wait */
-    STAND_MS_SPAN = 350, /* 300..500 ms */
-    LEAD_MS_MIN = 500,   /* how long one leads */
+    RUNS = 300,         /* seeds of each test; the environment variable RUNS overrides it */
+    CONTACT_MS = 3000,  /* limit from the replacement's catching up to a complete set */
+    STAND_MS_MIN = 550, /* shortest stall of a leader, beyond the longest election time-out */
+    STAND_MS_SPAN = 350,
+    LEAD_MS_MIN = 500, /* shortest time from an election to the next stall */
     LEAD_MS_SPAN = 1500
 };
 
@@ -35,7 +24,7 @@
     return more ? atoi(more) : RUNS;
 }
 
-/* One run: its random numbers, and when the next leader stands still. */
+/* One simulated run: its random number generator, and when the current leader stalls. */
 typedef struct {
     simq_run* run;
     uint64_t seed;
@@ -43,7 +32,7 @@
     int gone;
     char gone_name[WG_NAME_MAX];
     wg_time strike_at;
-    uint64_t term; /* of the leader that it was last planned for */
+    uint64_t term; /* term of the leader that strike_at was set for; 0: set it anew */
 } play;
 
 static int draw(play* p, int below) {
@@ -52,7 +41,7 @@
 
 static play begin(int seed) {
     play p = {.seed = (uint64_t)seed};
-    /* The waits of deploy/replica.ini. */
+    /* The time-outs of deploy/replica.ini. */
     p.run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                     .replicas = VOTERS + 1,
                                     .voters = VOTERS,
@@ -68,7 +57,7 @@
     return p;
 }
 
-/* Let time pass; no leader lasts. */
+/* Runs for `duration`, and stalls each leader some time after its election. */
 static void go_on(play* p, wg_time duration) {
     for (wg_time until = simq_now(p->run) + duration; simq_now(p->run) < until;) {
         int leader = simq_leader(p->run);
@@ -79,14 +68,14 @@
         }
         if (leader >= 0 && simq_now(p->run) >= p->strike_at) {
             simq_freeze(p->run, leader, (STAND_MS_MIN + draw(p, STAND_MS_SPAN)) * MSEC);
-            p->term = 0; /* it may go on in the same term: then it leads for as long again */
+            p->term = 0; /* a leader that keeps its term gets a new stall time too */
         }
         simq_replace(p->run, NEWCOMER);
         simq_tick(p->run);
     }
 }
 
-/* One voter is gone for good; an empty replica comes elsewhere, at once or up to a second later. */
+/* Removes one voter for good and starts an empty replica within a second. */
 static void replace(play* p) {
     simq_crash(p->run, p->gone);
     go_on(p, draw(p, 1000) * MSEC);
@@ -107,7 +96,8 @@
     return whole;
 }
 
-/* All that are left lose power, one of them its disk as well, and come back. */
+/* Crashes all remaining replicas, wipes the disk of one and restarts them. True if a leader is
+   elected. */
 static bool survives_lost_disk(play* p) {
     int lost;
     do {
@@ -148,7 +138,7 @@
 }
 END_TEST
 
-/* The newcomer is in the set and holds all that is agreed on. */
+/* The replacement is in the set and holds all committed entries. */
 static bool has_caught_up(play* p) {
     int leader = simq_leader(p->run);
     wgr_stats newcomer = simq_stats(p->run, NEWCOMER);
@@ -156,7 +146,7 @@
            newcomer.commit >= simq_stats(p->run, leader).commit;
 }
 
-/* The time from there to a whole set, in half seconds. */
+/* Measures the time from the replacement's catching up to a complete set. */
 START_TEST(a_set_is_whole_within_a_bounded_time) {
     enum {
         STEP_MS = 10,
@@ -193,14 +183,15 @@
 END_TEST
 
 enum {
-    GONE_MS = 1000,  /* the silence after which a voter may be taken out */
-    ASKED_MS = 300,  /* a new leader gives everybody that long to answer */
-    ROUNDS_MS = 200, /* of heartbeats and entries, for the steps that follow */
+    GONE_MS = 1000,  /* time since the last contact after which a voter may be removed */
+    ASKED_MS = 300,  /* time that a new leader gives replicas to answer */
+    ROUNDS_MS = 200, /* heartbeat and append rounds of the change of the set */
     MOST_MS = 5000
 };
 
-/* Is the set whole soon enough: when the silence since now is long enough, which may have begun
-   before, and somebody leads for so long that all could answer? */
+/* Whether the set becomes complete in time. The limit is the later of two moments: the failed voter
+   has been out of contact for GONE_MS, or a leader has led for ASKED_MS; plus ROUNDS_MS.
+   `silent_ms`: time since the last contact with the failed voter at the call. */
 static bool is_whole_in_time(play* p, int silent_ms) {
     wg_time begun = simq_now(p->run);
     wg_time led = 0;
@@ -214,14 +205,8 @@
     return led > 0 && simq_now(p->run) - begun <= bound;
 }
 
-/* What was seen: one host was replaced, all lost power 6 s later, and 1.5 s after they were back
-   another host was replaced: no majority, for good. For most of the 6 s nobody had led, as those
-   that were left could not reach each other, and the first leader counted silence from its own
-   begin, 0.5 s after the start. Evidence, from seed 2206 of the harsh soak: voters 1, 2, 3, host 3
-   ends at 45.8 s, "MAJORITY_MISSING each=1:up,2:down-for-386-ms,3:down-for-2..." until 50.7 s, all
-   start at 53.9 s, leader of term 8 at 54.45 s, host 2 ends at 55.44 s, then "voters=1,2 learners=6
-   last=31 commit=30" to the end. Cause: who does not answer a candidate, or one that has just
-   started, counted as silent only once somebody led. */
+/* The time since the last contact counts from the start of a replica, not from the first election:
+   otherwise the failed voter is removed too late, and the next loss takes the majority. */
 START_TEST(silence_counts_from_the_start_of_all) {
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
@@ -246,6 +231,7 @@
 }
 END_TEST
 
+/* The time since the last contact also counts during an outage without a leader. */
 START_TEST(silence_counts_while_nobody_leads) {
     enum {
         APART_MS = 3000
@@ -269,13 +255,13 @@
 }
 END_TEST
 
-/* The leader stands still just before a silent voter may be taken out; the next one knows of the
-   silence, and the voter is back a moment later. */
+/* A new leader that knows how long a voter has been out of contact still gives it time to answer
+   before it removes the voter from the set. */
 START_TEST(a_new_leader_gives_a_silent_voter_time_to_answer) {
     enum {
         VOTERS_OF_FIVE = 5,
         LEARNER = 5,
-        BACK_MS = 150 /* after the new leader's begin; it has 300 ms */
+        BACK_MS = 150 /* the voter answers this long after the election; the limit is 300 ms */
     };
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
--- a/tests/test_quorum_stalls.c
+++ b/tests/test_quorum_stalls.c
@@ -1,23 +1,15 @@
-/* test_quorum_stalls.c -- replicas that stand still together, and a leader that the others cannot
-   replace
+/* test_quorum_stalls.c -- stalled replicas
 
-   What users saw: on a machine that stood still for half a second, or while a voter was gone, the
-   fleet was without a leader for half a second more, each time. Order of events: the leader stands
-   still for longer than the longest election wait, and the others cannot elect another one, as they
-   stand still too or are too few. Cause: when it ran again the leader ended its term, and followers
-   stood for election, before they had read what had come meanwhile.
-
-   Evidence: four terms in seven seconds of a run with one voter of three gone, each of which ended
-   in the line after the leader's own "LOOP_LATE late_ms=761" (645, 686, 1565), and the next leader,
-   the same replica three times, 0.4 s later. */
+   Guards against needless elections after a stall: replicas must read the messages that arrived
+   meanwhile before a leader ends its term or a follower starts an election. */
 #include "sim_quorum.h"
 #include "wg_test.h"
 
 enum {
     VOTERS = 3,
     SEEDS = 40,
-    STAND_MS = 700, /* longer than the longest election wait, 500 ms */
-    BACK_MS = 100   /* for a round of heartbeats; an election takes 300 ms and more */
+    STAND_MS = 700, /* longer than the longest election time-out, 500 ms */
+    BACK_MS = 100   /* enough for a heartbeat round, too short for an election */
 };
 
 static simq_run* begin(int seed) {
@@ -69,7 +61,8 @@
 }
 END_TEST
 
-/* One that can be replaced is, while it stands still, and follows when it is back. */
+/* A stalled leader is replaced while the other replicas run, and follows the new leader
+   afterwards. */
 START_TEST(a_leader_that_can_be_replaced_is) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
@@ -86,7 +79,7 @@
 }
 END_TEST
 
-/* A leader whose loop always turns late serves nobody: the others, which run, get another one. */
+/* A leader whose event loop is delayed again and again is replaced by the running replicas. */
 START_TEST(a_replica_that_is_always_late_does_not_hold_on) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
@@ -101,16 +94,12 @@
 }
 END_TEST
 
-/* What was seen: a leader that had stood still for 1.1 and 2.8 s, and went on, took a learner out
-   of the set in the first tick, and added it again: "index=15 voters=1,2,3 learners=-" 0.05 s after
-   "LOOP_LATE late_ms=1129 leads=1", where the learner stood for a voter that was gone. The next
-   host was replaced meanwhile, and no majority was left (seed 2206 of the harsh soak, once in 24
-   plays on a machine that was busy beyond its cores). Cause: who had not been heard counted as
-   silent, though it was the leader that had not listened. */
+/* The leader's own stall does not count as time without contact: it must not remove the learner
+   that replaces a failed voter. */
 START_TEST(a_leader_that_stood_still_takes_nobody_out) {
     enum {
         LEARNER = 3,
-        LONG_MS = 1300 /* longer than the silence after which a replica may be taken out */
+        LONG_MS = 1300 /* longer than the time without contact after which a replica is removed */
     };
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
@@ -130,7 +119,7 @@
             simq_tick(run);
         }
         simq_run_for(run, 100 * MSEC);
-        simq_crash(run, other); /* so that nobody else can lead */
+        simq_crash(run, other); /* no other replica can win an election now */
         simq_freeze(run, leader, LONG_MS * MSEC);
         simq_run_for(run, LONG_MS * MSEC);
         for (int i = 0; i < 20; i++) {
--- a/tests/test_quorum_start.c
+++ b/tests/test_quorum_start.c
@@ -1,20 +1,22 @@
-/* test_quorum_start.c -- an election at once when all have just started, message by message */
+/* test_quorum_start.c -- immediate election when all voters have just started, message by message
+ */
 #include <string.h>
 
 #include "wg_quorum.h"
 #include "wg_test.h"
 
 enum {
-    SELF = 10, /* the replica under test */
+    SELF = 10, /* id of the replica under test */
     OTHER = 20,
     THIRD = 30,
-    ROUND_GAP = 25 * WG_USEC_PER_MSEC /* a little more than that between two rounds */
+    ROUND_GAP = 25 * WG_USEC_PER_MSEC /* a little longer than the interval between two rounds */
 };
 
 static wg_time now;
 static wgr_node* node;
 
-/* A replica of three whose log ends with `entries` entries of term 1. */
+/* Sets up one replica of a set of three; its log has `entries` entries of term 1 after the
+   snapshot. */
 static void start(uint64_t seed, int entries) {
     wgr_set set = {.num = 3};
     const uint64_t ids[] = {SELF, OTHER, THIRD};
@@ -46,7 +48,8 @@
     wgr_shutdown(node);
 }
 
-/* Messages that the node sends, of one type; the last one is kept. */
+/* Takes all pending output of the node. Returns the number of messages of `type` and copies the
+   last one to `last`. */
 static int sent(wgr_message_type type, wgr_message* last) {
     wgr_output out;
     int num = 0;
@@ -64,7 +67,7 @@
     return num;
 }
 
-/* The newest round that it asks in; 0 when it asks nobody. */
+/* Ticks the node into its next round of start queries. Returns the round, or 0 if none was sent. */
 static wg_time ask_round(void) {
     wgr_message ask = {0};
     now += ROUND_GAP;
@@ -96,7 +99,7 @@
     return reply;
 }
 
-/* Is the node's vote given to one that knows it in this life? */
+/* Whether the node grants its vote to a candidate that names this incarnation of the node. */
 static bool votes_at_once(uint64_t life) {
     wgr_message m = {.type = WGR_MESSAGE_VOTE,
                      .from = OTHER,
@@ -142,7 +145,7 @@
 }
 END_TEST
 
-/* An answer to the first round that comes late proves nothing of the second. */
+/* Late answers to the first round do not count as answers to the second. */
 START_TEST(late_answers_of_the_first_round_do_not_count) {
     start(1, 3);
     wgr_message vote = {0};
@@ -164,7 +167,7 @@
     answer(THIRD, first, 8, 2);
     wg_time second = ask_round();
     answer(OTHER, second, 7, 2);
-    answer(THIRD, second, 99, 2); /* another life */
+    answer(THIRD, second, 99, 2); /* a new incarnation */
     ck_assert_int_eq(votes_asked(&vote), 0);
     wg_time third = ask_round();
     answer(OTHER, third, 7, 2);
@@ -176,7 +179,7 @@
 
 START_TEST(the_newest_log_goes_first) {
     wgr_message vote = {0};
-    for (uint64_t theirs = 3; theirs <= 5; theirs++) { /* its own ends at 4 */
+    for (uint64_t theirs = 3; theirs <= 5; theirs++) { /* the log of the node ends at 4 */
         int votes = 0;
         start(1, 3);
         for (int i = 0; i < 2; i++) {
@@ -224,7 +227,7 @@
     uint64_t life = ask_node().incarnation;
     ck_assert(votes_at_once(life));
     end();
-    start(2, 0); /* it has restarted since */
+    start(2, 0); /* the node restarts: a new incarnation */
     ck_assert(!votes_at_once(life));
     ck_assert(!votes_at_once(0));
     ck_assert(votes_at_once(ask_node().incarnation));
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -1,15 +1,7 @@
-/* test_quorum_successor.c -- a replica that is gone for good weighs no more once another has come
+/* test_quorum_successor.c -- a failed replica loses its vote when its replacement joins
 
-   What users saw: a change was acknowledged, then hosts kept the version before it, and reads of
-   the configuration got 503 until the end. Order of events: a host with a disk was replaced by an
-   empty one at another address; five seconds later, with the newcomer long caught up, another disk
-   was lost while the other hosts lost power. Cause: the newcomer had its vote beside the replica
-   that was gone, which stayed a voter for 8 s of silence. Three hosts had four voters; with one
-   gone and one lost, two were left of four, and no leader could ever be elected.
-
-   Evidence, from a played day of that order (logs of the replicas): "voters=10.1.0.32,10.2.0.23,
-   10.3.0.39,10.2.0.27 learners=- down=10.2.0.23" 0.02 s after the newcomer had come, nothing until
-   the loss 7 s later, then no role change to leader in any log. */
+   Guards against losing the majority for good: a replacement that votes beside the failed replica
+   enlarges the set, and the next lost disk leaves too few voters to elect a leader. */
 #include "sim_quorum.h"
 #include "wg_test.h"
 
@@ -18,7 +10,7 @@
     SLOTS_MAX = 8
 };
 
-/* How a set is struck: so many are replaced, later so many disks are lost at once. */
+/* The faults of a run: `replaced` replicas are replaced, later `lost` disks are lost at once. */
 typedef struct {
     int voters;
     int replaced;
@@ -26,7 +18,7 @@
 } strike;
 
 static simq_run* begin(const strike* k, int seed) {
-    /* The waits of deploy/replica.ini. */
+    /* The time-outs of deploy/replica.ini. */
     simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                             .replicas = k->voters + k->replaced,
                                             .voters = k->voters,
@@ -40,7 +32,7 @@
     return run;
 }
 
-/* Replicas that come are added as soon as the leader sees them. */
+/* Runs for `duration`; replacements are added to the set as soon as the leader reaches them. */
 static void run_and_add(simq_run* run, const strike* k, wg_time duration) {
     for (wg_time until = simq_now(run) + duration; simq_now(run) < until;) {
         for (int i = k->voters; i < k->voters + k->replaced; i++) {
@@ -50,8 +42,8 @@
     }
 }
 
-/* `gone` of the first voters never come back; one second later as many empty ones stand elsewhere.
- */
+/* Crashes `k->replaced` voters for good, marks them in `gone`, and starts as many empty replicas
+   one second later. */
 static void replace(simq_run* run, const strike* k, int seed, bool gone[SLOTS_MAX]) {
     int first = seed % 2 ? simq_leader(run) : seed % k->voters;
     for (int i = 0; i < k->replaced; i++) {
@@ -65,7 +57,7 @@
     }
 }
 
-/* All lose power; `lost` of those that are there also their disks. */
+/* Crashes all replicas and restarts those not in `gone`; `k->lost` restart with an empty disk. */
 static void strike_all(simq_run* run, const strike* k, int seed, const bool gone[SLOTS_MAX]) {
     int num = k->voters + k->replaced;
     int lost = 0;
@@ -89,7 +81,7 @@
         bool gone[SLOTS_MAX] = {false};
         simq_run* run = begin(k, seed);
         replace(run, k, seed, gone);
-        /* The time that a newcomer is given to catch up. */
+        /* Time for the replacement to catch up. */
         run_and_add(run, k, 4 * SECOND);
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         ck_assert_uint_gt(index, 0);
@@ -116,14 +108,13 @@
 }
 END_TEST
 
-/* The newcomer loses its own disk while it takes its place, and all others lose power: the place
-   that it was to take is the only one that is lost. Counted beside its predecessor for however
-   short a time, it would have left two voters of four. */
+/* The replacement loses its disk while it joins, and all other replicas lose power. Had it counted
+   beside the replica it replaces for any time, only two voters of four would be left. */
 START_TEST(a_newcomer_that_is_lost_takes_nobody_along) {
     static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
         NEWCOMER = 3,
-        STEP_MS = 25 /* later with each run */
+        STEP_MS = 25 /* each run fails this much later after the start of the replacement */
     };
     for (int seed = 0; seed < 3 * SEEDS; seed++) {
         bool gone[SLOTS_MAX] = {false};
@@ -153,17 +144,13 @@
     return num;
 }
 
-/* What users saw: as above, in a run of real processes that stood still now and then. Order of
-   events: a newcomer was started, and a moment later the host whose place it was to take ended
-   without a word; 6 s later the newcomer was replaced in turn. Cause: the voter that had just ended
-   counted as answering for 0.3 s, the newcomer got a vote beside it, and then leaders changed too
-   often to take it out. Evidence: seed 2215 of the harsh soak, "voters=1,2,3,6 down=2" 0.07 s after
-   the start of host 6, and no majority from the end of host 6 on. */
+/* A replacement must not get a vote beside a voter that fails while the replacement starts and
+   still counts as reachable. */
 START_TEST(a_newcomer_does_not_count_beside_one_that_ends_as_it_comes) {
     static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
         NEWCOMER = 3,
-        STEP_MS = 25 /* between start and end, longer with each run */
+        STEP_MS = 25 /* each run adds this much between the start and the crash */
     };
     for (int seed = 0; seed < 2 * SEEDS; seed++) {
         bool gone[SLOTS_MAX] = {false};
@@ -185,8 +172,8 @@
 }
 END_TEST
 
-/* It has not answered yet, which is no silence: it stays in the set while it starts. It was taken
-   out and added again three times in the same run. */
+/* A learner that has not answered since it was added is given time to start: it must not be removed
+   from the set and added again. */
 START_TEST(a_learner_has_time_to_answer) {
     static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -215,7 +202,7 @@
     return slot == simq_leader(run) ? (slot + 1) % voters : slot;
 }
 
-/* Four voters, of which one stops as planned, bear the loss of another one's disk at once. */
+/* After a planned stop of one of four voters, the set survives the loss of another disk at once. */
 START_TEST(a_voter_that_leaves_weighs_no_more_at_once) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin_full(4, seed);
@@ -240,8 +227,8 @@
 }
 END_TEST
 
-/* It comes back under the same identity and has its vote again, a second after the time for which a
-   learner of a full set waits (1.6 s here) at the latest. */
+/* A voter that left and restarts with the same identity gets its vote back within a second after
+   the period that a learner of a full set waits (1.6 s here). */
 START_TEST(a_voter_that_left_comes_back) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin_full(4, seed);
@@ -265,7 +252,8 @@
 }
 END_TEST
 
-/* Of three, none may go: two could not bear a loss. It is told so and stops all the same. */
+/* A set of three keeps all voters, since two could not survive a loss. The voter is notified and
+   stops regardless. */
 START_TEST(a_voter_that_is_needed_stays) {
     simq_run* run = begin_full(3, 1);
     int leaver = follower(run, 1, 3);
@@ -277,7 +265,7 @@
 }
 END_TEST
 
-/* A silent voter goes where enough others answer, whoever has come or not; never below that. */
+/* An unresponsive voter is removed without a replacement, but only while enough voters remain. */
 START_TEST(a_set_never_gets_too_small) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(&(strike){.voters = 6, .replaced = 0, .lost = 2}, seed);
@@ -296,7 +284,7 @@
 }
 END_TEST
 
-/* A voter that is silent for less than that keeps its place, and the newcomer gets its own. */
+/* A voter that stalls for less than the removal time stays in the set, beside the new replica. */
 START_TEST(a_short_silence_costs_no_place) {
     for (int seed = 0; seed < SEEDS; seed++) {
         static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
@@ -316,7 +304,7 @@
 }
 END_TEST
 
-/* Random faults of the whole list, with succession and planned stops beside them. */
+/* All kinds of random faults, with replacements and planned stops. */
 START_TEST(random_runs_hold_with_succession) {
     for (uint64_t seed = 700; seed < 706; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = seed,
