--- a/tests/local_control.h
+++ b/tests/local_control.h
@@ -76,20 +76,20 @@
     struct event_base* base;
     wgn_net* net;
     wgn_link link;
-    bool up;
+    bool connected;
     uint64_t members_change;
     int members; /* entry hosts in the last list received; -1: no list received yet */
     uint64_t configuration_version;
     uint64_t configuration_base; /* base version of the last configuration; 0: sent complete */
     size_t configuration_bytes;  /* packed size of the last configuration */
     uint64_t state_seen;
-    int states;                  /* state messages received */
+    int states_received;         /* state messages received */
     int targets;                 /* target records received */
     int evacuated;               /* evacuated data centres in the last state */
     uint64_t registry_change;    /* change number of the last registry received */
     uint64_t quarantine_change;  /* change number of the last quarantine list received */
     int quarantined;             /* quarantined requests in the last list */
-    bool cold;                   /* a received target record was marked cold */
+    bool cold_reported;          /* a received target record was marked cold */
     bool leads;                  /* the control reported itself as leader */
     char leader[WG_ADDRESS_MAX]; /* leader address in the last state */
     int outcome;                 /* outcome of the last answered order; -1: no answer yet */
@@ -108,7 +108,7 @@
     wgn_send(f->net, f->link, WGW_TYPE_ENTRY_REPORT, &report.base);
 }
 
-static inline void local_entry_take_state(local_entry* f, const Wgpb__EntryState* in) {
+static inline void local_entry_apply_state(local_entry* f, const Wgpb__EntryState* in) {
     f->leads = in->leads;
     wg_copy_name(f->leader, sizeof f->leader, in->leader_address);
     if (in->leads && in->members_change != f->members_change) {
@@ -117,10 +117,10 @@
         f->members += (int)in->n_members - (int)in->n_members_left;
     }
     f->state_seen = in->seq;
-    f->states++;
+    f->states_received++;
     f->targets += (int)in->n_targets;
     for (size_t i = 0; i < in->n_targets; i++) {
-        f->cold = f->cold || in->targets[i]->cold_us > 0;
+        f->cold_reported = f->cold_reported || in->targets[i]->cold_us > 0;
     }
     if (in->leads && in->quarantine_change != f->quarantine_change) {
         f->quarantine_change = in->quarantine_change;
@@ -132,7 +132,7 @@
     }
 }
 
-static inline void local_entry_take_configuration(local_entry* f, const Wgpb__Configuration* in) {
+static inline void local_entry_record_configuration(local_entry* f, const Wgpb__Configuration* in) {
     f->configuration_version = in->version;
     f->configuration_base = in->base_version;
     f->configuration_bytes = in->packed.len;
@@ -143,11 +143,11 @@
     local_entry* f = user_data;
     if (frame->type == WGW_TYPE_ENTRY_STATE) {
         Wgpb__EntryState* in = wgpb__entry_state__unpack(NULL, frame->size, frame->payload);
-        local_entry_take_state(f, in);
+        local_entry_apply_state(f, in);
         wgpb__entry_state__free_unpacked(in, NULL);
     } else if (frame->type == WGW_TYPE_CONFIGURATION) {
         Wgpb__Configuration* in = wgpb__configuration__unpack(NULL, frame->size, frame->payload);
-        local_entry_take_configuration(f, in);
+        local_entry_record_configuration(f, in);
         wgpb__configuration__free_unpacked(in, NULL);
     } else if (frame->type == WGW_TYPE_ORDER_ANSWER) {
         Wgpb__OrderAnswer* in = wgpb__order_answer__unpack(NULL, frame->size, frame->payload);
@@ -161,7 +161,7 @@
     (void)link;
     (void)peer;
     local_entry* f = user_data;
-    f->up = true;
+    f->connected = true;
     local_entry_report(f);
 }
 
@@ -169,13 +169,13 @@
     (void)link;
     (void)peer;
     local_entry* f = user_data;
-    f->up = false;
+    f->connected = false;
     f->state_seen = 0;
     f->leads = false;
     f->link = (wgn_link){0};
 }
 
-static inline void local_entry_begin(local_entry* f, int number, const char* control) {
+static inline void local_entry_setup(local_entry* f, int number, const char* control) {
     wgn_peer self = {.role = WGW_ROLE_ENTRY};
     f->members = -1;
     f->outcome = -1;
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -60,7 +60,7 @@
         if (!entry.link.id && i % ORDER_EVERY == 0) {
             entry.link = wgn_dial(entry.net, listen_at);
         }
-        if (entry.up && i % ORDER_EVERY == 0) {
+        if (entry.connected && i % ORDER_EVERY == 0) {
             local_entry_report(&entry);
         }
         local_turn(base);
@@ -71,7 +71,7 @@
 static void begin_led(void) {
     begin();
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
+    local_entry_setup(&entry, 1, listen_at);
     ck_assert(lead());
 }
 
@@ -140,7 +140,7 @@
     fail_with(ENOSPC, 0);
     begin();
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
+    local_entry_setup(&entry, 1, listen_at);
     for (int i = 0; i < 300; i++) {
         local_turn(base);
     }
@@ -165,7 +165,7 @@
     ck_assert(!wgco_failed(control));
     fail_with(0, 0);
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
+    local_entry_setup(&entry, 1, listen_at);
     end();
 }
 END_TEST
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -285,9 +285,9 @@
     local_entry first = {.base = base};
     local_entry second = {.base = base};
     local_entry third = {.base = base, .members_change = 77}; /* it has a list of a former leader */
-    local_entry_begin(&first, 1, listen);
-    local_entry_begin(&second, 2, listen);
-    local_entry_begin(&third, 3, listen);
+    local_entry_setup(&first, 1, listen);
+    local_entry_setup(&second, 2, listen);
+    local_entry_setup(&third, 3, listen);
     wg_time begun = wg_now();
     for (int i = 0; i < TURNS && (first.members < 3 || second.members < 3); i++) {
         turn();
@@ -443,9 +443,9 @@
                              NULL);
     wgn_link link = wgn_dial(net, listen_at);
     local_entry host = {.base = base};
-    local_entry_begin(&host, 1, listen_at);
+    local_entry_setup(&host, 1, listen_at);
     control_id = 0;
-    for (int i = 0; i < TURNS && (!control_id || !host.up); i++) {
+    for (int i = 0; i < TURNS && (!control_id || !host.connected); i++) {
         turn();
     }
     send_quorum(net, link, WGR_MESSAGE_APPEND, "");
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -54,7 +54,7 @@
 /* A host that has a leader. */
 static void host_begin(local_entry* host, int number) {
     *host = (local_entry){.base = base};
-    local_entry_begin(host, number, listen_at);
+    local_entry_setup(host, number, listen_at);
     for (int i = 0; i < TURNS && !host->leads; i++) {
         local_turn(base);
         if (i % 100 == 99) {
@@ -118,7 +118,7 @@
     uint64_t expected[] = {1, 0};
     for (int i = 0; i < 2; i++) {
         others[i] = (local_entry){.base = base, .configuration_version = held[i]};
-        local_entry_begin(&others[i], 2 + i, listen_at);
+        local_entry_setup(&others[i], 2 + i, listen_at);
         expect_version(&others[i], 2);
         ck_assert_uint_eq(others[i].configuration_base, expected[i]);
         wgn_shutdown(others[i].net);
@@ -181,7 +181,7 @@
     host_begin(&host, 1);
     host_begin(&other, 2);
     turns(100);
-    int before = other.states;
+    int before = other.states_received;
     for (int i = 1; i <= TARGETS; i++) {
         order_target(&host, i, 1);
     }
@@ -189,7 +189,7 @@
         local_turn(base);
     }
     ck_assert_int_eq(other.targets, TARGETS);
-    ck_assert_int_le(other.states - before, TARGETS / 4);
+    ck_assert_int_le(other.states_received - before, TARGETS / 4);
     wgn_shutdown(host.net);
     wgn_shutdown(other.net);
     end();
@@ -283,11 +283,11 @@
         }
         turns(100);
     }
-    host.cold = false;
+    host.cold_reported = false;
     order_evacuation(&host, "dc", false);
     ck_assert_int_eq(host.outcome, WG_ORDER_DONE);
     expect_evacuated(&host, 0);
-    ck_assert(host.cold);
+    ck_assert(host.cold_reported);
     wgn_shutdown(host.net);
     wgn_shutdown(other.net);
     end();
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -3,7 +3,7 @@
 #include "sim_quorum.h"
 #include "wg_test.h"
 
-static simq_run* quiet(int replicas) {
+static simq_run* setup_without_faults(int replicas) {
     return simq_setup(&(simq_desc){.seed = 7, .replicas = replicas});
 }
 
@@ -16,7 +16,7 @@
 }
 
 /* The slot of the n-th replica after the leader. */
-static int other(int leader, int n, int replicas) {
+static int nth_other(int leader, int n, int replicas) {
     return (leader + 1 + n) % replicas;
 }
 
@@ -32,7 +32,7 @@
 }
 
 START_TEST(one_replica_leads_itself) {
-    simq_run* run = quiet(1);
+    simq_run* run = setup_without_faults(1);
     wait_leader(run);
     uint64_t index = simq_edit(run, "w", 5, 0, 1);
     simq_run_for(run, SECOND / 10);
@@ -42,7 +42,7 @@
 END_TEST
 
 START_TEST(one_replica_leads_itself_at_once_after_a_restart) {
-    simq_run* run = quiet(1);
+    simq_run* run = setup_without_faults(1);
     wait_leader(run);
     simq_run_for(run, SECOND);
     simq_crash(run, 0);
@@ -54,12 +54,12 @@
 END_TEST
 
 START_TEST(five_replicas_survive_any_two) {
-    simq_run* run = quiet(5);
+    simq_run* run = setup_without_faults(5);
     int leader = wait_leader(run);
     simq_edit(run, "w", 5, 0, 1);
     simq_run_for(run, SECOND);
     simq_crash(run, leader);
-    simq_crash(run, other(leader, 0, 5));
+    simq_crash(run, nth_other(leader, 0, 5));
     simq_run_for(run, 4 * SECOND);
     int next = wait_leader(run);
     ck_assert_int_ne(next, leader);
@@ -70,10 +70,10 @@
 END_TEST
 
 START_TEST(no_majority_no_leader) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
-    simq_crash(run, other(leader, 0, 3));
-    simq_crash(run, other(leader, 1, 3));
+    simq_crash(run, nth_other(leader, 0, 3));
+    simq_crash(run, nth_other(leader, 1, 3));
     simq_run_for(run, 2 * SECOND);
     ck_assert_int_eq(simq_leader(run), -1);
     simq_shutdown(run);
@@ -83,16 +83,16 @@
 /* A leader whose links are cut keeps its lease until it expires; a follower that acknowledged it
    must not vote for another replica before that. */
 START_TEST(promise_to_a_leader_is_kept) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
-    int keeps = other(leader, 0, 3);
-    int outside = other(leader, 1, 3);
+    int follower = nth_other(leader, 0, 3);
+    int isolated = nth_other(leader, 1, 3);
     simq_run_for(run, SECOND);
-    cut_both(run, leader, outside, true);
-    /* `outside` starts election after election. A vote by `keeps` while its messages to the leader
-       are cut would make two leaders; simq_tick asserts that there is at most one. */
+    cut_both(run, leader, isolated, true);
+    /* `isolated` starts election after election. A vote by `follower` while its messages to the
+       leader are cut would make two leaders; simq_tick asserts that there is at most one. */
     for (int i = 0; i < 400; i++) {
-        simq_cut(run, keeps, leader, i % 40 >= 20);
+        simq_cut(run, follower, leader, i % 40 >= 20);
         simq_tick(run);
     }
     simq_settle(run, 20 * SECOND);
@@ -102,16 +102,16 @@
 
 START_TEST(promise_survives_a_restart) {
     for (int after = 0; after < 150; after++) {
-        simq_run* run = quiet(3);
+        simq_run* run = setup_without_faults(3);
         int leader = wait_leader(run);
-        int keeps = other(leader, 0, 3);
-        int outside = other(leader, 1, 3);
+        int follower = nth_other(leader, 0, 3);
+        int isolated = nth_other(leader, 1, 3);
         simq_run_for(run, SECOND);
-        cut_both(run, leader, outside, true);
+        cut_both(run, leader, isolated, true);
         simq_run_for(run, SECOND + after * 10 * MSEC);
-        simq_crash(run, keeps);
-        simq_restart(run, keeps);
-        cut_both(run, keeps, leader, true);
+        simq_crash(run, follower);
+        simq_restart(run, follower);
+        cut_both(run, follower, leader, true);
         simq_run_for(run, SECOND);
         simq_shutdown(run);
     }
@@ -232,8 +232,8 @@
         simq_hand_over(run, leader);
         ck_assert(!simq_believes_to_lead(run, leader));
         /* The previous leader receives nothing from the new one. */
-        simq_cut(run, other(leader, 0, 3), leader, true);
-        simq_cut(run, other(leader, 1, 3), leader, true);
+        simq_cut(run, nth_other(leader, 0, 3), leader, true);
+        simq_cut(run, nth_other(leader, 1, 3), leader, true);
         simq_run_for(run, 200 * MSEC);
         ck_assert_int_ge(simq_leader(run), 0);
         ck_assert_int_ne(simq_leader(run), leader);
@@ -243,7 +243,7 @@
 END_TEST
 
 START_TEST(frozen_leader_does_not_lead_when_it_wakes) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
     simq_freeze(run, leader, 3 * SECOND);
     simq_run_for(run, 3 * SECOND - 10 * MSEC);
@@ -257,9 +257,9 @@
 END_TEST
 
 START_TEST(cut_off_replica_does_not_unseat_the_leader) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
-    int cut = other(leader, 0, 3);
+    int cut = nth_other(leader, 0, 3);
     uint64_t term = simq_stats(run, leader).term;
     isolate(run, cut, 3, true);
     simq_run_for(run, 10 * SECOND);
@@ -272,11 +272,11 @@
 END_TEST
 
 START_TEST(one_way_cut_of_a_leader_ends_its_lease) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
     /* The leader still sends, but receives nothing. */
-    simq_cut(run, other(leader, 0, 3), leader, true);
-    simq_cut(run, other(leader, 1, 3), leader, true);
+    simq_cut(run, nth_other(leader, 0, 3), leader, true);
+    simq_cut(run, nth_other(leader, 1, 3), leader, true);
     simq_run_for(run, 2 * SECOND);
     ck_assert(!simq_believes_to_lead(run, leader));
     simq_run_for(run, 4 * SECOND);
@@ -286,10 +286,10 @@
 END_TEST
 
 START_TEST(lost_disk_votes_only_after_replacement) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
-    int lost = other(leader, 0, 3);
-    int third = other(leader, 1, 3);
+    int lost = nth_other(leader, 0, 3);
+    int third = nth_other(leader, 1, 3);
     for (uint64_t i = 0; i < 100; i++) {
         simq_edit(run, "w", (int64_t)i + 1, simq_answered(run), i + 1);
         simq_run_for(run, 20 * MSEC);
@@ -321,13 +321,13 @@
 /* Raft paper, figure 8: an entry of an older term that is stored on a majority may still be
    overwritten, so it must not be committed by counting replicas. */
 START_TEST(older_terms_are_not_committed_by_counting) {
-    simq_run* run = quiet(5);
+    simq_run* run = setup_without_faults(5);
     int a = wait_leader(run);
-    int b = other(a, 0, 5);
+    int b = nth_other(a, 0, 5);
     simq_run_for(run, SECOND);
     for (int i = 1; i < 4; i++) {
-        cut_both(run, a, other(a, i, 5), true);
-        cut_both(run, b, other(a, i, 5), true);
+        cut_both(run, a, nth_other(a, i, 5), true);
+        cut_both(run, b, nth_other(a, i, 5), true);
     }
     uint64_t index = simq_propose_bytes(run, a, 900);
     simq_run_for(run, 50 * MSEC);
@@ -338,8 +338,8 @@
     for (int t = 0; t < 1000 && x < 0; t++) {
         simq_tick(run);
         for (int i = 1; i < 4; i++) {
-            if (simq_stats(run, other(a, i, 5)).role == WGR_ROLE_CANDIDATE) {
-                x = other(a, i, 5);
+            if (simq_stats(run, nth_other(a, i, 5)).role == WGR_ROLE_CANDIDATE) {
+                x = nth_other(a, i, 5);
             }
         }
     }
@@ -360,19 +360,19 @@
     }
     simq_restart(run, a);
     simq_restart(run, b);
-    bool fed = false;
-    for (int t = 0; t < 1000 && !fed; t++) {
+    bool replicated = false;
+    for (int t = 0; t < 1000 && !replicated; t++) {
         simq_tick(run);
         for (int i = 1; i < 4; i++) {
-            int c = other(a, i, 5);
-            fed = fed || (c != x && simq_stats(run, c).last_index == index);
+            int c = nth_other(a, i, 5);
+            replicated = replicated || (c != x && simq_stats(run, c).last_index == index);
         }
     }
-    ck_assert(fed);
+    ck_assert(replicated);
     /* Replicas a and b still receive acknowledgements, but their messages are cut. */
     for (int i = 1; i < 4; i++) {
-        simq_cut(run, a, other(a, i, 5), true);
-        simq_cut(run, b, other(a, i, 5), true);
+        simq_cut(run, a, nth_other(a, i, 5), true);
+        simq_cut(run, b, nth_other(a, i, 5), true);
     }
     simq_tick(run);
     simq_crash(run, a);
@@ -385,7 +385,7 @@
 END_TEST
 
 START_TEST(two_editors_one_wins_and_a_resend_gets_the_first_answer) {
-    simq_run* run = quiet(3);
+    simq_run* run = setup_without_faults(3);
     wait_leader(run);
     simq_edit(run, "w", 5, 0, 1);
     simq_edit(run, "w", 6, 0, 2);
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -10,11 +10,11 @@
 
 enum {
     VOTERS = 3,
-    NEWCOMER = 3,
-    RUNS = 300,         /* seeds of each test; the environment variable RUNS overrides it */
-    CONTACT_MS = 3000,  /* limit from the replacement's catching up to a complete set */
-    STAND_MS_MIN = 550, /* shortest stall of a leader, beyond the longest election time-out */
-    STAND_MS_SPAN = 350,
+    REPLACEMENT = 3,
+    RUNS = 300,                 /* seeds of each test; the environment variable RUNS overrides it */
+    COMPLETION_LIMIT_MS = 3000, /* limit from the replacement's catching up to a complete set */
+    STALL_MS_MIN = 550, /* shortest stall of a leader, beyond the longest election time-out */
+    STALL_MS_SPAN = 350,
     LEAD_MS_MIN = 500, /* shortest time from an election to the next stall */
     LEAD_MS_SPAN = 1500
 };
@@ -29,18 +29,18 @@
     simq_run* run;
     uint64_t seed;
     uint64_t counter;
-    int gone;
-    char gone_name[WG_NAME_MAX];
-    wg_time strike_at;
-    uint64_t term; /* term of the leader that strike_at was set for; 0: set it anew */
-} play;
+    int failed;
+    char failed_name[WG_NAME_MAX];
+    wg_time stall_at;
+    uint64_t term; /* term of the leader that stall_at was set for; 0: set it anew */
+} replacement_run;
 
-static int draw(play* p, int below) {
+static int random_below(replacement_run* p, int below) {
     return (int)(wg_jitter(p->seed, ++p->counter) % (uint64_t)below);
 }
 
-static play begin(int seed) {
-    play p = {.seed = (uint64_t)seed};
+static replacement_run begin(int seed) {
+    replacement_run p = {.seed = (uint64_t)seed};
     /* The time-outs of deploy/replica.ini. */
     p.run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                     .replicas = VOTERS + 1,
@@ -52,60 +52,60 @@
                                     .losses = 1});
     simq_run_for(p.run, 2 * SECOND);
     ck_assert_int_ge(simq_leader(p.run), 0);
-    p.gone = draw(&p, VOTERS);
-    g_snprintf(p.gone_name, sizeof p.gone_name, "c%d", p.gone);
+    p.failed = random_below(&p, VOTERS);
+    g_snprintf(p.failed_name, sizeof p.failed_name, "c%d", p.failed);
     return p;
 }
 
 /* Runs for `duration`, and stalls each leader some time after its election. */
-static void go_on(play* p, wg_time duration) {
+static void run_with_stalls(replacement_run* p, wg_time duration) {
     for (wg_time until = simq_now(p->run) + duration; simq_now(p->run) < until;) {
         int leader = simq_leader(p->run);
         uint64_t term = leader < 0 ? 0 : simq_stats(p->run, leader).term;
         if (leader >= 0 && term != p->term) {
             p->term = term;
-            p->strike_at = simq_now(p->run) + (LEAD_MS_MIN + draw(p, LEAD_MS_SPAN)) * MSEC;
+            p->stall_at = simq_now(p->run) + (LEAD_MS_MIN + random_below(p, LEAD_MS_SPAN)) * MSEC;
         }
-        if (leader >= 0 && simq_now(p->run) >= p->strike_at) {
-            simq_freeze(p->run, leader, (STAND_MS_MIN + draw(p, STAND_MS_SPAN)) * MSEC);
+        if (leader >= 0 && simq_now(p->run) >= p->stall_at) {
+            simq_freeze(p->run, leader, (STALL_MS_MIN + random_below(p, STALL_MS_SPAN)) * MSEC);
             p->term = 0; /* a leader that keeps its term gets a new stall time too */
         }
-        simq_replace(p->run, NEWCOMER);
+        simq_replace(p->run, REPLACEMENT);
         simq_tick(p->run);
     }
 }
 
 /* Removes one voter for good and starts an empty replica within a second. */
-static void replace(play* p) {
-    simq_crash(p->run, p->gone);
-    go_on(p, draw(p, 1000) * MSEC);
-    simq_restart(p->run, NEWCOMER);
+static void replace_voter(replacement_run* p) {
+    simq_crash(p->run, p->failed);
+    run_with_stalls(p, random_below(p, 1000) * MSEC);
+    simq_restart(p->run, REPLACEMENT);
 }
 
-static bool is_whole(play* p) {
+static bool is_set_complete(replacement_run* p) {
     int leader = simq_leader(p->run);
     if (leader < 0) {
         return false;
     }
     const wgr_set* set = simq_set(p->run, leader);
-    bool whole = set->num == VOTERS;
+    bool complete = set->num == VOTERS;
     for (int i = 0; i < set->num; i++) {
         const wgr_replica* replica = &set->replicas[i];
-        whole = whole && replica->voter && strcmp(replica->name, p->gone_name) != 0;
+        complete = complete && replica->voter && strcmp(replica->name, p->failed_name) != 0;
     }
-    return whole;
+    return complete;
 }
 
 /* Crashes all remaining replicas, wipes the disk of one and restarts them. True if a leader is
    elected. */
-static bool survives_lost_disk(play* p) {
+static bool survives_lost_disk(replacement_run* p) {
     int lost;
     do {
-        lost = draw(p, VOTERS + 1);
-    } while (lost == p->gone);
+        lost = random_below(p, VOTERS + 1);
+    } while (lost == p->failed);
     simq_crash_all(p->run);
     for (int i = 0; i <= VOTERS; i++) {
-        if (i != p->gone && i != lost) {
+        if (i != p->failed && i != lost) {
             simq_restart(p->run, i);
         }
     }
@@ -114,12 +114,12 @@
     return simq_leader(p->run) >= 0;
 }
 
-static int count_lost_for_good(int seconds) {
+static int count_majority_losses(int seconds) {
     int lost = 0;
     for (int seed = 0; seed < runs(); seed++) {
-        play p = begin(seed);
-        replace(&p);
-        go_on(&p, seconds * SECOND);
+        replacement_run p = begin(seed);
+        replace_voter(&p);
+        run_with_stalls(&p, seconds * SECOND);
         lost += !survives_lost_disk(&p);
         simq_shutdown(p.run);
     }
@@ -127,23 +127,23 @@
 }
 
 START_TEST(a_disk_may_be_lost_five_seconds_after_a_replacement) {
-    int lost = count_lost_for_good(5);
+    int lost = count_majority_losses(5);
     ck_assert_msg(lost == 0, "no majority for good in %d of %d runs", lost, runs());
 }
 END_TEST
 
 START_TEST(a_disk_may_be_lost_ten_seconds_after_a_replacement) {
-    int lost = count_lost_for_good(10);
+    int lost = count_majority_losses(10);
     ck_assert_msg(lost == 0, "no majority for good in %d of %d runs", lost, runs());
 }
 END_TEST
 
 /* The replacement is in the set and holds all committed entries. */
-static bool has_caught_up(play* p) {
+static bool has_caught_up(replacement_run* p) {
     int leader = simq_leader(p->run);
-    wgr_stats newcomer = simq_stats(p->run, NEWCOMER);
+    wgr_stats replacement = simq_stats(p->run, REPLACEMENT);
     return leader >= 0 && simq_set(p->run, leader)->num > VOTERS &&
-           newcomer.commit >= simq_stats(p->run, leader).commit;
+           replacement.commit >= simq_stats(p->run, leader).commit;
 }
 
 /* Measures the time from the replacement's catching up to a complete set. */
@@ -153,27 +153,27 @@
         STEPS = 2000,
         HALF_SECOND_STEPS = 50
     };
-    int took[STEPS / HALF_SECOND_STEPS + 1] = {0};
+    int run_counts[STEPS / HALF_SECOND_STEPS + 1] = {0};
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
-        play p = begin(seed);
-        replace(&p);
-        for (int step = 0; step < STEPS && !has_caught_up(&p) && !is_whole(&p); step++) {
-            go_on(&p, STEP_MS * MSEC);
+        replacement_run p = begin(seed);
+        replace_voter(&p);
+        for (int step = 0; step < STEPS && !has_caught_up(&p) && !is_set_complete(&p); step++) {
+            run_with_stalls(&p, STEP_MS * MSEC);
         }
         int steps = 0;
-        while (steps < STEPS && !is_whole(&p)) {
-            go_on(&p, STEP_MS * MSEC);
+        while (steps < STEPS && !is_set_complete(&p)) {
+            run_with_stalls(&p, STEP_MS * MSEC);
             steps++;
         }
-        took[steps / HALF_SECOND_STEPS]++;
-        late += steps * STEP_MS > CONTACT_MS;
+        run_counts[steps / HALF_SECOND_STEPS]++;
+        late += steps * STEP_MS > COMPLETION_LIMIT_MS;
         simq_shutdown(p.run);
     }
     GString* histogram = g_string_new(NULL);
-    for (size_t i = 0; i < G_N_ELEMENTS(took); i++) {
-        if (took[i]) {
-            g_string_append_printf(histogram, " %.1f s: %d", (double)i / 2, took[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(run_counts); i++) {
+        if (run_counts[i]) {
+            g_string_append_printf(histogram, " %.1f s: %d", (double)i / 2, run_counts[i]);
         }
     }
     printf("whole after%s\n", histogram->str);
@@ -183,26 +183,26 @@
 END_TEST
 
 enum {
-    GONE_MS = 1000,  /* time since the last contact after which a voter may be removed */
-    ASKED_MS = 300,  /* time that a new leader gives replicas to answer */
-    ROUNDS_MS = 200, /* heartbeat and append rounds of the change of the set */
-    MOST_MS = 5000
+    REMOVAL_MS = 1000, /* time since the last contact after which a voter may be removed */
+    ANSWER_MS = 300,   /* time that a new leader gives replicas to answer */
+    ROUNDS_MS = 200,   /* heartbeat and append rounds of the change of the set */
+    WAIT_MS_MAX = 5000
 };
 
 /* Whether the set becomes complete in time. The limit is the later of two moments: the failed voter
-   has been out of contact for GONE_MS, or a leader has led for ASKED_MS; plus ROUNDS_MS.
-   `silent_ms`: time since the last contact with the failed voter at the call. */
-static bool is_whole_in_time(play* p, int silent_ms) {
-    wg_time begun = simq_now(p->run);
-    wg_time led = 0;
-    while (!is_whole(p) && simq_now(p->run) - begun < MOST_MS * MSEC) {
-        simq_replace(p->run, NEWCOMER);
+   has been out of contact for REMOVAL_MS, or a leader has led for ANSWER_MS; plus ROUNDS_MS.
+   `since_contact_ms`: time since the last contact with the failed voter at the call. */
+static bool completes_in_time(replacement_run* p, int since_contact_ms) {
+    wg_time started_at = simq_now(p->run);
+    wg_time led_at = 0;
+    while (!is_set_complete(p) && simq_now(p->run) - started_at < WAIT_MS_MAX * MSEC) {
+        simq_replace(p->run, REPLACEMENT);
         simq_tick(p->run);
-        led = led == 0 && simq_leader(p->run) >= 0 ? simq_now(p->run) : led;
+        led_at = led_at == 0 && simq_leader(p->run) >= 0 ? simq_now(p->run) : led_at;
     }
-    wg_time asked = led - begun + ASKED_MS * MSEC;
-    wg_time bound = MAX((GONE_MS - silent_ms) * MSEC, asked) + ROUNDS_MS * MSEC;
-    return led > 0 && simq_now(p->run) - begun <= bound;
+    wg_time answers_due = led_at - started_at + ANSWER_MS * MSEC;
+    wg_time bound = MAX((REMOVAL_MS - since_contact_ms) * MSEC, answers_due) + ROUNDS_MS * MSEC;
+    return led_at > 0 && simq_now(p->run) - started_at <= bound;
 }
 
 /* The time since the last contact counts from the start of a replica, not from the first election:
@@ -210,21 +210,21 @@
 START_TEST(silence_counts_from_the_start_of_all) {
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
-        play p = begin(seed);
-        simq_crash(p.run, p.gone);
+        replacement_run p = begin(seed);
+        simq_crash(p.run, p.failed);
         simq_run_for(p.run, 200 * MSEC);
-        simq_restart(p.run, NEWCOMER);
+        simq_restart(p.run, REPLACEMENT);
         while (!has_caught_up(&p)) {
-            simq_replace(p.run, NEWCOMER);
+            simq_replace(p.run, REPLACEMENT);
             simq_tick(p.run);
         }
         simq_crash_all(p.run);
         for (int i = 0; i <= VOTERS; i++) {
-            if (i != p.gone) {
+            if (i != p.failed) {
                 simq_restart(p.run, i);
             }
         }
-        late += !is_whole_in_time(&p, 0);
+        late += !completes_in_time(&p, 0);
         simq_shutdown(p.run);
     }
     ck_assert_msg(late == 0, "%d of %d runs later than the bound", late, runs());
@@ -234,21 +234,21 @@
 /* The time since the last contact also counts during an outage without a leader. */
 START_TEST(silence_counts_while_nobody_leads) {
     enum {
-        APART_MS = 3000
+        PARTITION_MS = 3000
     };
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
-        play p = begin(seed);
-        int left = (p.gone + 1) % VOTERS;
-        int other = (p.gone + 2) % VOTERS;
-        simq_crash(p.run, p.gone);
+        replacement_run p = begin(seed);
+        int left = (p.failed + 1) % VOTERS;
+        int other = (p.failed + 2) % VOTERS;
+        simq_crash(p.run, p.failed);
         simq_cut(p.run, left, other, true);
         simq_cut(p.run, other, left, true);
-        simq_restart(p.run, NEWCOMER);
-        simq_run_for(p.run, APART_MS * MSEC);
+        simq_restart(p.run, REPLACEMENT);
+        simq_run_for(p.run, PARTITION_MS * MSEC);
         simq_cut(p.run, left, other, false);
         simq_cut(p.run, other, left, false);
-        late += !is_whole_in_time(&p, APART_MS);
+        late += !completes_in_time(&p, PARTITION_MS);
         simq_shutdown(p.run);
     }
     ck_assert_msg(late == 0, "%d of %d runs later than the bound", late, runs());
@@ -274,8 +274,8 @@
                                                 .losses = 2});
         simq_run_for(run, 2 * SECOND);
         int leader = simq_leader(run);
-        int silent = (leader + 1) % VOTERS_OF_FIVE;
-        simq_freeze(run, silent, 10 * SECOND);
+        int unresponsive = (leader + 1) % VOTERS_OF_FIVE;
+        simq_freeze(run, unresponsive, 10 * SECOND);
         simq_run_for(run, 600 * MSEC);
         simq_restart(run, LEARNER);
         for (int i = 0; i < 30; i++) {
@@ -287,12 +287,13 @@
             simq_tick(run);
         }
         simq_run_for(run, BACK_MS * MSEC);
-        simq_freeze(run, silent, 0);
+        simq_freeze(run, unresponsive, 0);
         simq_run_for(run, 500 * MSEC);
         const wgr_set* set = simq_set(run, simq_leader(run));
         bool votes = false;
         for (int i = 0; i < set->num; i++) {
-            votes = votes || (set->replicas[i].name[1] == '0' + silent && set->replicas[i].voter);
+            votes =
+                votes || (set->replicas[i].name[1] == '0' + unresponsive && set->replicas[i].voter);
         }
         ck_assert_msg(votes, "run %d: taken out", seed);
         simq_shutdown(run);
--- a/tests/test_quorum_stalls.c
+++ b/tests/test_quorum_stalls.c
@@ -8,8 +8,8 @@
 enum {
     VOTERS = 3,
     SEEDS = 40,
-    STAND_MS = 700, /* longer than the longest election time-out, 500 ms */
-    BACK_MS = 100   /* enough for a heartbeat round, too short for an election */
+    STALL_MS = 700,   /* longer than the longest election time-out, 500 ms */
+    RECOVERY_MS = 100 /* enough for a heartbeat round, too short for an election */
 };
 
 static simq_run* begin(int seed) {
@@ -26,7 +26,7 @@
 }
 
 static void check_same_term(simq_run* run, int leader, uint64_t term, int seed) {
-    simq_run_for(run, BACK_MS * MSEC);
+    simq_run_for(run, RECOVERY_MS * MSEC);
     ck_assert_msg(simq_leader(run) == leader && simq_stats(run, leader).term == term,
                   "run %d: leader %d of term %d before, %d now", seed, leader, (int)term,
                   simq_leader(run));
@@ -38,9 +38,9 @@
         int leader = simq_leader(run);
         uint64_t term = simq_stats(run, leader).term;
         for (int i = 0; i < VOTERS; i++) {
-            simq_freeze(run, i, STAND_MS * MSEC);
+            simq_freeze(run, i, STALL_MS * MSEC);
         }
-        simq_run_for(run, STAND_MS * MSEC);
+        simq_run_for(run, STALL_MS * MSEC);
         check_same_term(run, leader, term, seed);
         simq_shutdown(run);
     }
@@ -53,8 +53,8 @@
         int leader = simq_leader(run);
         uint64_t term = simq_stats(run, leader).term;
         simq_crash(run, (leader + 1) % VOTERS);
-        simq_freeze(run, leader, STAND_MS * MSEC);
-        simq_run_for(run, STAND_MS * MSEC);
+        simq_freeze(run, leader, STALL_MS * MSEC);
+        simq_run_for(run, STALL_MS * MSEC);
         check_same_term(run, leader, term, seed);
         simq_shutdown(run);
     }
@@ -71,7 +71,7 @@
         simq_run_for(run, 2 * SECOND);
         int next = simq_leader(run);
         ck_assert(next >= 0 && next != leader);
-        simq_run_for(run, BACK_MS * MSEC);
+        simq_run_for(run, RECOVERY_MS * MSEC);
         ck_assert_int_eq(simq_leader(run), next);
         ck_assert_int_eq(simq_stats(run, leader).role, WGR_ROLE_FOLLOWER);
         simq_shutdown(run);
@@ -85,8 +85,8 @@
         simq_run* run = begin(seed);
         int leader = simq_leader(run);
         for (int i = 0; i < 6; i++) {
-            simq_freeze(run, leader, STAND_MS * MSEC);
-            simq_run_for(run, (STAND_MS + 20) * MSEC);
+            simq_freeze(run, leader, STALL_MS * MSEC);
+            simq_run_for(run, (STALL_MS + 20) * MSEC);
         }
         ck_assert_int_ne(simq_leader(run), leader);
         simq_shutdown(run);
@@ -99,7 +99,8 @@
 START_TEST(a_leader_that_stood_still_takes_nobody_out) {
     enum {
         LEARNER = 3,
-        LONG_MS = 1300 /* longer than the time without contact after which a replica is removed */
+        LONG_STALL_MS =
+            1300 /* longer than the time without contact after which a replica is removed */
     };
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
@@ -120,8 +121,8 @@
         }
         simq_run_for(run, 100 * MSEC);
         simq_crash(run, other); /* no other replica can win an election now */
-        simq_freeze(run, leader, LONG_MS * MSEC);
-        simq_run_for(run, LONG_MS * MSEC);
+        simq_freeze(run, leader, LONG_STALL_MS * MSEC);
+        simq_run_for(run, LONG_STALL_MS * MSEC);
         for (int i = 0; i < 20; i++) {
             simq_tick(run);
             const wgr_set* set = simq_set(run, leader);
--- a/tests/test_quorum_start.c
+++ b/tests/test_quorum_start.c
@@ -50,7 +50,7 @@
 
 /* Takes all pending output of the node. Returns the number of messages of `type` and copies the
    last one to `last`. */
-static int sent(wgr_message_type type, wgr_message* last) {
+static int take_sent(wgr_message_type type, wgr_message* last) {
     wgr_output out;
     int num = 0;
     while (wgr_output_next(node, &out)) {
@@ -68,52 +68,53 @@
 }
 
 /* Ticks the node into its next round of start queries. Returns the round, or 0 if none was sent. */
-static wg_time ask_round(void) {
-    wgr_message ask = {0};
+static wg_time next_query_round(void) {
+    wgr_message query = {0};
     now += ROUND_GAP;
     wgr_tick(node, now);
-    return sent(WGR_MESSAGE_START_QUERY, &ask) ? ask.echo : 0;
+    return take_sent(WGR_MESSAGE_START_QUERY, &query) ? query.echo : 0;
 }
 
-static void answer(uint64_t from, wg_time round, uint64_t life, uint64_t log_index) {
+static void send_start_reply(uint64_t from, wg_time round, uint64_t incarnation_id,
+                             uint64_t log_index) {
     wgr_message m = {.type = WGR_MESSAGE_START_REPLY,
                      .from = from,
                      .to = SELF,
                      .term = 1,
                      .echo = round,
-                     .incarnation = life,
+                     .incarnation = incarnation_id,
                      .log_index = log_index,
                      .log_term = 1};
     wgr_step(node, now, &m);
 }
 
-static int votes_asked(wgr_message* last) {
-    return sent(WGR_MESSAGE_VOTE, last);
+static int votes_requested(wgr_message* last) {
+    return take_sent(WGR_MESSAGE_VOTE, last);
 }
 
-static wgr_message ask_node(void) {
+static wgr_message query_node(void) {
     wgr_message m = {.type = WGR_MESSAGE_START_QUERY, .from = OTHER, .to = SELF, .echo = 5};
     wgr_message reply = {0};
     wgr_step(node, now, &m);
-    ck_assert_int_eq(sent(WGR_MESSAGE_START_REPLY, &reply), 1);
+    ck_assert_int_eq(take_sent(WGR_MESSAGE_START_REPLY, &reply), 1);
     return reply;
 }
 
 /* Whether the node grants its vote to a candidate that names this incarnation of the node. */
-static bool votes_at_once(uint64_t life) {
+static bool grants_vote(uint64_t incarnation_id) {
     wgr_message m = {.type = WGR_MESSAGE_VOTE,
                      .from = OTHER,
                      .to = SELF,
                      .term = 9,
                      .log_index = 50,
                      .log_term = 8,
-                     .incarnation = life};
+                     .incarnation = incarnation_id};
     wgr_message reply = {0};
     wgr_step(node, now, &m);
-    return sent(WGR_MESSAGE_VOTE_REPLY, &reply) == 1 && !reply.reject;
+    return take_sent(WGR_MESSAGE_VOTE_REPLY, &reply) == 1 && !reply.reject;
 }
 
-static void hear_leader(void) {
+static void receive_append(void) {
     wgr_message m = {.type = WGR_MESSAGE_APPEND,
                      .from = THIRD,
                      .to = SELF,
@@ -122,24 +123,24 @@
                      .log_term = 1};
     wgr_message reply = {0};
     wgr_step(node, now, &m);
-    ck_assert_int_eq(sent(WGR_MESSAGE_APPEND_REPLY, &reply), 1);
+    ck_assert_int_eq(take_sent(WGR_MESSAGE_APPEND_REPLY, &reply), 1);
     ck_assert(!reply.reject);
 }
 
 START_TEST(it_stands_after_a_second_round_of_all) {
     start(1, 3);
-    wg_time first = ask_round();
+    wg_time first = next_query_round();
     ck_assert_int_gt(first, 0);
     wgr_message vote = {0};
-    answer(OTHER, first, 7, 2);
-    answer(THIRD, first, 8, 2);
-    ck_assert_int_eq(votes_asked(&vote), 0);
-    wg_time second = ask_round();
+    send_start_reply(OTHER, first, 7, 2);
+    send_start_reply(THIRD, first, 8, 2);
+    ck_assert_int_eq(votes_requested(&vote), 0);
+    wg_time second = next_query_round();
     ck_assert_int_gt(second, first);
-    answer(OTHER, second, 7, 2);
-    ck_assert_int_eq(votes_asked(&vote), 0);
-    answer(THIRD, second, 8, 2);
-    ck_assert_int_eq(votes_asked(&vote), 2);
+    send_start_reply(OTHER, second, 7, 2);
+    ck_assert_int_eq(votes_requested(&vote), 0);
+    send_start_reply(THIRD, second, 8, 2);
+    ck_assert_int_eq(votes_requested(&vote), 2);
     ck_assert_uint_eq(vote.incarnation, vote.to == OTHER ? 7 : 8);
     end();
 }
@@ -149,12 +150,12 @@
 START_TEST(late_answers_of_the_first_round_do_not_count) {
     start(1, 3);
     wgr_message vote = {0};
-    wg_time first = ask_round();
-    answer(OTHER, first, 7, 2);
-    answer(THIRD, first, 8, 2);
-    answer(OTHER, first, 7, 2);
-    answer(THIRD, first, 8, 2);
-    ck_assert_int_eq(votes_asked(&vote), 0);
+    wg_time first = next_query_round();
+    send_start_reply(OTHER, first, 7, 2);
+    send_start_reply(THIRD, first, 8, 2);
+    send_start_reply(OTHER, first, 7, 2);
+    send_start_reply(THIRD, first, 8, 2);
+    ck_assert_int_eq(votes_requested(&vote), 0);
     end();
 }
 END_TEST
@@ -162,33 +163,34 @@
 START_TEST(one_that_restarts_between_the_rounds_is_asked_again) {
     start(1, 3);
     wgr_message vote = {0};
-    wg_time first = ask_round();
-    answer(OTHER, first, 7, 2);
-    answer(THIRD, first, 8, 2);
-    wg_time second = ask_round();
-    answer(OTHER, second, 7, 2);
-    answer(THIRD, second, 99, 2); /* a new incarnation */
-    ck_assert_int_eq(votes_asked(&vote), 0);
-    wg_time third = ask_round();
-    answer(OTHER, third, 7, 2);
-    answer(THIRD, third, 99, 2);
-    ck_assert_int_eq(votes_asked(&vote), 2);
+    wg_time first = next_query_round();
+    send_start_reply(OTHER, first, 7, 2);
+    send_start_reply(THIRD, first, 8, 2);
+    wg_time second = next_query_round();
+    send_start_reply(OTHER, second, 7, 2);
+    send_start_reply(THIRD, second, 99, 2); /* a new incarnation */
+    ck_assert_int_eq(votes_requested(&vote), 0);
+    wg_time third = next_query_round();
+    send_start_reply(OTHER, third, 7, 2);
+    send_start_reply(THIRD, third, 99, 2);
+    ck_assert_int_eq(votes_requested(&vote), 2);
     end();
 }
 END_TEST
 
 START_TEST(the_newest_log_goes_first) {
     wgr_message vote = {0};
-    for (uint64_t theirs = 3; theirs <= 5; theirs++) { /* the log of the node ends at 4 */
+    /* The log of the node ends at index 4. */
+    for (uint64_t other_last_index = 3; other_last_index <= 5; other_last_index++) {
         int votes = 0;
         start(1, 3);
         for (int i = 0; i < 2; i++) {
-            wg_time round = ask_round();
-            answer(OTHER, round, 7, theirs);
-            answer(THIRD, round, 8, 2);
-            votes += votes_asked(&vote);
+            wg_time round = next_query_round();
+            send_start_reply(OTHER, round, 7, other_last_index);
+            send_start_reply(THIRD, round, 8, 2);
+            votes += votes_requested(&vote);
         }
-        ck_assert_int_eq(votes, theirs == 5 ? 0 : 2);
+        ck_assert_int_eq(votes, other_last_index == 5 ? 0 : 2);
         end();
     }
 }
@@ -197,40 +199,40 @@
 START_TEST(who_heard_a_leader_ends_the_questions) {
     start(1, 3);
     wgr_message vote = {0};
-    wg_time first = ask_round();
-    answer(OTHER, first, 7, 2);
+    wg_time first = next_query_round();
+    send_start_reply(OTHER, first, 7, 2);
     wgr_message refusal = {
         .type = WGR_MESSAGE_START_REPLY, .from = THIRD, .to = SELF, .echo = first, .reject = true};
     wgr_step(node, now, &refusal);
-    ck_assert_int_eq(ask_round(), 0);
-    answer(OTHER, first + 1, 7, 2);
-    answer(THIRD, first + 1, 8, 2);
-    ck_assert_int_eq(votes_asked(&vote), 0);
+    ck_assert_int_eq(next_query_round(), 0);
+    send_start_reply(OTHER, first + 1, 7, 2);
+    send_start_reply(THIRD, first + 1, 8, 2);
+    ck_assert_int_eq(votes_requested(&vote), 0);
     end();
 }
 END_TEST
 
 START_TEST(a_promise_is_told_and_kept) {
     start(1, 0);
-    wgr_message before = ask_node();
+    wgr_message before = query_node();
     ck_assert(!before.reject);
     ck_assert_uint_ne(before.incarnation, 0);
-    hear_leader();
-    ck_assert(ask_node().reject);
-    ck_assert(!votes_at_once(before.incarnation));
+    receive_append();
+    ck_assert(query_node().reject);
+    ck_assert(!grants_vote(before.incarnation));
     end();
 }
 END_TEST
 
 START_TEST(a_vote_is_given_in_the_life_that_was_told) {
     start(1, 0);
-    uint64_t life = ask_node().incarnation;
-    ck_assert(votes_at_once(life));
+    uint64_t incarnation_id = query_node().incarnation;
+    ck_assert(grants_vote(incarnation_id));
     end();
     start(2, 0); /* the node restarts: a new incarnation */
-    ck_assert(!votes_at_once(life));
-    ck_assert(!votes_at_once(0));
-    ck_assert(votes_at_once(ask_node().incarnation));
+    ck_assert(!grants_vote(incarnation_id));
+    ck_assert(!grants_vote(0));
+    ck_assert(grants_vote(query_node().incarnation));
     end();
 }
 END_TEST
@@ -240,9 +242,9 @@
     wgr_message vote = {0};
     wgr_record_replaced(node, THIRD);
     for (int i = 0; i < 2; i++) {
-        answer(OTHER, ask_round(), 7, 2);
+        send_start_reply(OTHER, next_query_round(), 7, 2);
     }
-    ck_assert_int_eq(votes_asked(&vote), 2);
+    ck_assert_int_eq(votes_requested(&vote), 2);
     end();
 }
 END_TEST
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -15,59 +15,62 @@
     int voters;
     int replaced;
     int lost;
-} strike;
+} fault_plan;
 
-static simq_run* begin(const strike* k, int seed) {
+static simq_run* begin(const fault_plan* plan, int seed) {
     /* The time-outs of deploy/replica.ini. */
     simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
-                                            .replicas = k->voters + k->replaced,
-                                            .voters = k->voters,
+                                            .replicas = plan->voters + plan->replaced,
+                                            .voters = plan->voters,
                                             .election_min = 300 * MSEC,
                                             .election_max = 500 * MSEC,
                                             .heartbeat = 60 * MSEC,
                                             .gone_after = 1600 * MSEC,
-                                            .losses = k->lost});
+                                            .losses = plan->lost});
     simq_run_for(run, 2 * SECOND);
     ck_assert_int_ge(simq_leader(run), 0);
     return run;
 }
 
 /* Runs for `duration`; replacements are added to the set as soon as the leader reaches them. */
-static void run_and_add(simq_run* run, const strike* k, wg_time duration) {
+static void run_and_add(simq_run* run, const fault_plan* plan, wg_time duration) {
     for (wg_time until = simq_now(run) + duration; simq_now(run) < until;) {
-        for (int i = k->voters; i < k->voters + k->replaced; i++) {
+        for (int i = plan->voters; i < plan->voters + plan->replaced; i++) {
             simq_replace(run, i);
         }
         simq_tick(run);
     }
 }
 
-/* Crashes `k->replaced` voters for good, marks them in `gone`, and starts as many empty replicas
-   one second later. */
-static void replace(simq_run* run, const strike* k, int seed, bool gone[SLOTS_MAX]) {
-    int first = seed % 2 ? simq_leader(run) : seed % k->voters;
-    for (int i = 0; i < k->replaced; i++) {
-        int slot = (first + i) % k->voters;
-        gone[slot] = true;
+/* Crashes `plan->replaced` voters for good, marks them in `failed`, and starts as many empty
+   replicas one second later. */
+static void replace_voters(simq_run* run, const fault_plan* plan, int seed,
+                           bool failed[SLOTS_MAX]) {
+    int first = seed % 2 ? simq_leader(run) : seed % plan->voters;
+    for (int i = 0; i < plan->replaced; i++) {
+        int slot = (first + i) % plan->voters;
+        failed[slot] = true;
         simq_crash(run, slot);
     }
-    run_and_add(run, k, SECOND);
-    for (int i = k->voters; i < k->voters + k->replaced; i++) {
+    run_and_add(run, plan, SECOND);
+    for (int i = plan->voters; i < plan->voters + plan->replaced; i++) {
         simq_restart(run, i);
     }
 }
 
-/* Crashes all replicas and restarts those not in `gone`; `k->lost` restart with an empty disk. */
-static void strike_all(simq_run* run, const strike* k, int seed, const bool gone[SLOTS_MAX]) {
-    int num = k->voters + k->replaced;
+/* Crashes all replicas, then restarts those not in `failed`, the first `plan->lost` with an empty
+   disk. */
+static void crash_all_and_lose_disks(simq_run* run, const fault_plan* plan, int seed,
+                                     const bool failed[SLOTS_MAX]) {
+    int num = plan->voters + plan->replaced;
     int lost = 0;
     simq_crash_all(run);
     for (int i = 0; i < num; i++) {
         int slot = (i + seed) % num;
-        if (gone[slot]) {
+        if (failed[slot]) {
             continue;
         }
-        if (lost < k->lost) {
+        if (lost < plan->lost) {
             simq_lose_disk(run, slot);
             lost++;
         } else {
@@ -76,34 +79,34 @@
     }
 }
 
-static void check(const strike* k) {
+static void check_disk_loss(const fault_plan* plan) {
     for (int seed = 0; seed < SEEDS; seed++) {
-        bool gone[SLOTS_MAX] = {false};
-        simq_run* run = begin(k, seed);
-        replace(run, k, seed, gone);
+        bool failed[SLOTS_MAX] = {false};
+        simq_run* run = begin(plan, seed);
+        replace_voters(run, plan, seed, failed);
         /* Time for the replacement to catch up. */
-        run_and_add(run, k, 4 * SECOND);
+        run_and_add(run, plan, 4 * SECOND);
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         ck_assert_uint_gt(index, 0);
         simq_run_for(run, 200 * MSEC);
         ck_assert_uint_ge(simq_answered(run), index);
-        strike_all(run, k, seed, gone);
+        crash_all_and_lose_disks(run, plan, seed, failed);
         simq_run_for(run, 3 * SECOND);
         int leader = simq_leader(run);
         ck_assert_msg(leader >= 0, "seed %d: %d of %d replaced, then %d disks lost: no leader",
-                      seed, k->replaced, k->voters, k->lost);
+                      seed, plan->replaced, plan->voters, plan->lost);
         ck_assert_ptr_nonnull(wgt_find(simq_table(run, leader), WGT_KIND_WORKSPACE, "w"));
         simq_shutdown(run);
     }
 }
 
 START_TEST(a_replaced_replica_weighs_no_more) {
-    static const strike strikes[] = {{.voters = 3, .replaced = 1, .lost = 1},
-                                     {.voters = 4, .replaced = 1, .lost = 1},
-                                     {.voters = 5, .replaced = 1, .lost = 2},
-                                     {.voters = 6, .replaced = 2, .lost = 2}};
-    for (size_t i = 0; i < G_N_ELEMENTS(strikes); i++) {
-        check(&strikes[i]);
+    static const fault_plan plans[] = {{.voters = 3, .replaced = 1, .lost = 1},
+                                       {.voters = 4, .replaced = 1, .lost = 1},
+                                       {.voters = 5, .replaced = 1, .lost = 2},
+                                       {.voters = 6, .replaced = 2, .lost = 2}};
+    for (size_t i = 0; i < G_N_ELEMENTS(plans); i++) {
+        check_disk_loss(&plans[i]);
     }
 }
 END_TEST
@@ -111,23 +114,23 @@
 /* The replacement loses its disk while it joins, and all other replicas lose power. Had it counted
    beside the replica it replaces for any time, only two voters of four would be left. */
 START_TEST(a_newcomer_that_is_lost_takes_nobody_along) {
-    static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
+    static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
-        NEWCOMER = 3,
+        REPLACEMENT = 3,
         STEP_MS = 25 /* each run fails this much later after the start of the replacement */
     };
     for (int seed = 0; seed < 3 * SEEDS; seed++) {
-        bool gone[SLOTS_MAX] = {false};
-        simq_run* run = begin(&k, seed);
-        replace(run, &k, seed, gone);
-        run_and_add(run, &k, seed * STEP_MS * MSEC);
+        bool failed[SLOTS_MAX] = {false};
+        simq_run* run = begin(&plan, seed);
+        replace_voters(run, &plan, seed, failed);
+        run_and_add(run, &plan, seed * STEP_MS * MSEC);
         simq_crash_all(run);
-        for (int i = 0; i < k.voters; i++) {
-            if (!gone[i]) {
+        for (int i = 0; i < plan.voters; i++) {
+            if (!failed[i]) {
                 simq_restart(run, i);
             }
         }
-        simq_lose_disk(run, NEWCOMER);
+        simq_lose_disk(run, REPLACEMENT);
         simq_run_for(run, 3 * SECOND);
         ck_assert_msg(simq_leader(run) >= 0, "run %d: no leader", seed);
         simq_shutdown(run);
@@ -135,7 +138,7 @@
 }
 END_TEST
 
-static int voters_of(simq_run* run) {
+static int count_voters(simq_run* run) {
     const wgr_set* set = simq_set(run, simq_leader(run));
     int num = 0;
     for (int i = 0; i < set->num; i++) {
@@ -147,24 +150,24 @@
 /* A replacement must not get a vote beside a voter that fails while the replacement starts and
    still counts as reachable. */
 START_TEST(a_newcomer_does_not_count_beside_one_that_ends_as_it_comes) {
-    static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
+    static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
-        NEWCOMER = 3,
+        REPLACEMENT = 3,
         STEP_MS = 25 /* each run adds this much between the start and the crash */
     };
     for (int seed = 0; seed < 2 * SEEDS; seed++) {
-        bool gone[SLOTS_MAX] = {false};
-        simq_run* run = begin(&k, seed);
-        int slot = seed % 2 ? simq_leader(run) : seed % k.voters;
-        simq_restart(run, NEWCOMER);
-        run_and_add(run, &k, seed * STEP_MS * MSEC);
+        bool failed[SLOTS_MAX] = {false};
+        simq_run* run = begin(&plan, seed);
+        int slot = seed % 2 ? simq_leader(run) : seed % plan.voters;
+        simq_restart(run, REPLACEMENT);
+        run_and_add(run, &plan, seed * STEP_MS * MSEC);
         simq_crash(run, slot);
-        gone[slot] = true;
+        failed[slot] = true;
         for (int i = 0; i < 300; i++) {
-            run_and_add(run, &k, 10 * MSEC);
-            ck_assert(simq_leader(run) < 0 || voters_of(run) <= 3);
+            run_and_add(run, &plan, 10 * MSEC);
+            ck_assert(simq_leader(run) < 0 || count_voters(run) <= 3);
         }
-        strike_all(run, &k, seed, gone);
+        crash_all_and_lose_disks(run, &plan, seed, failed);
         simq_run_for(run, 3 * SECOND);
         ck_assert_msg(simq_leader(run) >= 0, "run %d: no leader", seed);
         simq_shutdown(run);
@@ -175,15 +178,15 @@
 /* A learner that has not answered since it was added is given time to start: it must not be removed
    from the set and added again. */
 START_TEST(a_learner_has_time_to_answer) {
-    static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
+    static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     for (int seed = 0; seed < SEEDS; seed++) {
-        simq_run* run = begin(&k, seed);
+        simq_run* run = begin(&plan, seed);
         simq_run_for(run, 3 * SECOND);
         simq_restart(run, 3);
         for (int i = 0; i < 3; i++) {
             simq_cut(run, 3, i, true);
         }
-        run_and_add(run, &k, 50 * MSEC);
+        run_and_add(run, &plan, 50 * MSEC);
         for (int i = 0; i < 50; i++) {
             simq_tick(run);
             ck_assert_int_eq(simq_set(run, simq_leader(run))->num, 4);
@@ -193,11 +196,11 @@
 }
 END_TEST
 
-static simq_run* begin_full(int voters, int seed) {
-    return begin(&(strike){.voters = voters, .replaced = 0, .lost = 1}, seed);
+static simq_run* begin_without_replacement(int voters, int seed) {
+    return begin(&(fault_plan){.voters = voters, .replaced = 0, .lost = 1}, seed);
 }
 
-static int follower(simq_run* run, int seed, int voters) {
+static int pick_follower(simq_run* run, int seed, int voters) {
     int slot = seed % voters;
     return slot == simq_leader(run) ? (slot + 1) % voters : slot;
 }
@@ -205,21 +208,21 @@
 /* After a planned stop of one of four voters, the set survives the loss of another disk at once. */
 START_TEST(a_voter_that_leaves_weighs_no_more_at_once) {
     for (int seed = 0; seed < SEEDS; seed++) {
-        simq_run* run = begin_full(4, seed);
-        int leaver = follower(run, seed, 4);
+        simq_run* run = begin_without_replacement(4, seed);
+        int leaving = pick_follower(run, seed, 4);
         int leader = simq_leader(run);
-        simq_leave(run, leaver);
+        simq_leave(run, leaving);
         simq_run_for(run, 300 * MSEC);
-        ck_assert(simq_has_left(run, leaver));
+        ck_assert(simq_has_left(run, leaving));
         ck_assert_int_eq(simq_set(run, leader)->num, 3);
-        ck_assert(!simq_replace(run, leaver)); /* not added again while it stops */
-        simq_crash(run, leaver);
+        ck_assert(!simq_replace(run, leaving)); /* not added again while it stops */
+        simq_crash(run, leaving);
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         simq_run_for(run, 200 * MSEC);
         ck_assert_uint_ge(simq_answered(run), index);
-        bool gone[SLOTS_MAX] = {false};
-        gone[leaver] = true;
-        strike_all(run, &(strike){.voters = 4, .lost = 1}, seed, gone);
+        bool failed[SLOTS_MAX] = {false};
+        failed[leaving] = true;
+        crash_all_and_lose_disks(run, &(fault_plan){.voters = 4, .lost = 1}, seed, failed);
         simq_run_for(run, 3 * SECOND);
         ck_assert_int_ge(simq_leader(run), 0);
         simq_shutdown(run);
@@ -231,15 +234,15 @@
    the period that a learner of a full set waits (1.6 s here). */
 START_TEST(a_voter_that_left_comes_back) {
     for (int seed = 0; seed < SEEDS; seed++) {
-        simq_run* run = begin_full(4, seed);
-        int leaver = follower(run, seed, 4);
-        simq_leave(run, leaver);
+        simq_run* run = begin_without_replacement(4, seed);
+        int leaving = pick_follower(run, seed, 4);
+        simq_leave(run, leaving);
         simq_run_for(run, 300 * MSEC);
-        simq_crash(run, leaver);
+        simq_crash(run, leaving);
         simq_run_for(run, 300 * MSEC);
-        simq_restart(run, leaver);
+        simq_restart(run, leaving);
         for (wg_time until = simq_now(run) + 2600 * MSEC; simq_now(run) < until;) {
-            simq_replace(run, leaver);
+            simq_replace(run, leaving);
             simq_tick(run);
         }
         const wgr_set* set = simq_set(run, simq_leader(run));
@@ -255,11 +258,11 @@
 /* A set of three keeps all voters, since two could not survive a loss. The voter is notified and
    stops regardless. */
 START_TEST(a_voter_that_is_needed_stays) {
-    simq_run* run = begin_full(3, 1);
-    int leaver = follower(run, 1, 3);
-    simq_leave(run, leaver);
+    simq_run* run = begin_without_replacement(3, 1);
+    int leaving = pick_follower(run, 1, 3);
+    simq_leave(run, leaving);
     simq_run_for(run, 300 * MSEC);
-    ck_assert(simq_has_left(run, leaver));
+    ck_assert(simq_has_left(run, leaving));
     ck_assert_int_eq(simq_set(run, simq_leader(run))->num, 3);
     simq_shutdown(run);
 }
@@ -268,14 +271,14 @@
 /* An unresponsive voter is removed without a replacement, but only while enough voters remain. */
 START_TEST(a_set_never_gets_too_small) {
     for (int seed = 0; seed < SEEDS; seed++) {
-        simq_run* run = begin(&(strike){.voters = 6, .replaced = 0, .lost = 2}, seed);
-        int gone[2] = {follower(run, seed, 6), follower(run, seed + 1, 6)};
-        simq_crash(run, gone[0]);
+        simq_run* run = begin(&(fault_plan){.voters = 6, .replaced = 0, .lost = 2}, seed);
+        int failed[2] = {pick_follower(run, seed, 6), pick_follower(run, seed + 1, 6)};
+        simq_crash(run, failed[0]);
         simq_run_for(run, 3 * SECOND);
         ck_assert_int_eq(simq_set(run, simq_leader(run))->num, 5);
-        gone[1] = gone[1] == gone[0] ? follower(run, seed + 2, 6) : gone[1];
-        gone[1] = gone[1] == gone[0] ? follower(run, seed + 3, 6) : gone[1];
-        simq_crash(run, gone[1]);
+        failed[1] = failed[1] == failed[0] ? pick_follower(run, seed + 2, 6) : failed[1];
+        failed[1] = failed[1] == failed[0] ? pick_follower(run, seed + 3, 6) : failed[1];
+        simq_crash(run, failed[1]);
         simq_run_for(run, 5 * SECOND);
         ck_assert_int_ge(simq_leader(run), 0);
         ck_assert_int_eq(simq_set(run, simq_leader(run))->num, 5);
@@ -287,13 +290,13 @@
 /* A voter that stalls for less than the removal time stays in the set, beside the new replica. */
 START_TEST(a_short_silence_costs_no_place) {
     for (int seed = 0; seed < SEEDS; seed++) {
-        static const strike k = {.voters = 3, .replaced = 1, .lost = 1};
-        simq_run* run = begin(&k, seed);
-        int slow = follower(run, seed, 3);
-        simq_freeze(run, slow, SECOND);
+        static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
+        simq_run* run = begin(&plan, seed);
+        int stalled = pick_follower(run, seed, 3);
+        simq_freeze(run, stalled, SECOND);
         simq_run_for(run, 500 * MSEC);
         simq_restart(run, 3);
-        run_and_add(run, &k, 3 * SECOND);
+        run_and_add(run, &plan, 3 * SECOND);
         const wgr_set* set = simq_set(run, simq_leader(run));
         ck_assert_int_eq(set->num, 4);
         for (int i = 0; i < set->num; i++) {
