--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -128,13 +128,13 @@
 
 START_TEST(a_disk_may_be_lost_five_seconds_after_a_replacement) {
     int lost = count_majority_losses(5);
-    ck_assert_msg(lost == 0, "no majority for good in %d of %d runs", lost, runs());
+    ck_assert_msg(lost == 0, "majority lost for good with %d of %d seeds", lost, runs());
 }
 END_TEST
 
 START_TEST(a_disk_may_be_lost_ten_seconds_after_a_replacement) {
     int lost = count_majority_losses(10);
-    ck_assert_msg(lost == 0, "no majority for good in %d of %d runs", lost, runs());
+    ck_assert_msg(lost == 0, "majority lost for good with %d of %d seeds", lost, runs());
 }
 END_TEST
 
@@ -176,8 +176,9 @@
             g_string_append_printf(histogram, " %.1f s: %d", (double)i / 2, run_counts[i]);
         }
     }
-    printf("whole after%s\n", histogram->str);
-    ck_assert_msg(late == 0, "%d of %d runs later than the bound;%s", late, runs(), histogram->str);
+    printf("time to a complete set:%s\n", histogram->str);
+    ck_assert_msg(late == 0, "set complete too late with %d of %d seeds:%s", late, runs(),
+                  histogram->str);
     g_string_free(histogram, TRUE);
 }
 END_TEST
@@ -227,7 +228,7 @@
         late += !completes_in_time(&p, 0);
         simq_shutdown(p.run);
     }
-    ck_assert_msg(late == 0, "%d of %d runs later than the bound", late, runs());
+    ck_assert_msg(late == 0, "set complete too late with %d of %d seeds", late, runs());
 }
 END_TEST
 
@@ -251,7 +252,7 @@
         late += !completes_in_time(&p, PARTITION_MS);
         simq_shutdown(p.run);
     }
-    ck_assert_msg(late == 0, "%d of %d runs later than the bound", late, runs());
+    ck_assert_msg(late == 0, "set complete too late with %d of %d seeds", late, runs());
 }
 END_TEST
 
@@ -295,7 +296,7 @@
             votes =
                 votes || (set->replicas[i].name[1] == '0' + unresponsive && set->replicas[i].voter);
         }
-        ck_assert_msg(votes, "run %d: taken out", seed);
+        ck_assert_msg(votes, "seed %d: voter lost its vote", seed);
         simq_shutdown(run);
     }
 }
--- a/tests/test_quorum_stalls.c
+++ b/tests/test_quorum_stalls.c
@@ -28,7 +28,7 @@
 static void check_same_term(simq_run* run, int leader, uint64_t term, int seed) {
     simq_run_for(run, RECOVERY_MS * MSEC);
     ck_assert_msg(simq_leader(run) == leader && simq_stats(run, leader).term == term,
-                  "run %d: leader %d of term %d before, %d now", seed, leader, (int)term,
+                  "seed %d: leader was %d in term %d, is %d", seed, leader, (int)term,
                   simq_leader(run));
 }
 
@@ -130,7 +130,7 @@
             for (int j = 0; j < set->num; j++) {
                 kept = kept || set->replicas[j].name[1] == '0' + LEARNER;
             }
-            ck_assert_msg(kept, "run %d: taken out", seed);
+            ck_assert_msg(kept, "seed %d: learner removed from the set", seed);
         }
         simq_shutdown(run);
     }
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -132,7 +132,7 @@
         }
         simq_lose_disk(run, REPLACEMENT);
         simq_run_for(run, 3 * SECOND);
-        ck_assert_msg(simq_leader(run) >= 0, "run %d: no leader", seed);
+        ck_assert_msg(simq_leader(run) >= 0, "seed %d: no leader", seed);
         simq_shutdown(run);
     }
 }
@@ -169,7 +169,7 @@
         }
         crash_all_and_lose_disks(run, &plan, seed, failed);
         simq_run_for(run, 3 * SECOND);
-        ck_assert_msg(simq_leader(run) >= 0, "run %d: no leader", seed);
+        ck_assert_msg(simq_leader(run) >= 0, "seed %d: no leader", seed);
         simq_shutdown(run);
     }
 }
