--- a/tests/test_hosts.c
+++ b/tests/test_hosts.c
@@ -1,4 +1,4 @@
-/* test_hosts.c -- short seeded runs of the fault soak, and each seed that ever failed */
+/* test_hosts.c -- short seeded runs of the fault soak, and seeds that failed before */
 #include "soak_run.h"
 #include "wg_test.h"
 
@@ -18,7 +18,7 @@
 }
 END_TEST
 
-/* Streams that break off go on at targets that answer 500, refuse, or break off again. */
+/* Aborted streams resume at targets that may answer 500, refuse, or abort again. */
 START_TEST(promises_hold_while_targets_fail) {
     soak_result r = soak_run(&(soak_desc){.seed = 3, .seconds = 5, .calm = true, .spoiled = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
@@ -27,8 +27,7 @@
 }
 END_TEST
 
-/* Nothing but drains: that no request comes to a drained target too late is looked at all through.
- */
+/* Drains are the only fault; the soak checks that drained targets get no new requests. */
 START_TEST(drained_targets_get_nothing) {
     soak_result r = soak_run(&(soak_desc){.seed = 5, .seconds = 6, .drains = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
@@ -56,34 +55,31 @@
     return r;
 }
 
-/* Late processes, losses of power with lost disks, and replaced hosts, with the deployed waits. How
-   much of each strikes within the time depends on the machine too. */
+/* Stalled processes, power losses with lost disks, and replaced hosts, with the deployed time-outs.
+   How many faults of a kind occur depends on the speed of the machine too. */
 START_TEST(promises_hold_under_harsh_faults) {
     soak_result r = run_harsh(2222, 20, 5, 5);
     ck_assert_int_gt(r.replaced + r.disks_lost, 0);
 }
 END_TEST
 
-/* Seed 2215: a newcomer voted beside a replica that had just ended, and the next host that was
-   replaced took the majority along, for ever; see test_quorum_successor.c. */
+/* Seed 2215: a replacement voted beside a replica that had just failed, and the next replaced host
+   took the majority; see test_quorum_successor.c. */
 START_TEST(promises_hold_with_a_harsh_seed_that_failed) {
     run_harsh(2215, 20, 5, 3);
 }
 END_TEST
 
-/* Seed 2206, once in four plays: a cold target got six requests more in a second than two
-   coordinators may grant. Its coordinator's host had lost power 0.9 s before, the leader had stood
-   still for 0.26 s and begun anew, and links to other hosts came up one after the other meanwhile
-   (coordinators 1.4, 1.5, 1.2 and 1.6 within 0.2 s), so a third one granted beside the first two.
- */
+/* Seed 2206: while links came up one after the other, a third coordinator granted admissions beside
+   two others, so a cold target got more requests than two coordinators may grant. */
 START_TEST(a_cold_target_is_not_fed_by_three_coordinators) {
     run_harsh(2206, 20, 5, 3);
 }
 END_TEST
 
-/* Seed 52022: a coordinator that was new asked a cold target what it holds, beside the requests
-   that two coordinators granted. Seeds 72010 and 71016: a coordinator that had lost the leader, or
-   had just started, did not know that a target was cold. */
+/* Seed 52022: a new coordinator requested the cache list of a cold target beside the requests that
+   two coordinators granted. Seeds 72010 and 71016: a coordinator that had lost the leader, or had
+   just started, did not know that a target was cold. */
 START_TEST(promises_hold_with_seeds_that_failed) {
     run(52022, 12, 4, 3);
     run(72010, 12, 4, 3);
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -1,5 +1,6 @@
-/* test_leader_links.c -- how entry hosts find the leader, and what a new leader tells them, with an
-   entry host or a control that runs within the test */
+/* test_leader_links.c -- how entry hosts find the leader, and what a new leader sends them
+
+   An entry host or a control runs within the test process. */
 #include <glib/gstdio.h>
 #include <stdlib.h>
 #include <sys/socket.h>
@@ -17,10 +18,10 @@
 #include "wg_test.h"
 
 enum {
-    TURNS = 2000, /* of the loop, a millisecond each, before something counts as missing */
+    TURNS = 2000, /* loop turns of 1 ms to wait for an expected event */
     PLAYS_MOST = 20,
-    LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC, /* that a host waits where no leader is known */
-    SETTLE_TIME = 1500 * WG_USEC_PER_MSEC     /* of a new leader, for all to report to it */
+    LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC, /* stay with a control that knows no leader */
+    SETTLE_TIME = 1500 * WG_USEC_PER_MSEC     /* time that hosts get to report to a new leader */
 };
 
 static struct event_base* base;
@@ -33,8 +34,8 @@
     local_turn(base);
 }
 
-/* The host is with a follower that knows no leader, for the time given. How long it was really
-   there, since a process that gets no time to run stays longer. Microseconds. */
+/* Runs the loop for `ms` while the host is connected to a follower that knows no leader. Returns
+   the time since `since` in microseconds, which is longer if the process stalled. */
 static wg_time wait_at(const fake_control* follower, wg_time since, int ms) {
     wg_time now;
     do {
@@ -45,8 +46,8 @@
     return now - since;
 }
 
-/* One play of the test below. False when this process stood still for as long as the host waits, so
-   that it says nothing. */
+/* One attempt of the test below. False if this process stalled for as long as the host waits, so
+   that the attempt proves nothing. */
 static bool waits_for_word_of_a_leader(void) {
     fake_control follower;
     fake_control leader;
@@ -79,8 +80,8 @@
     return in_time;
 }
 
-/* A control that knows no leader yet hears of one sooner than the host finds one by asking others
-   in turn. */
+/* An entry host stays connected for LEADERLESS_TIME to a control that knows no leader, since the
+   control learns of a new leader sooner than the host finds it by connecting to others. */
 START_TEST(an_entry_host_waits_where_no_leader_is_known_yet) {
     int plays = 0;
     while (!waits_for_word_of_a_leader()) {
@@ -89,7 +90,7 @@
 }
 END_TEST
 
-/* An entry host at a seed names controls and will never lead: nothing is waited for there. */
+/* A seed address may belong to an entry host, which never leads: no wait there. */
 START_TEST(an_entry_host_does_not_wait_at_another_one) {
     fake_control other;
     begin();
@@ -110,7 +111,8 @@
 }
 END_TEST
 
-/* It may be cut off from the others: after a while another one is asked. */
+/* A control that learns of no leader may be partitioned: the host disconnects after
+   LEADERLESS_TIME. */
 START_TEST(a_control_that_hears_of_no_leader_is_left) {
     fake_control follower;
     begin();
@@ -130,11 +132,11 @@
 }
 END_TEST
 
-/* ---- what targets hold -------------------------------------------------------------------------
+/* ---- cache lists of targets -------------------------------------------------------------------
  */
 
 enum {
-    LISTS_FAILED_FIRST = 1 /* answers with an error before the list is told */
+    LISTS_FAILED_FIRST = 1 /* error answers before the list is returned */
 };
 
 static int lists_asked;
@@ -163,7 +165,7 @@
     fake_control_leads(f, &(fake_word){.version = 1, .document = one_engine, .target = target});
 }
 
-/* Who begins to coordinate a target asks it what it holds: once, and again when that fails. */
+/* A new coordinator of a target requests its cache list once, and again after a failed request. */
 START_TEST(a_coordinator_asks_its_targets_what_they_hold) {
     fake_control leader;
     begin();
@@ -200,7 +202,7 @@
 }
 END_TEST
 
-/* ---- orders that a leader does not take ---------------------------------------------------------
+/* ---- orders that a leader refuses -------------------------------------------------------------
  */
 
 static int order_status;
@@ -210,13 +212,11 @@
     order_status = request ? evhttp_request_get_response_code(request) : -1;
 }
 
-/* A leader that was late finds its lease over, refuses an order, and has its lease again a moment
-   later, before it told anybody that it led no more. The host still takes it for the leader, so no
-   other word would have the order sent again: it was held for its whole time and answered 503, as
-   operators' changes were while every process of the fleet stood still now and then. */
+/* A stalled leader may refuse an order and then renew its lease without announcing that it lost it.
+   The host must send the order again, or the operator's request fails with 503. */
 START_TEST(an_order_that_was_refused_is_sent_again) {
     enum {
-        ORDER_TURNS = 600 /* of a millisecond; the order's own time is 900 */
+        ORDER_TURNS = 600 /* loop turns of 1 ms, fewer than the 900 ms time-out of the order */
     };
     fake_control leader;
     begin();
@@ -271,8 +271,8 @@
 }
 END_TEST
 
-/* After a restart of the whole fleet hosts learn of each other as they come. One that knows a list
-   is told of a new leader's only once all could report: a short one would send callers away. */
+/* A host without a member list gets each list at once. A host that has a list gets the new leader's
+   only after SETTLE_TIME, since an incomplete list would redirect callers. */
 START_TEST(hosts_that_know_no_others_are_told_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
@@ -284,7 +284,7 @@
     ck_assert_msg(control != NULL, "%s", error ? error->message : "");
     local_entry first = {.base = base};
     local_entry second = {.base = base};
-    local_entry third = {.base = base, .members_change = 77}; /* it has a list of a former leader */
+    local_entry third = {.base = base, .members_change = 77}; /* has a list of a previous leader */
     local_entry_setup(&first, 1, listen);
     local_entry_setup(&second, 2, listen);
     local_entry_setup(&third, 3, listen);
@@ -321,7 +321,8 @@
 }
 END_TEST
 
-/* Somebody who takes connections and says nothing, as a host that is just starting. */
+/* Returns a listening socket that accepts connections and sends nothing, like a host that is just
+   starting. */
 static int mute_listener(const char* where) {
     struct sockaddr_storage at;
     int size;
@@ -343,7 +344,7 @@
     return num;
 }
 
-/* A replica that dialled another one too early dials again when that one has come up. */
+/* A control redials a replica that did not answer as soon as that replica connects to it. */
 START_TEST(who_reaches_a_control_is_dialled_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
@@ -356,7 +357,7 @@
     wgco_control* control = wgco_setup(&(wgco_desc){.base = base, .settings = &settings}, NULL);
     ck_assert_ptr_nonnull(control);
     ck_assert_int_eq(accepted_within(mute, 300), 1);
-    ck_assert_int_eq(accepted_within(mute, 300), 0); /* it waits for an answer */
+    ck_assert_int_eq(accepted_within(mute, 300), 0); /* the control waits for an answer */
     fake_control starting = {0};
     wgn_peer self = {.role = WGW_ROLE_CONTROL, .identity = 5};
     uint16_t port;
@@ -382,14 +383,14 @@
 }
 END_TEST
 
-/* ---- a leader that only sends what it is told to ------------------------------------------------
+/* ---- a scripted leader ------------------------------------------------------------------------
  */
 
 enum {
     LEADER_ID = 5
 };
 
-static uint64_t control_id; /* of the control that was reached */
+static uint64_t control_id; /* identity of the connected control; 0: none */
 
 static void on_control_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
@@ -420,7 +421,8 @@
     ck_assert(wgn_send(net, link, WGW_TYPE_QUORUM, &out.base));
 }
 
-/* A replica whose disk was lost hears of a leader before it knows where that is. */
+/* A replica that lost its disk learns of a leader before it knows its address: hosts get the leader
+   only once the address is known. */
 START_TEST(hosts_are_told_where_the_leader_is_once_that_is_known) {
     static const char leader[] = "10.9.8.7:17000";
     char folder[] = "/tmp/wg-links-XXXXXX";
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -1,5 +1,6 @@
-/* test_leader_states.c -- what a leader sends its entry hosts: what changed, once, together; with a
-   control that runs within the test and hosts that only listen */
+/* test_leader_states.c -- a leader sends entry hosts only changes, each once, and batches them
+
+   A control runs within the test process; the entry hosts are simulated. */
 #include <glib/gstdio.h>
 #include <stdlib.h>
 
@@ -12,8 +13,8 @@
 #include "wg_test.h"
 
 enum {
-    TURNS = 2000,  /* of the loop, a millisecond each, before something counts as missing */
-    ROUTES = 1400, /* of a configuration of some 200 KB */
+    TURNS = 2000,  /* loop turns of 1 ms to wait for an expected event */
+    ROUTES = 1400, /* routes of a configuration of some 200 KB */
     TARGETS = 40
 };
 
@@ -51,7 +52,7 @@
     g_rmdir(folder);
 }
 
-/* A host that has a leader. */
+/* Connects a host and waits until the control reports itself as leader. */
 static void host_begin(local_entry* host, int number) {
     *host = (local_entry){.base = base};
     local_entry_setup(host, number, listen_at);
@@ -99,7 +100,8 @@
     ck_assert_uint_eq(host->configuration_version, version);
 }
 
-/* 200 KB whole; a changed time-out takes a hundredth of it, for who has the version before. */
+/* A host that has a version that the leader remembers gets the difference to it, not the complete
+   configuration. */
 START_TEST(a_configuration_goes_out_as_what_changed) {
     begin();
     local_entry host;
@@ -112,7 +114,7 @@
     expect_version(&host, 2);
     ck_assert_uint_eq(host.configuration_base, 1);
     ck_assert_uint_lt(host.configuration_bytes, 1000);
-    /* Who comes with an older one that is remembered, and with none. */
+    /* New hosts: one with an older version that the leader remembers, one without any. */
     local_entry others[2];
     uint64_t held[] = {1, 0};
     uint64_t expected[] = {1, 0};
@@ -128,7 +130,7 @@
 }
 END_TEST
 
-/* A report that was on its way when something was sent does not have it sent again. */
+/* A report that crosses a configuration on the wire does not cause it to be sent again. */
 START_TEST(what_is_on_its_way_is_not_sent_again) {
     begin();
     local_entry host;
@@ -141,12 +143,12 @@
     order_configuration(&host, 2, 3);
     expect_version(&host, 2);
     turns(50);
-    host.configuration_version = 1; /* as if the report had left before */
+    host.configuration_version = 1; /* a report sent before version 2 arrived */
     host.state_seen = seen;
     local_entry_report(&host);
     turns(100);
     ck_assert_uint_eq(host.configuration_version, 1);
-    host.configuration_version = 1; /* now it has read everything and still lacks it */
+    host.configuration_version = 1; /* a report sent after all states were read lacks version 2 */
     local_entry_report(&host);
     expect_version(&host, 2);
     wgn_shutdown(host.net);
@@ -172,8 +174,7 @@
     ck_assert(wgn_send(host->net, host->link, WGW_TYPE_ORDER, &order.base));
 }
 
-/* Forty targets that register at one moment: a state each for all hosts would be 40 frames a host.
-   Before, each change was one. */
+/* Changes that arrive together are sent to each host in a few states, not in one state each. */
 START_TEST(changes_of_one_moment_go_out_together) {
     begin();
     local_entry host;
@@ -196,15 +197,8 @@
 }
 END_TEST
 
-/* What callers saw: a machine stood still for seconds, and after it hosts sent nothing to targets
-   that were there all the time, until each had been heard of again.
-
-   The order of events: the leader stood still for longer than a target may be silent. As it went on
-   its tick came before it had read anything, found that nobody had been heard of for so long, and
-   took one target after the other for silent, one a tick; its hosts were told.
-
-   The cause: silence was counted while nobody listened. The evidence: here 33 of 40 targets were
-   told again, as silent, within 300 ms of the leader's going on. */
+/* The leader's own stall does not count as time without contact: it must not report running targets
+   as unresponsive after it. */
 START_TEST(a_leader_that_stood_still_takes_no_target_for_silent) {
     begin();
     local_entry host;
@@ -219,7 +213,7 @@
     wg_now_skip((settings.target_silent_ms + 1000) * MSEC);
     turns(300);
     ck_assert_int_eq(host.targets, TARGETS);
-    /* A silence that it listens to counts. */
+    /* Time without contact counts while the leader runs. */
     for (int ms = 0; ms < settings.target_silent_ms; ms += 200) {
         wg_now_skip(200 * MSEC);
         turns(10);
@@ -255,8 +249,8 @@
     ck_assert_int_eq(host->evacuated, num);
 }
 
-/* Acknowledged, told to every host, acknowledged again when it comes twice, and kept by a control
-   whose process ends: from its log, and from a snapshot. */
+/* An evacuation is sent to all hosts, may be ordered twice, and survives restarts of the control,
+   from its log and from a snapshot. */
 START_TEST(an_evacuation_outlives_its_leader) {
     begin();
     settings.snapshot_entries = 8;
@@ -294,9 +288,10 @@
 }
 END_TEST
 
-/* ---- requests that end targets ---- */
+/* ---- requests that crash targets ---- */
 
-/* Report that a target ended while it had just begun the request, or that a copy ended well. */
+/* Reports that a target crashed soon after it began the request, or that a copy of the request
+   completed. */
 static void report_crash(local_entry* host, uint64_t fingerprint, uint32_t target,
                          bool ended_well) {
     Wgpb__EntryReport report = WGPB__ENTRY_REPORT__INIT;
@@ -341,7 +336,7 @@
     }
 }
 
-/* Two hosts saw one end each: neither knows enough, the leader does, and tells both. */
+/* Crashes reported by different hosts add up at the leader, which notifies all hosts. */
 START_TEST(evidence_of_two_hosts_is_put_together) {
     begin();
     local_entry host;
@@ -349,15 +344,15 @@
     host_begin(&host, 1);
     host_begin(&other, 2);
     report_crash(&host, 7, 1, false);
-    report_crash(&other, 7, 1, false); /* the same end, seen by both */
+    report_crash(&other, 7, 1, false); /* the crash that the first host reported */
     turns(200);
     ck_assert_int_eq(host.quarantined, 0);
     report_crash(&other, 7, 2, false);
     expect_quarantined(&host, 1);
     expect_quarantined(&other, 1);
-    report_crash(&host, 7, 0, true); /* a copy of it ended well after all */
+    report_crash(&host, 7, 0, true); /* a copy of the request completed */
     expect_quarantined(&other, 0);
-    report_crash(&host, 7, 3, false); /* for a while it is no suspect */
+    report_crash(&host, 7, 3, false); /* a request that completed is no suspect for some time */
     report_crash(&other, 7, 4, false);
     turns(200);
     ck_assert_int_eq(host.quarantined, 0);
@@ -405,7 +400,7 @@
     report_crash(&host, 7, 2, false);
     expect_quarantined(&host, 1);
     expect_quarantined(&host, 0);
-    report_crash(&host, 7, 3, false); /* it counts anew */
+    report_crash(&host, 7, 3, false); /* crashes are counted from zero again */
     turns(200);
     ck_assert_int_eq(host.quarantined, 0);
     report_crash(&host, 7, 4, false);
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -1,9 +1,7 @@
-/* test_lost_majority.c -- real processes: the majority of the replicas is lost for good, then every
-   host starts anew
+/* test_lost_majority.c -- real processes: a majority of the replicas is lost for good
 
-   What users saw, and the evidence: see test_entry_standby.c. Here the replica that is left holds
-   the configuration and the targets; each host has to serve callers by it, and says 503 to whoever
-   reads the configuration, since nobody can be sure of the newest. */
+   Guards against hosts that do not serve from the remaining replica, and against a forced recovery
+   that loses committed changes or lets the previous majority lead again. */
 #include <errno.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -14,11 +12,11 @@
 enum {
     HOSTS = 3,
     TARGETS = 1,
-    SERVE_MS = 12000,    /* from the start of the hosts; they wait 3 s for a leader here */
-    RECOVERY_MS = 12000, /* until the configuration is read back */
-    JOIN_MS = 4000,      /* for emptied replicas to get their votes */
+    SERVE_MS = 12000,    /* time for a restarted host to serve; includes standby_ms */
+    RECOVERY_MS = 12000, /* time until the configuration can be read */
+    JOIN_MS = 4000,      /* time for wiped replicas to get their votes */
     AGAIN_MS = 300,
-    LEASE_MS = 1000, /* the replica that is left may lead for 0.4 s more */
+    LEASE_MS = 1000, /* longer than the lease of the remaining replica */
     FORM_MS = 30000
 };
 
@@ -54,8 +52,8 @@
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
-    /* Two disks are lost at once: more than three replicas bear. One after the other, the first is
-       in the set again before the second one goes. */
+    /* Both replicas end before one is restarted: restarted in turn, the first would be in the set
+       again before the second one ends. */
     for (int i = 1; i < HOSTS; i++) {
         end(&h.hosts[i].replica);
         hosts_wipe(&h, &h.hosts[i]);
@@ -78,7 +76,7 @@
 }
 END_TEST
 
-/* ---- an operator forms the set anew -----------------------------------------------------------
+/* ---- forced recovery by an operator -----------------------------------------------------------
  */
 
 static char* names(const hosts* h, int first, int last) {
@@ -96,7 +94,7 @@
     return status;
 }
 
-/* The others end; `wiped`: without their disks. */
+/* Kills all replicas but the first; `wiped`: their disks are lost too. */
 static void lose_majority(hosts* h, bool wiped) {
     for (int i = 1; i < HOSTS; i++) {
         end(&h->hosts[i].replica);
@@ -107,7 +105,8 @@
     hosts_run_for(h, LEASE_MS);
 }
 
-/* All that was agreed on is there; the emptied ones join, so that the one that was left may go. */
+/* A forced recovery keeps all committed changes; the wiped replicas join, so that the remaining
+   replica may fail afterwards. */
 START_TEST(an_operator_forms_the_set_anew) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -127,7 +126,7 @@
 }
 END_TEST
 
-/* Those that were emptied are there already when the set is formed, and came in touch before. */
+/* Wiped replicas that connected before the forced recovery join the recovered set. */
 START_TEST(emptied_replicas_that_wait_join_the_new_set) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -147,7 +146,8 @@
 }
 END_TEST
 
-/* By the command of an operator, who names two controls that are up; the newest log goes on. */
+/* walnutgatectl is given two running controls and recovers the set from the one with the newest
+   log. */
 START_TEST(the_command_finds_the_newest_log) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -177,7 +177,7 @@
     int leads = form_anew(&h, 2, 3);
     lose_majority(&h, false);
     int one_named = form_anew(&h, 2, 2);
-    int itself_named = form_anew(&h, 1, 3); /* it is up */
+    int itself_named = form_anew(&h, 1, 3); /* names a replica that is running */
     hosts_start_replica(&h, &h.hosts[1]);
     bool back = hosts_put_until(&h, 2, RECOVERY_MS);
     int one_is_up = form_anew(&h, 2, 3);
@@ -190,8 +190,8 @@
 }
 END_TEST
 
-/* The operator was wrong: both that were named as gone come back with their disks. Nobody follows
-   them, and nothing that was agreed on since is undone. */
+/* Replicas that were named as gone come back with their disks: no host follows them, and no change
+   committed since the recovery is lost. */
 START_TEST(a_former_majority_that_comes_back_is_kept_out) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -213,8 +213,8 @@
 }
 END_TEST
 
-/* As above, and the replica that went on stands still meanwhile: the former ones have a majority
-   and elect a leader, which looks for hosts. */
+/* Replicas that were named as gone elect a leader among themselves while the recovered replica is
+   stalled: no host may follow that leader. */
 START_TEST(a_former_majority_finds_no_host_to_follow_it) {
     struct event_base* base = event_base_new();
     hosts h;
--- a/tests/test_replaced_hosts.c
+++ b/tests/test_replaced_hosts.c
@@ -1,10 +1,8 @@
 /* test_replaced_hosts.c -- real processes: a host with a disk is replaced, then another disk is
    lost
 
-   What users saw, and the evidence: see test_quorum_successor.c. Here the same order of events with
-   real processes and the waits of deploy/replica.ini, once with a host that ends without a word,
-   and once with one that is stopped in a planned way after its successor had come: then no time at
-   all may pass before another disk can be lost. */
+   Guards against losing the majority when the replaced host keeps its vote, after a crash and after
+   a planned stop. */
 #include <errno.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -14,12 +12,12 @@
 
 enum {
     FIRST = 3,           /* hosts at the start */
-    ALL = 4,             /* with the successor */
-    CATCH_UP_MS = 4000,  /* for a newcomer, from its start */
-    JOIN_MS = 2000,      /* for one beside others that are all up */
-    STOP_MS = 2000,      /* for a planned stop of a replica */
-    DOWN_MS = 1000,      /* without power */
-    RECOVERY_MS = 12000, /* until the configuration is read back */
+    ALL = 4,             /* hosts including the replacement */
+    CATCH_UP_MS = 4000,  /* time for a replacement to start and catch up */
+    JOIN_MS = 2000,      /* time for a replica to join a set whose voters are all up */
+    STOP_MS = 2000,      /* time for a planned stop of a replica */
+    DOWN_MS = 1000,      /* time between the power loss and the restart */
+    RECOVERY_MS = 12000, /* time until the configuration can be read */
     FORM_MS = 30000
 };
 
@@ -45,7 +43,7 @@
     ck_assert(hosts_put_until(h, 1, FORM_MS));
 }
 
-/* All that run lose power, one of them its disk; they come back at once. */
+/* Kills all running processes, wipes the disk of `lost` and restarts them after DOWN_MS. */
 static void strike(hosts* h, host* lost) {
     bool struck[ALL] = {false};
     for (int i = 0; i < ALL; i++) {
--- a/tests/test_soak_crashes.c
+++ b/tests/test_soak_crashes.c
@@ -1,5 +1,5 @@
-/* test_soak_crashes.c -- short seeded runs of the fault soak in which a request ends each target
-   that runs it, beside all other faults; test_crashing_request.c tells the story */
+/* test_soak_crashes.c -- short seeded runs of the fault soak with a request that crashes each
+   target that runs it, beside all other faults; see test_crashing_request.c */
 #include "soak_run.h"
 #include "wg_test.h"
 
--- a/tests/test_soak_rests.c
+++ b/tests/test_soak_rests.c
@@ -1,6 +1,6 @@
-/* test_soak_rests.c -- short seeded runs of the fault soak in which targets turn requests away and
-   ask for rest, or say that they leave, beside all other faults; test_resting_targets.c tells the
-   story */
+/* test_soak_rests.c -- short seeded runs of the fault soak with targets that refuse requests with a
+   backoff hint or report that they are draining, beside all other faults; see
+   test_resting_targets.c */
 #include "soak_run.h"
 #include "wg_test.h"
 
--- a/tests/test_successions.c
+++ b/tests/test_successions.c
@@ -1,9 +1,7 @@
-/* test_successions.c -- real processes: seeds of the fault soak in which a host was replaced,
-   leaders fell, and a disk was lost
+/* test_successions.c -- real processes: fault soak seeds with a replaced host, failing leaders and
+   a lost disk
 
-   What users saw, and the evidence: see test_quorum_leaders_change.c. Seeds 1026 and 1027 are runs
-   of nothing else; never served again on the code in which silence counted anew with each leader.
-   In seed 990124, a harsh run, it happened once in five plays beside seven other runs. */
+   Guards against losing the majority for good, see test_quorum_leaders_change.c. */
 #include "soak_run.h"
 #include "wg_test.h"
 
