--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -19,7 +19,7 @@
 
 enum {
     TURNS = 2000, /* loop turns of 1 ms to wait for an expected event */
-    PLAYS_MOST = 20,
+    ATTEMPTS_MAX = 20,
     LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC, /* stay with a control that knows no leader */
     SETTLE_TIME = 1500 * WG_USEC_PER_MSEC     /* time that hosts get to report to a new leader */
 };
@@ -36,7 +36,7 @@
 
 /* Runs the loop for `ms` while the host is connected to a follower that knows no leader. Returns
    the time since `since` in microseconds, which is longer if the process stalled. */
-static wg_time wait_at(const fake_control* follower, wg_time since, int ms) {
+static wg_time wait_connected(const fake_control* follower, wg_time since, int ms) {
     wg_time now;
     do {
         turn();
@@ -48,7 +48,7 @@
 
 /* One attempt of the test below. False if this process stalled for as long as the host waits, so
    that the attempt proves nothing. */
-static bool waits_for_word_of_a_leader(void) {
+static bool host_waits_for_leader(void) {
     fake_control follower;
     fake_control leader;
     begin();
@@ -62,7 +62,7 @@
     ck_assert_int_eq(follower.ups, 1);
     wg_time since = wg_now();
     fake_control_says(&follower, NULL);
-    bool in_time = wait_at(&follower, since, 100) < LEADERLESS_TIME;
+    bool in_time = wait_connected(&follower, since, 100) < LEADERLESS_TIME;
     if (in_time) {
         ck_assert_int_eq(follower.downs, 0);
         fake_control_says(&follower, leader.address);
@@ -83,9 +83,9 @@
 /* An entry host stays connected for LEADERLESS_TIME to a control that knows no leader, since the
    control learns of a new leader sooner than the host finds it by connecting to others. */
 START_TEST(an_entry_host_waits_where_no_leader_is_known_yet) {
-    int plays = 0;
-    while (!waits_for_word_of_a_leader()) {
-        ck_assert_int_lt(plays++, PLAYS_MOST);
+    int attempts = 0;
+    while (!host_waits_for_leader()) {
+        ck_assert_int_lt(attempts++, ATTEMPTS_MAX);
     }
 }
 END_TEST
@@ -139,15 +139,15 @@
     LISTS_FAILED_FIRST = 1 /* error answers before the list is returned */
 };
 
-static int lists_asked;
+static int lists_requested;
 
-static void on_list(struct evhttp_request* request, void* user_data) {
+static void on_list_request(struct evhttp_request* request, void* user_data) {
     (void)user_data;
-    lists_asked++;
+    lists_requested++;
     const char* expected =
         evhttp_find_header(evhttp_request_get_input_headers(request), "Walnutgate-Expect-Target");
     ck_assert_str_eq(expected ? expected : "", "t-1");
-    if (lists_asked <= LISTS_FAILED_FIRST) {
+    if (lists_requested <= LISTS_FAILED_FIRST) {
         evhttp_send_reply(request, 503, "busy", NULL);
         return;
     }
@@ -157,12 +157,13 @@
     evbuffer_free(out);
 }
 
-static const char one_engine[] =
+static const char engine_document[] =
     "{\"version\":1,\"services\":[{\"name\":\"e\",\"engine\":{\"slots\":4,"
     "\"memory_tokens\":1000}}],\"routes\":[],\"limits\":{},\"workspaces\":[]}";
 
-static void fake_leads(fake_control* f, const char* target) {
-    fake_control_leads(f, &(fake_word){.version = 1, .document = one_engine, .target = target});
+static void send_leader_state(fake_control* f, const char* target) {
+    fake_control_leads(f,
+                       &(fake_word){.version = 1, .document = engine_document, .target = target});
 }
 
 /* A new coordinator of a target requests its cache list once, and again after a failed request. */
@@ -176,24 +177,24 @@
     wgn_split_address(target, ip, &port);
     struct evhttp* http = evhttp_new(base);
     ck_assert_int_eq(evhttp_bind_socket(http, ip, port), 0);
-    evhttp_set_cb(http, "/v1/cache", on_list, NULL);
+    evhttp_set_cb(http, "/v1/cache", on_list_request, NULL);
     char* seeds[] = {leader.address, NULL};
-    lists_asked = 0;
+    lists_requested = 0;
     wg_entry* entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && lists_asked <= LISTS_FAILED_FIRST; i++) {
+    for (int i = 0; i < TURNS && lists_requested <= LISTS_FAILED_FIRST; i++) {
         turn();
         if (leader.ups > 0 && i % 100 == 0) {
-            fake_leads(&leader, target);
+            send_leader_state(&leader, target);
         }
     }
-    ck_assert_int_eq(lists_asked, LISTS_FAILED_FIRST + 1);
+    ck_assert_int_eq(lists_requested, LISTS_FAILED_FIRST + 1);
     for (int i = 0; i < 900; i++) {
         turn();
         if (i % 100 == 0) {
-            fake_leads(&leader, target);
+            send_leader_state(&leader, target);
         }
     }
-    ck_assert_int_eq(lists_asked, LISTS_FAILED_FIRST + 1);
+    ck_assert_int_eq(lists_requested, LISTS_FAILED_FIRST + 1);
     wg_entry_shutdown(entry);
     evhttp_free(http);
     fake_control_end(&leader);
@@ -288,7 +289,7 @@
     local_entry_setup(&first, 1, listen);
     local_entry_setup(&second, 2, listen);
     local_entry_setup(&third, 3, listen);
-    wg_time begun = wg_now();
+    wg_time started_at = wg_now();
     for (int i = 0; i < TURNS && (first.members < 3 || second.members < 3); i++) {
         turn();
         if (i % 100 == 99) {
@@ -299,7 +300,7 @@
     }
     ck_assert_int_eq(first.members, 3);
     ck_assert_int_eq(second.members, 3);
-    ck_assert_int_lt(wg_now() - begun, SETTLE_TIME);
+    ck_assert_int_lt(wg_now() - started_at, SETTLE_TIME);
     ck_assert_int_eq(third.members, -1);
     for (int i = 0; i < 2 * TURNS && third.members < 3; i++) {
         turn();
@@ -310,7 +311,7 @@
         }
     }
     ck_assert_int_eq(third.members, 3);
-    ck_assert_int_ge(wg_now() - begun, SETTLE_TIME);
+    ck_assert_int_ge(wg_now() - started_at, SETTLE_TIME);
     wgn_shutdown(first.net);
     wgn_shutdown(second.net);
     wgn_shutdown(third.net);
@@ -323,7 +324,7 @@
 
 /* Returns a listening socket that accepts connections and sends nothing, like a host that is just
    starting. */
-static int mute_listener(const char* where) {
+static int unresponsive_listener(const char* where) {
     struct sockaddr_storage at;
     int size;
     int on = 1;
@@ -353,11 +354,11 @@
     char* other = local_address(22, LOCAL_FLEET_PORT);
     settings.seeds[1] = other;
     begin();
-    int mute = mute_listener(other);
+    int unresponsive = unresponsive_listener(other);
     wgco_control* control = wgco_setup(&(wgco_desc){.base = base, .settings = &settings}, NULL);
     ck_assert_ptr_nonnull(control);
-    ck_assert_int_eq(accepted_within(mute, 300), 1);
-    ck_assert_int_eq(accepted_within(mute, 300), 0); /* the control waits for an answer */
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 1);
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 0); /* the control waits for an answer */
     fake_control starting = {0};
     wgn_peer self = {.role = WGW_ROLE_CONTROL, .identity = 5};
     uint16_t port;
@@ -372,10 +373,10 @@
                                          .user_data = &starting},
                              NULL);
     wgn_dial(starting.net, listen_at);
-    ck_assert_int_eq(accepted_within(mute, 300), 1);
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 1);
     wgn_shutdown(starting.net);
     wgco_shutdown(control);
-    close(mute);
+    close(unresponsive);
     event_base_free(base);
     folder_wipe(folder);
     g_rmdir(folder);
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -23,7 +23,7 @@
 static char folder[32];
 static const char* listen_at;
 
-static void turns(int num) {
+static void run_turns(int num) {
     for (int i = 0; i < num; i++) {
         local_turn(base);
     }
@@ -53,7 +53,7 @@
 }
 
 /* Connects a host and waits until the control reports itself as leader. */
-static void host_begin(local_entry* host, int number) {
+static void connect_host(local_entry* host, int number) {
     *host = (local_entry){.base = base};
     local_entry_setup(host, number, listen_at);
     for (int i = 0; i < TURNS && !host->leads; i++) {
@@ -80,8 +80,8 @@
 }
 
 static void order_configuration(local_entry* host, int version, int changed) {
-    GBytes* whole = document(version, changed);
-    GBytes* packed = wg_document_pack(whole, NULL);
+    GBytes* complete = document(version, changed);
+    GBytes* packed = wg_document_pack(complete, NULL);
     Wgpb__Configuration configuration;
     Wgpb__Order order = WGPB__ORDER__INIT;
     wg_document_fill_message(&configuration, (uint64_t)version, packed);
@@ -90,7 +90,7 @@
     host->outcome = -1;
     ck_assert(wgn_send(host->net, host->link, WGW_TYPE_ORDER, &order.base));
     g_bytes_unref(packed);
-    g_bytes_unref(whole);
+    g_bytes_unref(complete);
 }
 
 static void expect_version(local_entry* host, uint64_t version) {
@@ -105,7 +105,7 @@
 START_TEST(a_configuration_goes_out_as_what_changed) {
     begin();
     local_entry host;
-    host_begin(&host, 1);
+    connect_host(&host, 1);
     order_configuration(&host, 1, -1);
     expect_version(&host, 1);
     ck_assert_int_eq(host.outcome, WG_ORDER_DONE);
@@ -116,13 +116,13 @@
     ck_assert_uint_lt(host.configuration_bytes, 1000);
     /* New hosts: one with an older version that the leader remembers, one without any. */
     local_entry others[2];
-    uint64_t held[] = {1, 0};
-    uint64_t expected[] = {1, 0};
+    uint64_t held_versions[] = {1, 0};
+    uint64_t expected_bases[] = {1, 0};
     for (int i = 0; i < 2; i++) {
-        others[i] = (local_entry){.base = base, .configuration_version = held[i]};
+        others[i] = (local_entry){.base = base, .configuration_version = held_versions[i]};
         local_entry_setup(&others[i], 2 + i, listen_at);
         expect_version(&others[i], 2);
-        ck_assert_uint_eq(others[i].configuration_base, expected[i]);
+        ck_assert_uint_eq(others[i].configuration_base, expected_bases[i]);
         wgn_shutdown(others[i].net);
     }
     wgn_shutdown(host.net);
@@ -134,19 +134,19 @@
 START_TEST(what_is_on_its_way_is_not_sent_again) {
     begin();
     local_entry host;
-    host_begin(&host, 1);
-    turns(50);
+    connect_host(&host, 1);
+    run_turns(50);
     order_configuration(&host, 1, -1);
     expect_version(&host, 1);
-    turns(50);
+    run_turns(50);
     uint64_t seen = host.state_seen;
     order_configuration(&host, 2, 3);
     expect_version(&host, 2);
-    turns(50);
+    run_turns(50);
     host.configuration_version = 1; /* a report sent before version 2 arrived */
     host.state_seen = seen;
     local_entry_report(&host);
-    turns(100);
+    run_turns(100);
     ck_assert_uint_eq(host.configuration_version, 1);
     host.configuration_version = 1; /* a report sent after all states were read lacks version 2 */
     local_entry_report(&host);
@@ -179,9 +179,9 @@
     begin();
     local_entry host;
     local_entry other;
-    host_begin(&host, 1);
-    host_begin(&other, 2);
-    turns(100);
+    connect_host(&host, 1);
+    connect_host(&other, 2);
+    run_turns(100);
     int before = other.states_received;
     for (int i = 1; i <= TARGETS; i++) {
         order_target(&host, i, 1);
@@ -202,7 +202,7 @@
 START_TEST(a_leader_that_stood_still_takes_no_target_for_silent) {
     begin();
     local_entry host;
-    host_begin(&host, 1);
+    connect_host(&host, 1);
     for (int i = 1; i <= TARGETS; i++) {
         order_target(&host, i, 1);
     }
@@ -211,12 +211,12 @@
     }
     ck_assert_int_eq(host.targets, TARGETS);
     wg_now_skip((settings.target_silent_ms + 1000) * MSEC);
-    turns(300);
+    run_turns(300);
     ck_assert_int_eq(host.targets, TARGETS);
     /* Time without contact counts while the leader runs. */
     for (int ms = 0; ms < settings.target_silent_ms; ms += 200) {
         wg_now_skip(200 * MSEC);
-        turns(10);
+        run_turns(10);
     }
     for (int i = 0; i < TURNS && host.targets < 2 * TARGETS; i++) {
         local_turn(base);
@@ -256,8 +256,8 @@
     settings.snapshot_entries = 8;
     local_entry host;
     local_entry other;
-    host_begin(&host, 1);
-    host_begin(&other, 2);
+    connect_host(&host, 1);
+    connect_host(&other, 2);
     order_target(&host, 1, 1);
     order_evacuation(&host, "dc", true);
     ck_assert_int_eq(host.outcome, WG_ORDER_DONE);
@@ -270,12 +270,12 @@
         wgn_shutdown(host.net);
         wgco_shutdown(control);
         start_control();
-        host_begin(&host, 1);
+        connect_host(&host, 1);
         expect_evacuated(&host, 1);
         for (int i = 0; i < 10; i++) {
             order_target(&host, 2 + i, (uint64_t)restart + 1);
         }
-        turns(100);
+        run_turns(100);
     }
     host.cold_reported = false;
     order_evacuation(&host, "dc", false);
@@ -341,11 +341,11 @@
     begin();
     local_entry host;
     local_entry other;
-    host_begin(&host, 1);
-    host_begin(&other, 2);
+    connect_host(&host, 1);
+    connect_host(&other, 2);
     report_crash(&host, 7, 1, false);
     report_crash(&other, 7, 1, false); /* the crash that the first host reported */
-    turns(200);
+    run_turns(200);
     ck_assert_int_eq(host.quarantined, 0);
     report_crash(&other, 7, 2, false);
     expect_quarantined(&host, 1);
@@ -354,7 +354,7 @@
     expect_quarantined(&other, 0);
     report_crash(&host, 7, 3, false); /* a request that completed is no suspect for some time */
     report_crash(&other, 7, 4, false);
-    turns(200);
+    run_turns(200);
     ck_assert_int_eq(host.quarantined, 0);
     wgn_shutdown(host.net);
     wgn_shutdown(other.net);
@@ -366,7 +366,7 @@
     begin();
     settings.snapshot_entries = 8;
     local_entry host;
-    host_begin(&host, 1);
+    connect_host(&host, 1);
     report_crash(&host, 7, 1, false);
     report_crash(&host, 7, 2, false);
     expect_quarantined(&host, 1);
@@ -374,12 +374,12 @@
         wgn_shutdown(host.net);
         wgco_shutdown(control);
         start_control();
-        host_begin(&host, 1);
+        connect_host(&host, 1);
         expect_quarantined(&host, 1);
         for (int i = 0; i < 10; i++) {
             order_target(&host, 2 + i, (uint64_t)restart + 1);
         }
-        turns(100);
+        run_turns(100);
     }
     order_quarantine_end(&host, 7, true);
     ck_assert_int_eq(host.outcome, WG_ORDER_INVALID);
@@ -395,13 +395,13 @@
     begin();
     settings.quarantine_s = 1;
     local_entry host;
-    host_begin(&host, 1);
+    connect_host(&host, 1);
     report_crash(&host, 7, 1, false);
     report_crash(&host, 7, 2, false);
     expect_quarantined(&host, 1);
     expect_quarantined(&host, 0);
     report_crash(&host, 7, 3, false); /* crashes are counted from zero again */
-    turns(200);
+    run_turns(200);
     ck_assert_int_eq(host.quarantined, 0);
     report_crash(&host, 7, 4, false);
     expect_quarantined(&host, 1);
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -15,12 +15,12 @@
     SERVE_MS = 12000,    /* time for a restarted host to serve; includes standby_ms */
     RECOVERY_MS = 12000, /* time until the configuration can be read */
     JOIN_MS = 4000,      /* time for wiped replicas to get their votes */
-    AGAIN_MS = 300,
+    POLL_MS = 300,
     LEASE_MS = 1000, /* longer than the lease of the remaining replica */
-    FORM_MS = 30000
+    STARTUP_MS = 30000
 };
 
-static void end(pid_t* pid) {
+static void kill_and_wait(pid_t* pid) {
     kill(*pid, SIGKILL);
     while (waitpid(*pid, NULL, 0) < 0 && errno == EINTR) {
     }
@@ -36,10 +36,10 @@
         hosts_start_entry(h, &h->hosts[i]);
     }
     h->started_before = true;
-    ck_assert(hosts_put_until(h, 1, FORM_MS));
+    ck_assert(hosts_put_until(h, 1, STARTUP_MS));
     hosts_start_target(h, &h->targets[0]);
     for (int i = 0; i < HOSTS; i++) {
-        ck_assert(hosts_serves_until(h, &h->hosts[i], FORM_MS));
+        ck_assert(hosts_serves_until(h, &h->hosts[i], STARTUP_MS));
     }
 }
 
@@ -55,7 +55,7 @@
     /* Both replicas end before one is restarted: restarted in turn, the first would be in the set
        again before the second one ends. */
     for (int i = 1; i < HOSTS; i++) {
-        end(&h.hosts[i].replica);
+        kill_and_wait(&h.hosts[i].replica);
         hosts_wipe(&h, &h.hosts[i]);
     }
     for (int i = 1; i < HOSTS; i++) {
@@ -63,7 +63,7 @@
     }
     hosts_run_for(&h, LEASE_MS);
     for (int i = 0; i < HOSTS; i++) {
-        end(&h.hosts[i].entry);
+        kill_and_wait(&h.hosts[i].entry);
         hosts_start_entry(&h, &h.hosts[i]);
     }
     bool good = true;
@@ -79,7 +79,7 @@
 /* ---- forced recovery by an operator -----------------------------------------------------------
  */
 
-static char* names(const hosts* h, int first, int last) {
+static char* replica_names(const hosts* h, int first, int last) {
     GString* list = g_string_new(NULL);
     for (int i = first; i <= last; i++) {
         g_string_append_printf(list, "%s127.%d.1.%d", i > first ? "," : "", h->part, i);
@@ -87,17 +87,17 @@
     return g_string_free(list, FALSE);
 }
 
-static int form_anew(hosts* h, int first, int last) {
-    char* gone = names(h, first, last);
-    int status = hosts_form_anew(h, &h->hosts[0], gone);
-    g_free(gone);
+static int recover_set(hosts* h, int first, int last) {
+    char* removed = replica_names(h, first, last);
+    int status = hosts_form_anew(h, &h->hosts[0], removed);
+    g_free(removed);
     return status;
 }
 
 /* Kills all replicas but the first; `wiped`: their disks are lost too. */
 static void lose_majority(hosts* h, bool wiped) {
     for (int i = 1; i < HOSTS; i++) {
-        end(&h->hosts[i].replica);
+        kill_and_wait(&h->hosts[i].replica);
         if (wiped) {
             hosts_wipe(h, &h->hosts[i]);
         }
@@ -112,14 +112,14 @@
     hosts h;
     begin(&h, base);
     lose_majority(&h, true);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_get_until(&h, 1, RECOVERY_MS) && hosts_put_until(&h, 2, RECOVERY_MS);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
     hosts_run_for(&h, JOIN_MS);
     good = good && hosts_put_until(&h, 3, RECOVERY_MS);
-    end(&h.hosts[0].replica);
+    kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 4, RECOVERY_MS);
     finish(&h, base, good);
     ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
@@ -136,10 +136,10 @@
         hosts_start_replica(&h, &h.hosts[i]);
     }
     hosts_run_for(&h, LEASE_MS);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     hosts_run_for(&h, JOIN_MS);
-    end(&h.hosts[0].replica);
+    kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
     ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
@@ -155,16 +155,16 @@
     lose_majority(&h, true);
     hosts_start_replica(&h, &h.hosts[1]);
     hosts_run_for(&h, LEASE_MS);
-    char* gone = names(&h, 2, 3);
+    char* removed = replica_names(&h, 2, 3);
     char controls[2 * WG_ADDRESS_MAX];
     g_snprintf(controls, sizeof controls, "--controls=127.%d.9.2:7300,127.%d.9.1:7300", h.part,
                h.part);
-    char* arguments[] = {
-        controls, (char*)"--key-file=operator.key", (char*)"replica", (char*)"form-anew", gone,
-        NULL};
+    char* arguments[] = {controls,         (char*)"--key-file=operator.key",
+                         (char*)"replica", (char*)"form-anew",
+                         removed,          NULL};
     int status = hosts_run_program(&h, "walnutgatectl", "ctl.log", arguments);
     bool good = status == 0 && hosts_put_until(&h, 2, RECOVERY_MS);
-    g_free(gone);
+    g_free(removed);
     finish(&h, base, good);
     ck_assert_msg(good, "exit status %d; logs in %s", status, h.folder);
 }
@@ -174,18 +174,18 @@
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
-    int leads = form_anew(&h, 2, 3);
+    int status_with_leader = recover_set(&h, 2, 3);
     lose_majority(&h, false);
-    int one_named = form_anew(&h, 2, 2);
-    int itself_named = form_anew(&h, 1, 3); /* names a replica that is running */
+    int status_one_named = recover_set(&h, 2, 2);
+    int status_running_named = recover_set(&h, 1, 3); /* names a replica that is running */
     hosts_start_replica(&h, &h.hosts[1]);
     bool back = hosts_put_until(&h, 2, RECOVERY_MS);
-    int one_is_up = form_anew(&h, 2, 3);
+    int status_one_up = recover_set(&h, 2, 3);
     finish(&h, base, back);
-    ck_assert_int_eq(leads, 409);
-    ck_assert_int_eq(one_named, 409);
-    ck_assert_int_eq(itself_named, 409);
-    ck_assert_int_eq(one_is_up, 409);
+    ck_assert_int_eq(status_with_leader, 409);
+    ck_assert_int_eq(status_one_named, 409);
+    ck_assert_int_eq(status_running_named, 409);
+    ck_assert_int_eq(status_one_up, 409);
     ck_assert_msg(back, "the majority did not come back; logs in %s", h.folder);
 }
 END_TEST
@@ -197,14 +197,14 @@
     hosts h;
     begin(&h, base);
     lose_majority(&h, false);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
-    for (int ms = 0; ms < RECOVERY_MS && good; ms += AGAIN_MS) {
-        hosts_run_for(&h, AGAIN_MS);
-        int version = hosts_get_version(&h, &h.hosts[(ms / AGAIN_MS) % HOSTS]);
+    for (int ms = 0; ms < RECOVERY_MS && good; ms += POLL_MS) {
+        hosts_run_for(&h, POLL_MS);
+        int version = hosts_get_version(&h, &h.hosts[(ms / POLL_MS) % HOSTS]);
         good = version == 0 || version >= 2;
     }
     good = good && hosts_put_until(&h, 3, RECOVERY_MS) && hosts_get_until(&h, 3, RECOVERY_MS);
@@ -220,15 +220,15 @@
     hosts h;
     begin(&h, base);
     lose_majority(&h, false);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     kill(h.hosts[0].replica, SIGSTOP);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
-    for (int ms = 0; ms < JOIN_MS; ms += AGAIN_MS) {
-        hosts_run_for(&h, AGAIN_MS);
-        good = good && hosts_get_version(&h, &h.hosts[(ms / AGAIN_MS) % HOSTS]) != 1;
+    for (int ms = 0; ms < JOIN_MS; ms += POLL_MS) {
+        hosts_run_for(&h, POLL_MS);
+        good = good && hosts_get_version(&h, &h.hosts[(ms / POLL_MS) % HOSTS]) != 1;
     }
     kill(h.hosts[0].replica, SIGCONT);
     good = good && hosts_get_until(&h, 2, RECOVERY_MS) && hosts_put_until(&h, 3, RECOVERY_MS);
--- a/tests/test_successions.c
+++ b/tests/test_successions.c
@@ -5,7 +5,7 @@
 #include "soak_run.h"
 #include "wg_test.h"
 
-static void run_successions(uint64_t seed) {
+static void run_host_replacements(uint64_t seed) {
     soak_result r = soak_run(
         &(soak_desc){.seed = seed, .hosts = 4, .disks = 3, .harsh = true, .successions = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
@@ -14,12 +14,12 @@
 }
 
 START_TEST(a_disk_is_lost_after_leaders_fell) {
-    run_successions(1026);
+    run_host_replacements(1026);
 }
 END_TEST
 
 START_TEST(a_disk_is_lost_after_leaders_fell_again) {
-    run_successions(1027);
+    run_host_replacements(1027);
 }
 END_TEST
 
