--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -122,7 +122,7 @@
     kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 4, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
+    ck_assert_msg(good, "the set was not recovered; logs in %s", h.folder);
 }
 END_TEST
 
@@ -142,7 +142,7 @@
     kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
+    ck_assert_msg(good, "the set was not recovered; logs in %s", h.folder);
 }
 END_TEST
 
@@ -209,7 +209,7 @@
     }
     good = good && hosts_put_until(&h, 3, RECOVERY_MS) && hosts_get_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "a former replica was followed; logs in %s", h.folder);
+    ck_assert_msg(good, "a host followed a previous replica; logs in %s", h.folder);
 }
 END_TEST
 
@@ -233,7 +233,7 @@
     kill(h.hosts[0].replica, SIGCONT);
     good = good && hosts_get_until(&h, 2, RECOVERY_MS) && hosts_put_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "a former replica was followed; logs in %s", h.folder);
+    ck_assert_msg(good, "a host followed a previous replica; logs in %s", h.folder);
 }
 END_TEST
 
--- a/tests/test_replaced_hosts.c
+++ b/tests/test_replaced_hosts.c
@@ -67,7 +67,7 @@
     bool back = hosts_get_until(h, version, RECOVERY_MS);
     hosts_end(h, !back);
     event_base_free(base);
-    ck_assert_msg(back, "version %d is not read back after a lost disk; logs in %s", version,
+    ck_assert_msg(back, "version %d cannot be read after a lost disk; logs in %s", version,
                   h->folder);
 }
 
