--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,4 +1,4 @@
-/* test_config.c -- whole configurations: what is valid, what is refused, which route is found */
+/* test_config.c -- configuration documents: validation, errors and route lookup */
 #include <stdio.h>
 
 #include "wg_config.h"
@@ -60,7 +60,7 @@
     ck_assert_int_eq(r->pause, 250 * MSEC);
     ck_assert_ptr_null(wg_config_route(c, text_of("a.example"), text_of("/x")));
     ck_assert_ptr_null(wg_config_route(c, text_of("b.example"), text_of("/x/")));
-    /* A prefix that only the query holds is no prefix of the path. */
+    /* A path prefix does not match within the query. */
     ck_assert_ptr_null(wg_config_route(c, text_of("a.example"), text_of("/?/x/")));
     ck_assert_str_eq(wg_config_workspace(c, text_of("k2"))->name, "w");
     ck_assert_ptr_null(wg_config_workspace(c, text_of("k")));
@@ -133,7 +133,7 @@
 }
 END_TEST
 
-/* Cut at any place, a document is never half in force. */
+/* A document truncated at any byte is refused, never applied in part. */
 START_TEST(a_cut_document_is_refused) {
     for (size_t size = 0; size < strlen(whole); size++) {
         GError* error = NULL;
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -1,5 +1,5 @@
-/* test_control_disk.c -- a replica whose disk takes no writes stands aside and comes back, with a
-   control that runs within the test */
+/* test_control_disk.c -- a control whose disk fails writes gives up leadership and recovers when
+   the disk works again; the control runs within the test process */
 #include <errno.h>
 #include <glib/gstdio.h>
 #include <stdlib.h>
@@ -10,7 +10,7 @@
 #include "wg_store_file.h"
 
 enum {
-    TURNS = 4000, /* of the loop, a millisecond each, before something counts as missing */
+    TURNS = 4000, /* loop turns of 1 ms to wait for an expected event */
     ORDER_EVERY = 50
 };
 
@@ -21,8 +21,8 @@
 static wgco_control* control;
 static local_entry entry;
 
-static int failure; /* errno of all writes; 0: they work */
-static int passes;  /* so many of them work before */
+static int failure; /* errno of failing disk operations; 0: none fails */
+static int passes;  /* disk operations that succeed before the first failure */
 
 static int refuse(_wgs_change change, void* user_data) {
     (void)change;
@@ -54,7 +54,8 @@
     g_rmdir(folder);
 }
 
-/* Turn the loop, connected, until the control leads; false when it does not. */
+/* Runs the loop, connecting as needed, until the control leads; false if it does not within TURNS.
+ */
 static bool lead(void) {
     for (int i = 0; i < TURNS && !entry.leads; i++) {
         if (!entry.link.id && i % ORDER_EVERY == 0) {
@@ -105,8 +106,8 @@
     return entry.read_version;
 }
 
-/* Whatever write fails, and however: nothing is acknowledged that is not on the disk, the process
-   goes on, and what was acknowledged is there when the disk takes writes again. */
+/* Whichever write fails, only changes that are on the disk are acknowledged, the process keeps
+   running, and all acknowledged changes are there when the disk works again. */
 START_TEST(it_stands_aside_while_the_disk_takes_no_writes) {
     static const int failures[] = {ENOSPC, EIO, EROFS};
     for (size_t kind = 0; kind < G_N_ELEMENTS(failures); kind++) {
@@ -115,12 +116,13 @@
             put(10);
             fail_with(failures[kind], after);
             order(20, false);
-            bool done = outcome_within(200) == WG_ORDER_DONE; /* it may just have come through */
+            bool done =
+                outcome_within(200) == WG_ORDER_DONE; /* possible if the first writes succeed */
             order(21, false);
             ck_assert_int_ne(outcome_within(200), WG_ORDER_DONE);
             ck_assert(!wgco_failed(control));
             for (int i = 0; i < 300; i++) {
-                local_turn(base); /* some tries to start again fail */
+                local_turn(base); /* several attempts to reopen the folder fail */
             }
             ck_assert(!wgco_failed(control));
             ck_assert(!entry.leads);
@@ -136,6 +138,7 @@
 }
 END_TEST
 
+/* A control that starts on a failing disk leads once the disk works. */
 START_TEST(it_starts_once_the_disk_takes_writes) {
     fail_with(ENOSPC, 0);
     begin();
@@ -156,7 +159,7 @@
 }
 END_TEST
 
-/* A planned stop does not wait for the disk. */
+/* A planned stop does not wait for a failing disk. */
 START_TEST(it_can_be_stopped_meanwhile) {
     fail_with(EROFS, 0);
     begin();
@@ -170,7 +173,7 @@
 }
 END_TEST
 
-/* Damage is not waited for. */
+/* A damaged data file ends the process instead of being retried. */
 START_TEST(a_damaged_folder_ends_the_process) {
     begin_led();
     put(10);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -1,15 +1,15 @@
-/* test_document.c -- documents packed whole and as differences */
+/* test_document.c -- documents packed complete and as differences to a base */
 #include <string.h>
 
 #include "wg_document.h"
 #include "wg_test.h"
 
 enum {
-    ROUTES = 1400, /* of a configuration of some 300 KB */
+    ROUTES = 1400, /* routes of a configuration of some 300 KB */
     ROUTES_MANY = 18000
 };
 
-/* A configuration whose route `changed` has another time-out; -1: none has. */
+/* A configuration whose route `changed` has a different time-out; -1: no route. */
 static GBytes* document(int routes, int changed) {
     GString* out = g_string_new("{\"version\":7,\"routes\":[");
     for (int i = 0; i < routes; i++) {
@@ -87,10 +87,10 @@
     expect_refused(data, 0, before);
     uint8_t* copy = g_memdup2(data, size);
     for (gsize i = 0; i < size; i++) {
-        expect_refused(data, i, before); /* cut */
+        expect_refused(data, i, before); /* truncated */
         copy[i] ^= 0x10;
         GBytes* back = wg_document_unpack(copy, size, before, NULL);
-        ck_assert(!back || g_bytes_equal(back, after)); /* a few bits of the head mean nothing */
+        ck_assert(!back || g_bytes_equal(back, after)); /* some header bits are unused */
         g_clear_pointer(&back, g_bytes_unref);
         copy[i] ^= 0x10;
     }
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -1,4 +1,4 @@
-/* test_parts.c -- base, wire, settings, claims, members, places */
+/* test_parts.c -- unit tests of base, wire, settings, claims, members and places */
 #include <glib/gstdio.h>
 
 #include "wg_claim.h"
@@ -158,16 +158,16 @@
     ck_assert_int_eq(claim(c, 1, 10, 1000), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 1, 10, 1000), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_RUNNING);
-    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* of somebody else: ignored */
+    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* ignored: attempt 11 does not hold the claim */
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_RUNNING);
     claim_end(c, 1, 10, WG_VERDICT_NOT_RUN);
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_GRANTED);
     claim_end(c, 1, 11, WG_VERDICT_RAN);
-    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* too late */
+    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* ignored: the claim has ended */
     ck_assert_int_eq(claim(c, 1, 12, 1000), WGK_OUTCOME_ENDED);
     ck_assert_int_eq(claim(c, 2, 20, 1050), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 3, 30, 1050), WGK_OUTCOME_FULL);
-    /* A leader whose clock is behind does not make claims younger. */
+    /* A leader with a slow clock does not extend the retention of claims. */
     ck_assert_int_eq(claim(c, 3, 30, 900), WGK_OUTCOME_FULL);
     ck_assert_int_eq(claim(c, 3, 30, 1101), WGK_OUTCOME_GRANTED);
     Wgpb__ClaimState* state = wgk_dump(c);
@@ -196,7 +196,7 @@
     a.state = WGM_STATE_LEAVING;
     ck_assert_int_eq(wgm_record_heartbeat(m, SECOND, &a), WGM_EVENT_LEAVING);
     a.state = WGM_STATE_UP;
-    wgm_record_heartbeat(m, SECOND, &a); /* a late report of before */
+    wgm_record_heartbeat(m, SECOND, &a); /* a delayed heartbeat from before the drain */
     ck_assert_int_eq(wgm_find(m, "a")->state, WGM_STATE_LEAVING);
     wgm_member again = member("a", 2, WGM_STATE_UP, "x");
     ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &again), WGM_EVENT_RESTARTED);
@@ -249,7 +249,7 @@
             moved += kept ? 0 : 1;
         }
     }
-    /* Only workspaces that used the leaving host move: 3 of 12 hosts each, so a quarter of them. */
+    /* Only workspaces that use the leaving host move: a quarter, with 3 of 12 hosts each. */
     ck_assert_int_ge(moved, 30);
     ck_assert_int_le(moved, 70);
     wgm_shutdown(all);
@@ -285,7 +285,7 @@
     ck_assert(reserve.reserve);
     wgp_sent(p, &reserve);
     ck_assert(!wgp_pick(p, 0, &(wgp_request){.service = 7, .urgent = true}, &choice));
-    /* A quota below what runs takes back each slot as it falls idle, and only then. */
+    /* A quota below the number of running requests releases each slot when it becomes idle. */
     wgp_set_quota(p, 7, 3);
     ck_assert(!wgp_take_report_due(p));
     wgp_done(p, 0, &(wgp_choice){.target = 1}, WGP_RESULT_SUCCESS);
@@ -308,9 +308,9 @@
     ck_assert(wgp_is_usable(p, 0, 1));
     ck_assert_int_eq(wgp_record_draining(p, 2), WGP_EVENT_DRAINING);
     wgp_update_host(p, "127.0.0.1:1001", false, 50);
-    ck_assert(!wgp_is_usable(p, 0, 2)); /* it said so itself */
+    ck_assert(!wgp_is_usable(p, 0, 2)); /* the target itself reported that it is draining */
     wgp_choice choice;
-    wgp_add_slots(p, 1, 1); /* what it held was given back when it was seen leaving */
+    wgp_add_slots(p, 1, 1); /* its slots were released when it was marked as draining */
     ck_assert(wgp_pick(p, 0, &(wgp_request){.service = 7, .not_target = 1}, &choice));
     ck_assert_uint_eq(choice.target, 1);
     wgp_target_info info;
@@ -334,7 +334,7 @@
     wgp_sent(p, &one);
     ck_assert(!wgp_is_usable(p, SECOND, 1)); /* one probe at a time */
     ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_EJECTED);
-    ck_assert(!wgp_is_usable(p, SECOND + 400 * MSEC, 1)); /* longer than before */
+    ck_assert(!wgp_is_usable(p, SECOND + 400 * MSEC, 1)); /* a longer ejection than the first */
     wgp_sent(p, &one);
     ck_assert_int_eq(wgp_done(p, 4 * SECOND, &one, WGP_RESULT_SUCCESS), WGP_EVENT_RESTORED);
     wgp_shutdown(p);
@@ -361,7 +361,7 @@
     wgp_record_prefix(p, 99, 1);
     ck_assert(wgp_pick(p, 3 * SECOND, &(wgp_request){.service = 7, .prefix = 99}, &choice));
     ck_assert_uint_eq(choice.target, 2);
-    /* Both rest; the first of them is back first. */
+    /* Both targets are in backoff; target 1 returns first. */
     wish.period = 9 * SECOND;
     wgp_record_answer(p, SECOND, 2, &wish, 0);
     ck_assert(!wgp_has_room(p, 3 * SECOND, 7, true));
@@ -387,7 +387,8 @@
         ck_assert_uint_eq(choice.target, 2);
         wgp_sent(p, &choice);
     }
-    /* Its load counts: beyond a quarter of its slots more than the least loaded it loses. */
+    /* The preferred target is passed over when its load exceeds the least by over a quarter of its
+       slots. */
     wgp_update_load(p, 2, 8);
     ck_assert(wgp_pick(p, 0, &request, &choice));
     ck_assert_uint_ne(choice.target, 2);
@@ -399,7 +400,7 @@
 }
 END_TEST
 
-/* The error of a refused desc has to hold "library_desc.field". */
+/* Checks that a desc was refused with an error that names "library_desc.field". */
 static void ck_refused(const void* made, GError* error, const char* field) {
     ck_assert_ptr_null(made);
     ck_assert_ptr_nonnull(strstr(error->message, field));
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -1,4 +1,4 @@
-/* test_roster.c -- the list of entry hosts, and copies that are told what changed */
+/* test_roster.c -- the roster of entry hosts, and copies that follow it by its changes */
 #include "wg_roster.h"
 #include "wg_test.h"
 
@@ -16,7 +16,8 @@
     return h;
 }
 
-/* Returns how many hosts and names were told. */
+/* Applies the changes since the last update to a copy. Returns the number of added and removed
+   hosts. */
 static int tell(const wg_roster* from, wg_roster* copy) {
     wg_roster_difference d = wg_roster_since(from, wg_roster_change(copy));
     if (d.reset) {
@@ -74,12 +75,8 @@
 }
 END_TEST
 
-/* Copies of different ages, some out of touch for long, leaders that change. */
-/* A leader that lost its lease for a moment and has it again in the same term lists hosts anew.
-   What would happen: a host that had been told of h0 to h4 would keep h4, which has gone, and never
-   hear of h5, since the new list had come to the same number of changes. Found by reading, after
-   leaders that stood still had begun to go on in their term; it could happen before, with a lease
-   lost for less than an election wait. */
+/* A leader that loses its lease and regains it in the same term begins a new roster. A copy of the
+   previous roster must notice, even when both have seen the same number of changes. */
 START_TEST(a_list_begun_again_in_one_term_is_told_anew) {
     enum {
         TERM = 3,
@@ -108,6 +105,7 @@
 }
 END_TEST
 
+/* Copies that are updated at different intervals equal the roster, also when leaders change. */
 START_TEST(copies_always_come_to_the_same_list) {
     enum {
         COPIES = 6
@@ -147,7 +145,7 @@
 enum {
     PLACES = 5,
     CALLERS = 600,
-    MANY = 100 /* hosts of one data centre, more than one answer holds */
+    MANY = 100 /* hosts in a data centre, more than one answer names */
 };
 
 static wg_roster* roster_of(int hosts) {
@@ -160,7 +158,7 @@
     return r;
 }
 
-/* Were the first of the list named to all, the others would never be. */
+/* Answers spread callers over all hosts of the data centre. */
 START_TEST(every_host_is_named_to_somebody) {
     wg_roster* r = roster_of(MANY * PLACES);
     GHashTable* seen = g_hash_table_new(NULL, NULL);
@@ -179,7 +177,7 @@
 }
 END_TEST
 
-/* A host that leaves changes only the answers that named it, by one host each. */
+/* Excluding a host changes only the answers that named it, by one host each. */
 START_TEST(a_caller_is_named_the_same_hosts_again) {
     wg_roster* r = roster_of(MANY * PLACES);
     int changed = 0;
@@ -215,7 +213,7 @@
     g_ptr_array_unref(named);
     wg_roster_leave(r, "h1");
     wg_roster_leave(r, "h6");
-    named = wg_roster_pick(r, &query); /* one is near, and the twelve others */
+    named = wg_roster_pick(r, &query); /* one local host and twelve remote ones */
     ck_assert_uint_eq(named->len, 13);
     g_ptr_array_unref(named);
     query.data_centre = "";
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -1,4 +1,4 @@
-/* test_share.c -- accounts and leases of the leader, pacing of reports, the sample traces */
+/* test_share.c -- the leader's accounts and slot leases, pacing of reports, sample traces */
 #include "sim_fleet.h"
 #include "wg_test.h"
 
@@ -52,11 +52,11 @@
     report(s, SECOND, r, false, 0, 1, 500, 1);
     report(s, SECOND, r, false, 0, 1, 300, 1);
     ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), once);
-    /* The same incarnation on a new link says all of it again. */
+    /* The same incarnation repeats its totals on a new link. */
     r = wgf_router_up(s, SECOND, "r1", 5, "dc");
     report(s, SECOND, r, true, 0, 1, 500, 1);
     ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), once);
-    /* A restarted one begins at nothing, and takes nothing away. */
+    /* A new incarnation counts from zero; the virtual time does not decrease. */
     r = wgf_router_up(s, SECOND, "r1", 6, "dc");
     report(s, SECOND, r, true, 0, 1, 0, 1);
     report(s, SECOND, r, false, 0, 1, 40, 1);
@@ -92,7 +92,7 @@
     wgf_plan(s, now);
     wgf_take_orders(s, a, 1, &orders);
     ck_assert_int_eq(granted(&orders), TARGETS * SLOTS);
-    /* Without a word from a, b gets nothing until a's term is over. */
+    /* While a is unresponsive, b gets no slots until a's lease has expired. */
     report(s, now + SECOND, b, false, 0, 2, 0, 100);
     wgf_plan(s, now + SECOND);
     wgf_take_orders(s, b, 1, &orders);
@@ -101,7 +101,7 @@
     wgf_plan(s, now + 2 * SECOND + 1);
     ck_assert(wgf_take_orders(s, b, 2, &orders));
     ck_assert_int_eq(granted(&orders), TARGETS * SLOTS);
-    /* What a says now, as if nothing had happened, is not believed. */
+    /* A later report by a that still counts on its lease is ignored as stale. */
     report(s, now + 2 * SECOND + 2, a, false, 1, 1, 0, 100);
     ck_assert_uint_eq(wgf_query_stats(s).stale_reports, 1);
     wgf_shutdown(s);
@@ -144,8 +144,8 @@
 }
 END_TEST
 
-/* A clock that runs a little slow: the leader ended a router's leases, and the router's next report
-   does not know it. The leader asks for a full one. */
+/* With a slow clock a router may report after the leader has ended its leases: the leader requests
+   a full report. */
 START_TEST(router_whose_leases_ended_is_asked_for_everything) {
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
@@ -166,7 +166,8 @@
 }
 END_TEST
 
-/* Orders and reports cross: what the leader counts comes to what the router holds. */
+/* When orders and reports cross, the leader's count of leased slots equals what the router holds.
+ */
 START_TEST(crossing_grants_are_counted_once) {
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
@@ -218,21 +219,21 @@
     ck_assert_uint_le(bytes, 101 * 1000 + 200);
     ck_assert_uint_ge(bytes, 95 * 1000);
     ck_assert_uint_gt(pacer.deferred, 0);
-    /* Nothing at work: reports are rare, but a request that begins to wait is told soon. */
+    /* Idle routers report rarely, but report a request that begins to wait within 20 ms. */
     wgf_pacer_setup(&pacer, &(wgf_pacer_desc){.now = 0});
     ck_assert(!wgf_pacer_due(&pacer, 499 * MSEC, 0));
     wgf_pacer_update(&pacer, &(wgf_pacer_load){.at_work = true});
     ck_assert(wgf_pacer_due(&pacer, 200 * MSEC, 0));
     wgf_pacer_update(&pacer, &(wgf_pacer_load){.at_work = true, .waiting = true});
     ck_assert(wgf_pacer_due(&pacer, 20 * MSEC, 0));
-    /* Reports that keep the leases alive leave whatever the budget says. */
+    /* Reports that keep leases alive are sent regardless of the budget. */
     wgf_pacer_setup(&pacer, &(wgf_pacer_desc){.now = 0, .budget = 1});
     ck_assert(!wgf_pacer_due(&pacer, 300 * MSEC, 1000000));
     ck_assert(wgf_pacer_due(&pacer, 500 * MSEC, 1000000));
 }
 END_TEST
 
-/* The stated outcomes of each sample trace, over the code that the daemons run. */
+/* Each sample trace meets the expectations that it states. */
 START_TEST(sample_traces_have_their_outcomes) {
     static const char* names[] = {"contest-weekend",  "storm-night", "ordinary-day",
                                   "one-router",       "uneven",      "overload",
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,4 +1,5 @@
-/* test_store.c -- the data folder: cut and flipped bytes, torn tails, snapshots, truncation */
+/* test_store.c -- the data folder: lost and flipped bytes, torn tails, snapshots, truncation, disks
+   that fail writes, power loss */
 #include <fcntl.h>
 #include <glib/gstdio.h>
 #include <sys/stat.h>
@@ -100,7 +101,7 @@
 }
 END_TEST
 
-/* A synced record that lost bytes, or has a bit flipped, stops the start with the reason. */
+/* A synced record that lost bytes, or has a flipped bit, makes the start fail with an error. */
 START_TEST(damage_to_a_synced_record_is_found) {
     fresh_folder();
     GError* error = NULL;
@@ -124,7 +125,7 @@
         ck_assert(g_file_set_contents(path, bad, (gssize)size, NULL));
         ck_assert_int_eq(entries_found(&error), -1);
         g_clear_error(&error);
-        /* A start that refuses leaves the file as it was, for whoever looks into it. */
+        /* A failed start leaves the damaged file unchanged for analysis. */
         char* after;
         gsize after_size;
         ck_assert(g_file_get_contents(path, &after, &after_size, NULL));
@@ -141,7 +142,7 @@
 }
 END_TEST
 
-/* A record that was being written at a crash, any part of it, is cut off. */
+/* A record that was partly written at a crash is truncated. */
 START_TEST(torn_tail_is_cut) {
     fresh_folder();
     GError* error = NULL;
@@ -221,7 +222,7 @@
         g_free(path);
         remove_folder();
     }
-    /* Without its identity a folder with a log must not pass for a new one. */
+    /* A folder that has a log but no identity must not be taken for a new one. */
     fresh_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
@@ -236,10 +237,10 @@
 }
 END_TEST
 
-/* A power cut may spoil every slot of the marker that was not synced, and nothing else. */
+/* A power loss may damage all unsynced slots of the marker file, which must not stop the start. */
 START_TEST(a_power_cut_may_spoil_the_whole_marker) {
     enum {
-        UNSYNCED_SLOTS = 64 /* bytes of the slots that are written without a sync */
+        UNSYNCED_SLOTS = 64 /* size in bytes of the slots that are written without a sync */
     };
     fresh_folder();
     GError* error = NULL;
@@ -262,7 +263,7 @@
 }
 END_TEST
 
-/* Removals that no sync of the folder followed may be kept or lost each by itself. */
+/* A power loss may undo any file removal that no folder sync followed. */
 START_TEST(a_power_cut_may_bring_a_removed_segment_back) {
     fresh_folder();
     GError* error = NULL;
@@ -327,7 +328,7 @@
     ck_assert_uint_eq(g_bytes_get_size(r->snapshot), 5);
     ck_assert_int_eq(r->set.num, 1);
     wgs_close(store);
-    /* A damaged snapshot cannot be replaced by the log that was dropped. */
+    /* A damaged snapshot makes the start fail, since the log before it was removed. */
     char* path = g_build_filename(folder, "snapshot-00000000000000000600", NULL);
     ck_assert(g_file_set_contents(path, "damaged", -1, NULL));
     ck_assert_int_eq(entries_found(&error), -1);
@@ -359,7 +360,7 @@
 END_TEST
 
 START_TEST(full_disk_is_an_error) {
-    /* A folder that cannot be written stands for a full disk. */
+    /* A folder that cannot be written simulates a full disk. */
     GError* error = NULL;
     ck_assert_ptr_null(wgs_open(&(wgs_desc){.folder = "/proc/none", .fresh_identity = 1}, &error));
     ck_assert_int_eq(error->code, WG_ERROR_IO);
@@ -370,14 +371,14 @@
 }
 END_TEST
 
-/* ---- disks that refuse ------------------------------------------------------------------------
+/* ---- failing disk operations ------------------------------------------------------------------
  */
 
 typedef struct {
-    int ops;     /* writes, syncs, renames and so on so far */
-    int fail_at; /* the one that fails, 0 none */
-    int num;     /* so many in a row */
-    int failure; /* errno */
+    int ops;     /* disk operations so far: writes, syncs, renames and removals */
+    int fail_at; /* number of the first operation that fails, from 1; 0: none fails */
+    int num;     /* operations in a row that fail */
+    int failure; /* errno of the failing operations */
 } refusal;
 
 static int refuse(_wgs_change change, void* user_data) {
@@ -387,10 +388,10 @@
     return r->fail_at && r->ops >= r->fail_at && r->ops < r->fail_at + r->num ? r->failure : 0;
 }
 
-/* What a run of the store has been told that it holds. */
+/* State that the store has acknowledged in a run. */
 typedef struct {
-    uint64_t index; /* last entry */
-    uint64_t least; /* last entry that no truncation under way can have taken away */
+    uint64_t index; /* index of the last entry */
+    uint64_t least; /* index of the last entry that an unfinished truncation cannot have removed */
     uint64_t term;
     uint64_t snapshot;
 } acknowledged;
@@ -427,7 +428,7 @@
     return good;
 }
 
-/* Everything that a replica does to its folder; stops at the first failure. */
+/* Does all kinds of changes that a replica makes to its folder; stops at the first failure. */
 static bool use_store(acknowledged* a, GError** error) {
     wgs_store* store = open_store(error);
     bool good = store != NULL;
@@ -450,8 +451,8 @@
     return good;
 }
 
-/* Each write, sync, rename and removal fails once, or again and again: the error says that the disk
-   may come back, and all that was acknowledged is there when it does. */
+/* Each write, sync, rename and removal fails once or three times: the error is WG_ERROR_DISK, and
+   all acknowledged state is there when the disk works again. */
 START_TEST(what_was_acknowledged_survives_each_refusal) {
     static const int failures[] = {ENOSPC, EDQUOT, EIO, EROFS};
     refusal counted = {0};
@@ -482,7 +483,7 @@
             ck_assert_uint_ge(MAX(last, found->snapshot_index), a.least);
             ck_assert_uint_ge(found->term + 1, a.term);
             ck_assert_uint_ge(found->snapshot_index, a.snapshot);
-            /* It goes on from there. */
+            /* The store accepts new entries. */
             uint64_t next = MAX(last, found->snapshot_index) + 1;
             wgs_forget_content(store);
             append(store, next, 3, a.term + 1);
@@ -494,21 +495,16 @@
 }
 END_TEST
 
-/* ---- losses of power --------------------------------------------------------------------------
+/* ---- power loss -------------------------------------------------------------------------------
 
-   What users could have seen: a replica that refuses to start after a loss of power, "data file
-   log: a segment is missing", until somebody empties its disk; with another one lost beside it, no
-   majority. Order of events: a follower cuts back entries that another leader did not have, more
-   than a log file of them; the later files are removed, the one before is cut and synced; power is
-   lost before the folder is synced. A removal that was not synced may be undone, each by itself, so
-   a later file is back while the one before it ends short of it. Found by reading; the test
-   below showed it: 2 of 48 combinations of a lost step and of files that are back. */
+   Guards against a replica that cannot start after a power loss because a removed log file is back
+   while the file before it is truncated: unsynced removals may be undone one by one. */
 
 enum {
     REMOVED_MAX = 8
 };
 
-/* Files that were removed and whose removal is not synced yet. */
+/* Copies of log files whose removal is not synced yet. */
 typedef struct {
     refusal refuse;
     char* names[REMOVED_MAX];
@@ -532,7 +528,7 @@
     p->names[p->num++] = path;
 }
 
-/* The files as they stand before one of them is removed; those that stay are sorted out later. */
+/* Copies all log files before one is removed; bring_back() passes over those that still exist. */
 static void keep_copies(power* p) {
     GDir* dir = g_dir_open(folder, 0, NULL);
     const char* name;
@@ -559,7 +555,7 @@
     return failure;
 }
 
-/* Of the removed files those are back whose bit is set. */
+/* Restores the removed files whose bit is set in `which`. */
 static void bring_back(const power* p, int which) {
     int removed = 0;
     for (int i = 0; i < p->num; i++) {
@@ -572,10 +568,11 @@
     }
 }
 
-/* Cut back over several files with a loss of power at one step; false: there was no such step. */
+/* Truncates the log over several files with a power loss at one step. False if the truncation has
+   fewer steps. */
 static bool cut_back(int step, int which) {
     enum {
-        ENTRIES = 40, /* 10 in a file */
+        ENTRIES = 40, /* ten entries in a log file */
         KEPT = 14
     };
     power p = {.refuse = {.fail_at = step, .num = 1000, .failure = EIO}};
@@ -600,7 +597,7 @@
 
 START_TEST(a_power_cut_while_the_log_is_cut_back) {
     enum {
-        COMBINATIONS = 8 /* of three files */
+        COMBINATIONS = 8 /* subsets of three removed files */
     };
     for (int which = 0; which < COMBINATIONS; which++) {
         for (int step = 1; cut_back(step, which); step++) {
@@ -609,7 +606,8 @@
 }
 END_TEST
 
-/* A snapshot of entries that the log has, or one of the leader's in place of the log. */
+/* Stores a snapshot with a power loss at one step: of entries in the log, or with `reset` the
+   leader's in place of the log. False if storing has fewer steps. */
 static bool take_snapshot(int step, int which, bool reset) {
     enum {
         ENTRIES = 40,
@@ -643,7 +641,7 @@
 
 START_TEST(a_power_cut_while_a_snapshot_is_stored) {
     enum {
-        COMBINATIONS = 16 /* of four files */
+        COMBINATIONS = 16 /* subsets of four removed files */
     };
     for (int which = 0; which < COMBINATIONS; which++) {
         for (int step = 1; take_snapshot(step, which, false); step++) {
@@ -654,7 +652,7 @@
 }
 END_TEST
 
-/* Another process at the folder is no passing trouble of the disk. */
+/* A folder in use by another process is not reported as a temporary disk error. */
 START_TEST(a_folder_in_use_is_not_waited_for) {
     fresh_folder();
     GError* error = NULL;
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -32,7 +32,7 @@
     ck_assert_int_eq(edit(t, 3, &row, 1, &result), WGT_OUTCOME_CONFLICT);
     ck_assert_ptr_nonnull(strstr(result.reason, "version 2"));
     ck_assert_int_eq(wgt_find(t, WGT_KIND_WORKSPACE, "a")->workspace.weight, 20);
-    /* An edit resent gets its first answer, whatever happened since. */
+    /* A resent edit gets its first answer, whatever changed since. */
     wgt_row first = workspace("a", 10, "");
     wgt_edit_row edit_row = {.row = first};
     wgt_edit e = {.rows = &edit_row, .rows_num = 1};
