--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -12,12 +12,12 @@
     "{\"name\":\"r\",\"host\":\"A.example\",\"path_prefix\":\"/x/\",\"kind\":\"stream\","          \
     "\"timeout_ms\":6000,\"objective_ms\":600,\"resumable\":true" extra "}"
 
-static wg_config* parse(const char* text, char* why, size_t size) {
+static wg_config* parse(const char* text, char* reason, size_t size) {
     GError* error = NULL;
     wg_config* config = wg_config_parse(text, strlen(text), &error);
     ck_assert((config == NULL) == (error != NULL));
     if (error) {
-        g_strlcpy(why, error->message, size);
+        g_strlcpy(reason, error->message, size);
         g_error_free(error);
     }
     return config;
@@ -27,7 +27,7 @@
     return (wg_text){text, strlen(text)};
 }
 
-static const char* const whole =
+static const char* const complete =
     "{\"version\":7,\"unknown\":1," SERVICES ",\"routes\":["
     "{\"name\":\"long\",\"host\":\"a.example\",\"path_prefix\":\"/x/y/\",\"kind\":\"safe\","
     "\"timeout_ms\":800,\"service\":\"p\",\"attempts\":2,\"open\":true},"
@@ -39,8 +39,8 @@
     "{\"name\":\"v\",\"keys\":[\"k3\"]}]}";
 
 START_TEST(a_whole_configuration_is_read) {
-    char why[200];
-    wg_config* c = parse(whole, why, sizeof why);
+    char reason[200];
+    wg_config* c = parse(complete, reason, sizeof reason);
     ck_assert_ptr_nonnull(c);
     ck_assert_uint_eq(c->version, 7);
     ck_assert_int_eq(c->limits.head_bytes, 99);
@@ -70,8 +70,8 @@
 END_TEST
 
 START_TEST(weights_split_requests) {
-    char why[200];
-    wg_config* c = parse(whole, why, sizeof why);
+    char reason[200];
+    wg_config* c = parse(complete, reason, sizeof reason);
     const wg_route* r = wg_config_route(c, text_of("a.example"), text_of("/x/"));
     int first = 0;
     for (uint64_t i = 0; i < 1000; i++) {
@@ -86,7 +86,7 @@
 START_TEST(invalid_configurations_are_refused_with_the_reason) {
     static const struct {
         const char* text;
-        const char* why;
+        const char* reason;
     } bad[] = {
         {"", "cannot be read"},
         {"[]", "not an object"},
@@ -126,18 +126,18 @@
          "shares a key"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        char why[200] = "";
-        ck_assert_msg(parse(bad[i].text, why, sizeof why) == NULL, "%s", bad[i].text);
-        ck_assert_msg(strstr(why, bad[i].why) != NULL, "%s: %s", bad[i].text, why);
+        char reason[200] = "";
+        ck_assert_msg(parse(bad[i].text, reason, sizeof reason) == NULL, "%s", bad[i].text);
+        ck_assert_msg(strstr(reason, bad[i].reason) != NULL, "%s: %s", bad[i].text, reason);
     }
 }
 END_TEST
 
 /* A document truncated at any byte is refused, never applied in part. */
 START_TEST(a_cut_document_is_refused) {
-    for (size_t size = 0; size < strlen(whole); size++) {
+    for (size_t size = 0; size < strlen(complete); size++) {
         GError* error = NULL;
-        ck_assert_ptr_null(wg_config_parse(whole, size, &error));
+        ck_assert_ptr_null(wg_config_parse(complete, size, &error));
         g_clear_error(&error);
     }
 }
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -11,7 +11,7 @@
 
 enum {
     TURNS = 4000, /* loop turns of 1 ms to wait for an expected event */
-    ORDER_EVERY = 50
+    CONNECT_TURNS = 50
 };
 
 static struct event_base* base;
@@ -21,19 +21,19 @@
 static wgco_control* control;
 static local_entry entry;
 
-static int failure; /* errno of failing disk operations; 0: none fails */
-static int passes;  /* disk operations that succeed before the first failure */
+static int failure;     /* errno of failing disk operations; 0: none fails */
+static int passes_left; /* disk operations that succeed before the first failure */
 
-static int refuse(_wgs_change change, void* user_data) {
+static int fault(_wgs_change change, void* user_data) {
     (void)change;
     (void)user_data;
-    return passes-- > 0 ? 0 : failure;
+    return passes_left-- > 0 ? 0 : failure;
 }
 
 static void fail_with(int error, int after) {
     failure = error;
-    passes = after;
-    _wgs_set_fault(error ? refuse : NULL, NULL);
+    passes_left = after;
+    _wgs_set_fault(error ? fault : NULL, NULL);
 }
 
 static void begin(void) {
@@ -56,12 +56,12 @@
 
 /* Runs the loop, connecting as needed, until the control leads; false if it does not within TURNS.
  */
-static bool lead(void) {
+static bool wait_for_leadership(void) {
     for (int i = 0; i < TURNS && !entry.leads; i++) {
-        if (!entry.link.id && i % ORDER_EVERY == 0) {
+        if (!entry.link.id && i % CONNECT_TURNS == 0) {
             entry.link = wgn_dial(entry.net, listen_at);
         }
-        if (entry.connected && i % ORDER_EVERY == 0) {
+        if (entry.connected && i % CONNECT_TURNS == 0) {
             local_entry_report(&entry);
         }
         local_turn(base);
@@ -69,11 +69,11 @@
     return entry.leads;
 }
 
-static void begin_led(void) {
+static void begin_as_leader(void) {
     begin();
     entry = (local_entry){.base = base};
     local_entry_setup(&entry, 1, listen_at);
-    ck_assert(lead());
+    ck_assert(wait_for_leadership());
 }
 
 static void order(uint64_t version, bool read) {
@@ -95,7 +95,7 @@
     return entry.outcome;
 }
 
-static void put(uint64_t version) {
+static void put_version(uint64_t version) {
     order(version, false);
     ck_assert_int_eq(outcome_within(TURNS), WG_ORDER_DONE);
 }
@@ -112,8 +112,8 @@
     static const int failures[] = {ENOSPC, EIO, EROFS};
     for (size_t kind = 0; kind < G_N_ELEMENTS(failures); kind++) {
         for (int after = 0; after < 4; after++) {
-            begin_led();
-            put(10);
+            begin_as_leader();
+            put_version(10);
             fail_with(failures[kind], after);
             order(20, false);
             bool done =
@@ -127,10 +127,10 @@
             ck_assert(!wgco_failed(control));
             ck_assert(!entry.leads);
             fail_with(0, 0);
-            ck_assert(lead());
+            ck_assert(wait_for_leadership());
             uint64_t version = read_version();
             ck_assert(version >= (done ? 20 : 10) && version <= 21);
-            put(30);
+            put_version(30);
             ck_assert_uint_eq(read_version(), 30);
             end();
         }
@@ -153,8 +153,8 @@
     ck_assert(json_object_get(dump, "disk_takes_no_writes_for_ms") != NULL);
     json_decref(dump);
     fail_with(0, 0);
-    ck_assert(lead());
-    put(10);
+    ck_assert(wait_for_leadership());
+    put_version(10);
     end();
 }
 END_TEST
@@ -175,8 +175,8 @@
 
 /* A damaged data file ends the process instead of being retried. */
 START_TEST(a_damaged_folder_ends_the_process) {
-    begin_led();
-    put(10);
+    begin_as_leader();
+    put_version(10);
     fail_with(EIO, 0);
     order(20, false);
     outcome_within(100);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -31,11 +31,11 @@
     return wg_document_unpack(data, size, base, error);
 }
 
-static void expect_round_trip(GBytes* whole, GBytes* base) {
-    GBytes* packed = wg_document_pack(whole, base);
+static void expect_round_trip(GBytes* complete, GBytes* base) {
+    GBytes* packed = wg_document_pack(complete, base);
     GBytes* back = unpack(packed, base, NULL);
     ck_assert_ptr_nonnull(back);
-    ck_assert(g_bytes_equal(back, whole));
+    ck_assert(g_bytes_equal(back, complete));
     g_bytes_unref(back);
     g_bytes_unref(packed);
 }
@@ -56,12 +56,12 @@
 END_TEST
 
 START_TEST(a_whole_document_shrinks) {
-    GBytes* whole = document(ROUTES, -1);
-    GBytes* packed = wg_document_pack(whole, NULL);
-    ck_assert_int_lt(g_bytes_get_size(packed) * 4, g_bytes_get_size(whole));
-    expect_round_trip(whole, NULL);
+    GBytes* complete = document(ROUTES, -1);
+    GBytes* packed = wg_document_pack(complete, NULL);
+    ck_assert_int_lt(g_bytes_get_size(packed) * 4, g_bytes_get_size(complete));
+    expect_round_trip(complete, NULL);
     g_bytes_unref(packed);
-    g_bytes_unref(whole);
+    g_bytes_unref(complete);
     GBytes* empty = g_bytes_new(NULL, 0);
     expect_round_trip(empty, NULL);
     g_bytes_unref(empty);
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -53,9 +53,9 @@
         wgw_parse parse = wgw_frame_parse(bad, 8, 0, &frame);
         ck_assert(parse == WGW_PARSE_BAD || byte == 3 || byte == 2);
     }
-    uint8_t whole[18] = {0};
-    memcpy(whole, head, sizeof head);
-    ck_assert_int_eq(wgw_frame_parse(whole, sizeof whole, 0, &frame), WGW_PARSE_WHOLE);
+    uint8_t complete[18] = {0};
+    memcpy(complete, head, sizeof head);
+    ck_assert_int_eq(wgw_frame_parse(complete, sizeof complete, 0, &frame), WGW_PARSE_WHOLE);
     ck_assert_int_eq(frame.type, WGW_TYPE_REPORT);
     ck_assert_uint_eq(frame.size, 10);
 }
@@ -198,15 +198,15 @@
     a.state = WGM_STATE_UP;
     wgm_record_heartbeat(m, SECOND, &a); /* a delayed heartbeat from before the drain */
     ck_assert_int_eq(wgm_find(m, "a")->state, WGM_STATE_LEAVING);
-    wgm_member again = member("a", 2, WGM_STATE_UP, "x");
-    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &again), WGM_EVENT_RESTARTED);
+    wgm_member restarted = member("a", 2, WGM_STATE_UP, "x");
+    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &restarted), WGM_EVENT_RESTARTED);
     ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &a), WGM_EVENT_STALE);
     ck_assert_uint_eq(wgm_find(m, "a")->incarnation, 2);
     ck_assert_ptr_null(wgm_tick(m, 5 * SECOND));
     ck_assert_str_eq(wgm_tick(m, 5 * SECOND + 1)->name, "a");
     const wgm_member* list[4];
     ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 0);
-    ck_assert_int_eq(wgm_record_heartbeat(m, 6 * SECOND, &again), WGM_EVENT_UP);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 6 * SECOND, &restarted), WGM_EVENT_UP);
     ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 1);
     wgm_shutdown(m);
 }
@@ -225,9 +225,9 @@
 
 START_TEST(entry_hosts_are_few_near_and_steady) {
     wgm_members* all = twelve_members();
-    wgm_members* less = twelve_members();
+    wgm_members* with_draining = twelve_members();
     wgm_member leaving = member("r3", 1, WGM_STATE_LEAVING, "east");
-    wgm_record_heartbeat(less, 0, &leaving);
+    wgm_record_heartbeat(with_draining, 0, &leaving);
     int moved = 0;
     for (int w = 0; w < 200; w++) {
         char workspace[8];
@@ -235,7 +235,7 @@
         const wgm_member* before[3];
         const wgm_member* after[3];
         ck_assert_int_eq(wgm_pick_entry_hosts(all, workspace, "east", 3, before, 3), 3);
-        ck_assert_int_eq(wgm_pick_entry_hosts(less, workspace, "east", 3, after, 3), 3);
+        ck_assert_int_eq(wgm_pick_entry_hosts(with_draining, workspace, "east", 3, after, 3), 3);
         bool seen_west = false;
         for (int i = 0; i < 3; i++) {
             bool west = strcmp(before[i]->data_centre, "west") == 0;
@@ -253,11 +253,11 @@
     ck_assert_int_ge(moved, 30);
     ck_assert_int_le(moved, 70);
     wgm_shutdown(all);
-    wgm_shutdown(less);
+    wgm_shutdown(with_draining);
 }
 END_TEST
 
-static wgp_place* place_with(int targets, int slots) {
+static wgp_place* setup_place(int targets, int slots) {
     wgp_place* p = wgp_setup(&(wgp_desc){.seed = 3, .data_centre = "east"}, NULL);
     wgp_config_begin(p);
     for (int i = 0; i < targets; i++) {
@@ -273,7 +273,7 @@
 }
 
 START_TEST(only_leased_slots_are_used) {
-    wgp_place* p = place_with(2, 2);
+    wgp_place* p = setup_place(2, 2);
     wgp_choice choice;
     for (int i = 0; i < 4; i++) {
         ck_assert(wgp_pick(p, 0, &(wgp_request){.service = 7}, &choice));
@@ -298,7 +298,7 @@
 END_TEST
 
 START_TEST(leaving_is_not_unseen_by_an_older_list) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     ck_assert_int_eq(wgp_update_host(p, "127.0.0.1:1000", true, 10), WGP_EVENT_DRAINING);
     ck_assert(!wgp_is_usable(p, 0, 1));
     wgp_update_host(p, "127.0.0.1:1000", false, 9);
@@ -321,7 +321,7 @@
 END_TEST
 
 START_TEST(failing_target_is_put_aside_and_probed) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_event event = WGP_EVENT_DEFAULT;
     for (int i = 0; i < 3; i++) {
@@ -342,13 +342,13 @@
 END_TEST
 
 START_TEST(a_resting_target_gets_nothing_and_keeps_one_slot) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_choice choice;
-    wg_backoff_hint wish = {.status = 503, .period = 3 * SECOND, .draining = true};
+    wg_backoff_hint hint = {.status = 503, .period = 3 * SECOND, .draining = true};
     wgp_sent(p, &one);
-    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_BACKOFF);
-    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_DEFAULT);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &hint, 0), WGP_EVENT_BACKOFF);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &hint, 0), WGP_EVENT_DEFAULT);
     ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_DEFAULT);
     wgp_target_info info;
     wgp_query_target_id(p, 1, &info);
@@ -362,8 +362,8 @@
     ck_assert(wgp_pick(p, 3 * SECOND, &(wgp_request){.service = 7, .prefix = 99}, &choice));
     ck_assert_uint_eq(choice.target, 2);
     /* Both targets are in backoff; target 1 returns first. */
-    wish.period = 9 * SECOND;
-    wgp_record_answer(p, SECOND, 2, &wish, 0);
+    hint.period = 9 * SECOND;
+    wgp_record_answer(p, SECOND, 2, &hint, 0);
     ck_assert(!wgp_has_room(p, 3 * SECOND, 7, true));
     ck_assert_int_ge(wgp_backoff_ends_at(p, 3 * SECOND, 7), 4 * SECOND);
     ck_assert_int_lt(wgp_backoff_ends_at(p, 3 * SECOND, 7), 5 * SECOND);
@@ -378,7 +378,7 @@
 END_TEST
 
 START_TEST(prefix_is_a_hint_that_gives_way) {
-    wgp_place* p = place_with(4, 8);
+    wgp_place* p = setup_place(4, 8);
     wgp_choice choice;
     wgp_record_prefix(p, 99, 2);
     wgp_request request = {.service = 7, .prefix = 99};
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -5,7 +5,7 @@
 enum {
     HOSTS = 300,
     STEPS = 20000,
-    GONE = 1500 * WG_USEC_PER_MSEC
+    REMOVAL_TIME = 1500 * WG_USEC_PER_MSEC
 };
 
 static wg_roster_host host(int number, int variant) {
@@ -18,7 +18,7 @@
 
 /* Applies the changes since the last update to a copy. Returns the number of added and removed
    hosts. */
-static int tell(const wg_roster* from, wg_roster* copy) {
+static int update_copy(const wg_roster* from, wg_roster* copy) {
     wg_roster_difference d = wg_roster_since(from, wg_roster_change(copy));
     if (d.reset) {
         wg_roster_copy_reset(copy);
@@ -30,9 +30,9 @@
         wg_roster_copy_add(copy, d.added->pdata[i]);
     }
     wg_roster_copy_set_change(copy, d.change);
-    int told = (int)(d.added->len + d.removed->len);
+    int changes = (int)(d.added->len + d.removed->len);
     wg_roster_difference_clear(&d);
-    return told;
+    return changes;
 }
 
 static void expect_equal(const wg_roster* from, const wg_roster* copy) {
@@ -55,20 +55,20 @@
         ck_assert(wg_roster_record_report(leader, SECOND, &h));
         ck_assert(!wg_roster_record_report(leader, SECOND, &h));
     }
-    ck_assert_int_eq(tell(leader, copy), HOSTS);
-    ck_assert_int_eq(tell(leader, copy), 0);
+    ck_assert_int_eq(update_copy(leader, copy), HOSTS);
+    ck_assert_int_eq(update_copy(leader, copy), 0);
     ck_assert(wg_roster_leave(leader, "h7"));
     ck_assert(!wg_roster_leave(leader, "h7"));
-    ck_assert_int_eq(tell(leader, copy), 1);
+    ck_assert_int_eq(update_copy(leader, copy), 1);
     ck_assert_ptr_null(wg_roster_find(copy, "h7"));
     wg_roster_host moved = host(9, 1);
     ck_assert(wg_roster_record_report(leader, SECOND, &moved));
-    ck_assert_int_eq(tell(leader, copy), 1);
+    ck_assert_int_eq(update_copy(leader, copy), 1);
     expect_equal(leader, copy);
     char name[WG_NAME_MAX];
-    ck_assert(!wg_roster_remove_unresponsive(leader, SECOND + GONE, GONE, name));
-    ck_assert(wg_roster_remove_unresponsive(leader, SECOND + GONE + 1, GONE, name));
-    ck_assert_int_eq(tell(leader, copy), 1);
+    ck_assert(!wg_roster_remove_unresponsive(leader, SECOND + REMOVAL_TIME, REMOVAL_TIME, name));
+    ck_assert(wg_roster_remove_unresponsive(leader, SECOND + REMOVAL_TIME + 1, REMOVAL_TIME, name));
+    ck_assert_int_eq(update_copy(leader, copy), 1);
     expect_equal(leader, copy);
     wg_roster_shutdown(copy);
     wg_roster_shutdown(leader);
@@ -89,16 +89,16 @@
         wg_roster_host h = host(i, 0);
         wg_roster_record_report(leader, SECOND, &h);
     }
-    tell(leader, copy);
+    update_copy(leader, copy);
     wg_roster_begin(leader, TERM);
     for (int i = 0; i < KNOWN - 1; i++) {
         wg_roster_host h = host(i, 0);
         wg_roster_record_report(leader, 2 * SECOND, &h);
     }
-    wg_roster_host came = host(KNOWN, 0);
-    wg_roster_record_report(leader, 2 * SECOND, &came);
+    wg_roster_host joined = host(KNOWN, 0);
+    wg_roster_record_report(leader, 2 * SECOND, &joined);
     ck_assert_uint_ne(wg_roster_change(leader), wg_roster_change(copy));
-    tell(leader, copy);
+    update_copy(leader, copy);
     expect_equal(leader, copy);
     wg_roster_shutdown(copy);
     wg_roster_shutdown(leader);
@@ -120,18 +120,18 @@
     }
     for (int step = 0; step < STEPS; step++) {
         int number = (int)wg_jitter_range(5, ++random, 0, HOSTS);
-        int what = (int)wg_jitter_range(5, ++random, 0, 999);
-        wg_roster_host h = host(number, what % 2);
-        if (what == 0) {
+        int action = (int)wg_jitter_range(5, ++random, 0, 999);
+        wg_roster_host h = host(number, action % 2);
+        if (action == 0) {
             term += 1 + (uint64_t)(number % 2);
             wg_roster_begin(leader, term);
-        } else if (what < 450) {
+        } else if (action < 450) {
             wg_roster_leave(leader, h.name);
-        } else if (what < 900) {
+        } else if (action < 900) {
             wg_roster_record_report(leader, step, &h);
         } else {
             wg_roster* copy = copies[MIN(number % 40, COPIES - 1)];
-            tell(leader, copy);
+            update_copy(leader, copy);
             expect_equal(leader, copy);
         }
     }
@@ -143,9 +143,9 @@
 END_TEST
 
 enum {
-    PLACES = 5,
+    DATA_CENTRES = 5,
     CALLERS = 600,
-    MANY = 100 /* hosts in a data centre, more than one answer names */
+    HOSTS_PER_DATA_CENTRE = 100 /* more than one answer names */
 };
 
 static wg_roster* roster_of(int hosts) {
@@ -160,18 +160,18 @@
 
 /* Answers spread callers over all hosts of the data centre. */
 START_TEST(every_host_is_named_to_somebody) {
-    wg_roster* r = roster_of(MANY * PLACES);
+    wg_roster* r = roster_of(HOSTS_PER_DATA_CENTRE * DATA_CENTRES);
     GHashTable* seen = g_hash_table_new(NULL, NULL);
     for (int i = 0; i < CALLERS; i++) {
         wg_roster_query query = {.data_centre = "dc1", .caller = wg_jitter(77, (uint64_t)i)};
-        GPtrArray* named = wg_roster_pick(r, &query);
-        ck_assert_uint_eq(named->len, WG_ROSTER_PICK_MAX);
-        for (guint k = 0; k < named->len; k++) {
-            g_hash_table_add(seen, named->pdata[k]);
+        GPtrArray* picked = wg_roster_pick(r, &query);
+        ck_assert_uint_eq(picked->len, WG_ROSTER_PICK_MAX);
+        for (guint k = 0; k < picked->len; k++) {
+            g_hash_table_add(seen, picked->pdata[k]);
         }
-        g_ptr_array_unref(named);
+        g_ptr_array_unref(picked);
     }
-    ck_assert_uint_eq(g_hash_table_size(seen), MANY);
+    ck_assert_uint_eq(g_hash_table_size(seen), HOSTS_PER_DATA_CENTRE);
     g_hash_table_unref(seen);
     wg_roster_shutdown(r);
 }
@@ -179,14 +179,14 @@
 
 /* Excluding a host changes only the answers that named it, by one host each. */
 START_TEST(a_caller_is_named_the_same_hosts_again) {
-    wg_roster* r = roster_of(MANY * PLACES);
+    wg_roster* r = roster_of(HOSTS_PER_DATA_CENTRE * DATA_CENTRES);
     int changed = 0;
     for (int i = 0; i < CALLERS; i++) {
         wg_roster_query all = {.data_centre = "dc1", .caller = wg_jitter(3, (uint64_t)i)};
-        wg_roster_query less = all;
-        less.excluded = "h6";
+        wg_roster_query without_h6 = all;
+        without_h6.excluded = "h6";
         GPtrArray* before = wg_roster_pick(r, &all);
-        GPtrArray* after = wg_roster_pick(r, &less);
+        GPtrArray* after = wg_roster_pick(r, &without_h6);
         ck_assert_uint_eq(before->len, WG_ROSTER_PICK_MAX);
         ck_assert_uint_eq(after->len, WG_ROSTER_PICK_MAX);
         int kept = 0;
@@ -206,20 +206,20 @@
 END_TEST
 
 START_TEST(few_hosts_are_all_named_and_far_ones_where_none_is_near) {
-    wg_roster* r = roster_of(3 * PLACES);
+    wg_roster* r = roster_of(3 * DATA_CENTRES);
     wg_roster_query query = {.data_centre = "dc1", .caller = 5};
-    GPtrArray* named = wg_roster_pick(r, &query);
-    ck_assert_uint_eq(named->len, 3);
-    g_ptr_array_unref(named);
+    GPtrArray* picked = wg_roster_pick(r, &query);
+    ck_assert_uint_eq(picked->len, 3);
+    g_ptr_array_unref(picked);
     wg_roster_leave(r, "h1");
     wg_roster_leave(r, "h6");
-    named = wg_roster_pick(r, &query); /* one local host and twelve remote ones */
-    ck_assert_uint_eq(named->len, 13);
-    g_ptr_array_unref(named);
+    picked = wg_roster_pick(r, &query); /* one local host and twelve remote ones */
+    ck_assert_uint_eq(picked->len, 13);
+    g_ptr_array_unref(picked);
     query.data_centre = "";
-    named = wg_roster_pick(r, &query);
-    ck_assert_uint_eq(named->len, 13);
-    g_ptr_array_unref(named);
+    picked = wg_roster_pick(r, &query);
+    ck_assert_uint_eq(picked->len, 13);
+    g_ptr_array_unref(picked);
     wg_roster_shutdown(r);
 }
 END_TEST
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -47,15 +47,15 @@
     wgf_router r = wgf_router_up(s, SECOND, "r1", 5, "dc");
     report(s, SECOND, r, true, 0, 1, 0, 1);
     report(s, SECOND, r, false, 0, 1, 500, 1);
-    uint64_t once = wgf_query_virtual_time(s, SERVICE, 1);
-    ck_assert_uint_eq(once, 500ull * WGF_SCALE / 100);
+    uint64_t counted = wgf_query_virtual_time(s, SERVICE, 1);
+    ck_assert_uint_eq(counted, 500ull * WGF_SCALE / 100);
     report(s, SECOND, r, false, 0, 1, 500, 1);
     report(s, SECOND, r, false, 0, 1, 300, 1);
-    ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), once);
+    ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), counted);
     /* The same incarnation repeats its totals on a new link. */
     r = wgf_router_up(s, SECOND, "r1", 5, "dc");
     report(s, SECOND, r, true, 0, 1, 500, 1);
-    ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), once);
+    ck_assert_uint_eq(wgf_query_virtual_time(s, SERVICE, 1), counted);
     /* A new incarnation counts from zero; the virtual time does not decrease. */
     r = wgf_router_up(s, SECOND, "r1", 6, "dc");
     report(s, SECOND, r, true, 0, 1, 0, 1);
@@ -175,13 +175,13 @@
     report(s, 4 * SECOND, a, true, 0, 1, 0, 4);
     wgf_plan(s, 4 * SECOND);
     ck_assert(wgf_take_orders(s, a, 1, &orders));
-    int holds[TARGETS] = {0};
+    int router_slots[TARGETS] = {0};
     for (int i = 0; i < orders.grants_num; i++) {
-        holds[orders.grants[i].target - TARGET] += (int)orders.grants[i].add;
+        router_slots[orders.grants[i].target - TARGET] += (int)orders.grants[i].add;
     }
     wgf_held_slots held[TARGETS];
     for (uint32_t t = 0; t < TARGETS; t++) {
-        held[t] = (wgf_held_slots){TARGET + t, (uint32_t)holds[t]};
+        held[t] = (wgf_held_slots){TARGET + t, (uint32_t)router_slots[t]};
     }
     /* Further orders leave before the report that confirms the first ones arrives. */
     report(s, 4 * SECOND, a, false, 0, 1, 0, 9);
@@ -192,14 +192,14 @@
     wgf_held_slots changed[TARGETS];
     for (int i = 0; i < orders.grants_num; i++) {
         uint32_t t = orders.grants[i].target - TARGET;
-        holds[t] += (int)orders.grants[i].add;
-        changed[i] = (wgf_held_slots){TARGET + t, (uint32_t)holds[t]};
+        router_slots[t] += (int)orders.grants[i].add;
+        changed[i] = (wgf_held_slots){TARGET + t, (uint32_t)router_slots[t]};
     }
     /* The second report names only the targets whose slots the second orders changed. */
     wgf_report(s, 4 * SECOND, a,
                &(wgf_report_desc){.applied = 2, .held = changed, .held_num = orders.grants_num});
     for (uint32_t t = 0; t < TARGETS; t++) {
-        ck_assert_int_eq(wgf_query_leased(s, TARGET + t), holds[t]);
+        ck_assert_int_eq(wgf_query_leased(s, TARGET + t), router_slots[t]);
     }
     wgf_shutdown(s);
 }
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -14,7 +14,7 @@
 
 static char folder[64];
 
-static void fresh_folder(void) {
+static void create_folder(void) {
     g_strlcpy(folder, "/tmp/wgs-XXXXXX", sizeof folder);
     ck_assert_ptr_nonnull(mkdtemp(folder));
 }
@@ -44,17 +44,17 @@
 
 static char* last_log(void) {
     GDir* dir = g_dir_open(folder, 0, NULL);
-    char* best = NULL;
+    char* newest = NULL;
     const char* name;
     while ((name = g_dir_read_name(dir))) {
-        if (g_str_has_prefix(name, "log-") && (!best || strcmp(name, best) > 0)) {
-            g_free(best);
-            best = g_strdup(name);
+        if (g_str_has_prefix(name, "log-") && (!newest || strcmp(name, newest) > 0)) {
+            g_free(newest);
+            newest = g_strdup(name);
         }
     }
     g_dir_close(dir);
-    char* path = g_build_filename(folder, best, NULL);
-    g_free(best);
+    char* path = g_build_filename(folder, newest, NULL);
+    g_free(newest);
     return path;
 }
 
@@ -69,7 +69,7 @@
 }
 
 START_TEST(what_was_synced_is_there_again) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert(wgs_query_content(store)->fresh);
@@ -90,7 +90,7 @@
 END_TEST
 
 START_TEST(two_processes_cannot_share_a_folder) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert_ptr_null(open_store(&error));
@@ -103,7 +103,7 @@
 
 /* A synced record that lost bytes, or has a flipped bit, makes the start fail with an error. */
 START_TEST(damage_to_a_synced_record_is_found) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 3, 1);
@@ -144,7 +144,7 @@
 
 /* A record that was partly written at a crash is truncated. */
 START_TEST(torn_tail_is_cut) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 2, 1);
@@ -177,7 +177,7 @@
 END_TEST
 
 START_TEST(damage_before_the_tail_stops_the_start) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 30, 1);
@@ -203,7 +203,7 @@
 START_TEST(damaged_small_files_stop_the_start) {
     static const char* names[] = {"state", "synced"};
     for (size_t n = 0; n < G_N_ELEMENTS(names); n++) {
-        fresh_folder();
+        create_folder();
         GError* error = NULL;
         wgs_store* store = open_store(&error);
         append(store, 1, 3, 1);
@@ -223,7 +223,7 @@
         remove_folder();
     }
     /* A folder that has a log but no identity must not be taken for a new one. */
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 3, 1);
@@ -242,7 +242,7 @@
     enum {
         UNSYNCED_SLOTS = 64 /* size in bytes of the slots that are written without a sync */
     };
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 4, 1);
@@ -265,7 +265,7 @@
 
 /* A power loss may undo any file removal that no folder sync followed. */
 START_TEST(a_power_cut_may_bring_a_removed_segment_back) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 40, 1);
@@ -291,7 +291,7 @@
 END_TEST
 
 START_TEST(truncation_and_new_entries) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 40, 1);
@@ -308,7 +308,7 @@
 END_TEST
 
 START_TEST(snapshot_bounds_the_log) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     wgr_set set = {.num = 1, .replicas = {{.id = 42, .name = "c1", .voter = true}}};
@@ -339,7 +339,7 @@
 END_TEST
 
 START_TEST(snapshot_from_the_leader_replaces_the_log) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 10, 1);
@@ -379,19 +379,19 @@
     int fail_at; /* number of the first operation that fails, from 1; 0: none fails */
     int num;     /* operations in a row that fail */
     int failure; /* errno of the failing operations */
-} refusal;
+} disk_fault;
 
-static int refuse(_wgs_change change, void* user_data) {
+static int fault(_wgs_change change, void* user_data) {
     (void)change;
-    refusal* r = user_data;
+    disk_fault* r = user_data;
     r->ops++;
     return r->fail_at && r->ops >= r->fail_at && r->ops < r->fail_at + r->num ? r->failure : 0;
 }
 
 /* State that the store has acknowledged in a run. */
 typedef struct {
-    uint64_t index; /* index of the last entry */
-    uint64_t least; /* index of the last entry that an unfinished truncation cannot have removed */
+    uint64_t index;     /* index of the last entry */
+    uint64_t min_index; /* last entry that an unfinished truncation cannot have removed */
     uint64_t term;
     uint64_t snapshot;
 } acknowledged;
@@ -402,12 +402,12 @@
     bool good = wgs_append(store, &entry, 1, error);
     g_bytes_unref(entry.data);
     a->index += good;
-    a->least = a->index;
+    a->min_index = a->index;
     return good;
 }
 
 static bool truncate_to(wgs_store* store, acknowledged* a, uint64_t last, GError** error) {
-    a->least = last;
+    a->min_index = last;
     bool good = wgs_truncate(store, last + 1, error);
     a->index = good ? last : a->index;
     return good;
@@ -455,20 +455,20 @@
    all acknowledged state is there when the disk works again. */
 START_TEST(what_was_acknowledged_survives_each_refusal) {
     static const int failures[] = {ENOSPC, EDQUOT, EIO, EROFS};
-    refusal counted = {0};
+    disk_fault counted = {0};
     acknowledged all = {.term = 1};
-    fresh_folder();
-    _wgs_set_fault(refuse, &counted);
+    create_folder();
+    _wgs_set_fault(fault, &counted);
     ck_assert(use_store(&all, NULL));
     remove_folder();
     ck_assert_int_gt(counted.ops, 60);
     for (int at = 1; at <= counted.ops; at++) {
         for (int kind = 0; kind < 8; kind++) {
-            refusal r = {.fail_at = at, .num = kind % 2 ? 1 : 3, .failure = failures[kind / 2]};
+            disk_fault r = {.fail_at = at, .num = kind % 2 ? 1 : 3, .failure = failures[kind / 2]};
             acknowledged a = {.term = 1};
             GError* error = NULL;
-            fresh_folder();
-            _wgs_set_fault(refuse, &r);
+            create_folder();
+            _wgs_set_fault(fault, &r);
             ck_assert(!use_store(&a, &error));
             ck_assert_msg(error->code == WG_ERROR_DISK, "at %d: %s", at, error->message);
             g_clear_error(&error);
@@ -480,7 +480,7 @@
             uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index
                                                : found->snapshot_index;
             ck_assert_uint_eq(content->identity, 42);
-            ck_assert_uint_ge(MAX(last, found->snapshot_index), a.least);
+            ck_assert_uint_ge(MAX(last, found->snapshot_index), a.min_index);
             ck_assert_uint_ge(found->term + 1, a.term);
             ck_assert_uint_ge(found->snapshot_index, a.snapshot);
             /* The store accepts new entries. */
@@ -506,14 +506,14 @@
 
 /* Copies of log files whose removal is not synced yet. */
 typedef struct {
-    refusal refuse;
+    disk_fault fault;
     char* names[REMOVED_MAX];
     char* contents[REMOVED_MAX];
     gsize sizes[REMOVED_MAX];
     int num;
-} power;
+} power_loss;
 
-static void forget_removed(power* p) {
+static void forget_removed(power_loss* p) {
     for (int i = 0; i < p->num; i++) {
         g_free(p->names[i]);
         g_free(p->contents[i]);
@@ -521,15 +521,15 @@
     p->num = 0;
 }
 
-static void keep_copy(power* p, const char* name) {
+static void save_copy(power_loss* p, const char* name) {
     char* path = g_build_filename(folder, name, NULL);
     ck_assert_int_lt(p->num, REMOVED_MAX);
     ck_assert(g_file_get_contents(path, &p->contents[p->num], &p->sizes[p->num], NULL));
     p->names[p->num++] = path;
 }
 
-/* Copies all log files before one is removed; bring_back() passes over those that still exist. */
-static void keep_copies(power* p) {
+/* Copies all log files before one is removed; restore_removed() skips those that still exist. */
+static void save_copies(power_loss* p) {
     GDir* dir = g_dir_open(folder, 0, NULL);
     const char* name;
     while ((name = g_dir_read_name(dir))) {
@@ -538,31 +538,31 @@
             known = g_str_has_suffix(p->names[i], name);
         }
         if (g_str_has_prefix(name, "log-") && !known) {
-            keep_copy(p, name);
+            save_copy(p, name);
         }
     }
     g_dir_close(dir);
 }
 
 static int lose_power(_wgs_change change, void* user_data) {
-    power* p = user_data;
-    int failure = refuse(change, &p->refuse);
+    power_loss* p = user_data;
+    int failure = fault(change, &p->fault);
     if (failure == 0 && change == _WGS_CHANGE_REMOVE) {
-        keep_copies(p);
+        save_copies(p);
     } else if (failure == 0 && change == _WGS_CHANGE_SYNC_FOLDER) {
         forget_removed(p);
     }
     return failure;
 }
 
-/* Restores the removed files whose bit is set in `which`. */
-static void bring_back(const power* p, int which) {
+/* Restores the removed files whose bit is set in the mask `restored_files`. */
+static void restore_removed(const power_loss* p, int restored_files) {
     int removed = 0;
     for (int i = 0; i < p->num; i++) {
         if (g_file_test(p->names[i], G_FILE_TEST_EXISTS)) {
             continue;
         }
-        if (which & 1 << removed++) {
+        if (restored_files & 1 << removed++) {
             ck_assert(g_file_set_contents(p->names[i], p->contents[i], (gssize)p->sizes[i], NULL));
         }
     }
@@ -570,37 +570,37 @@
 
 /* Truncates the log over several files with a power loss at one step. False if the truncation has
    fewer steps. */
-static bool cut_back(int step, int which) {
+static bool truncate_with_power_loss(int step, int restored_files) {
     enum {
         ENTRIES = 40, /* ten entries in a log file */
         KEPT = 14
     };
-    power p = {.refuse = {.fail_at = step, .num = 1000, .failure = EIO}};
+    power_loss p = {.fault = {.fail_at = step, .num = 1000, .failure = EIO}};
     GError* error = NULL;
-    fresh_folder();
+    create_folder();
     wgs_store* store = open_store(&error);
     append(store, 1, ENTRIES, 1);
     _wgs_set_fault(lose_power, &p);
-    bool over = wgs_truncate(store, KEPT + 1, NULL);
+    bool finished = wgs_truncate(store, KEPT + 1, NULL);
     _wgs_set_fault(NULL, NULL);
     wgs_close(store);
-    bring_back(&p, which);
+    restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, which,
+    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, restored_files,
                   error ? error->message : "");
     ck_assert_int_ge(wgs_query_content(store)->restored.entries_num, KEPT);
     wgs_close(store);
     remove_folder();
-    return !over;
+    return !finished;
 }
 
 START_TEST(a_power_cut_while_the_log_is_cut_back) {
     enum {
         COMBINATIONS = 8 /* subsets of three removed files */
     };
-    for (int which = 0; which < COMBINATIONS; which++) {
-        for (int step = 1; cut_back(step, which); step++) {
+    for (int restored_files = 0; restored_files < COMBINATIONS; restored_files++) {
+        for (int step = 1; truncate_with_power_loss(step, restored_files); step++) {
         }
     }
 }
@@ -608,45 +608,46 @@
 
 /* Stores a snapshot with a power loss at one step: of entries in the log, or with `reset` the
    leader's in place of the log. False if storing has fewer steps. */
-static bool take_snapshot(int step, int which, bool reset) {
+static bool snapshot_with_power_loss(int step, int restored_files, bool reset) {
     enum {
         ENTRIES = 40,
-        OWN = 36,
-        LEADERS = 100
+        OWN_INDEX = 36,
+        LEADER_INDEX = 100
     };
-    power p = {.refuse = {.fail_at = step, .num = 1000, .failure = EIO}};
+    power_loss p = {.fault = {.fail_at = step, .num = 1000, .failure = EIO}};
     GError* error = NULL;
-    fresh_folder();
+    create_folder();
     wgs_store* store = open_store(&error);
     append(store, 1, ENTRIES, 1);
     wgr_set set = {.num = 1, .replicas = {{.id = 42, .voter = true}}};
     GBytes* state = g_bytes_new("state", 5);
     _wgs_set_fault(lose_power, &p);
-    bool over = wgs_save_snapshot(store, reset ? LEADERS : OWN, 1, &set, state, reset, NULL);
+    bool finished =
+        wgs_save_snapshot(store, reset ? LEADER_INDEX : OWN_INDEX, 1, &set, state, reset, NULL);
     _wgs_set_fault(NULL, NULL);
     wgs_close(store);
     g_bytes_unref(state);
-    bring_back(&p, which);
+    restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, which,
+    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, restored_files,
                   error ? error->message : "");
     const wgr_restored* found = &wgs_query_content(store)->restored;
     uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index : 0;
     ck_assert_uint_ge(MAX(last, found->snapshot_index), ENTRIES);
     wgs_close(store);
     remove_folder();
-    return !over;
+    return !finished;
 }
 
 START_TEST(a_power_cut_while_a_snapshot_is_stored) {
     enum {
         COMBINATIONS = 16 /* subsets of four removed files */
     };
-    for (int which = 0; which < COMBINATIONS; which++) {
-        for (int step = 1; take_snapshot(step, which, false); step++) {
+    for (int restored_files = 0; restored_files < COMBINATIONS; restored_files++) {
+        for (int step = 1; snapshot_with_power_loss(step, restored_files, false); step++) {
         }
-        for (int step = 1; take_snapshot(step, which, true); step++) {
+        for (int step = 1; snapshot_with_power_loss(step, restored_files, true); step++) {
         }
     }
 }
@@ -654,7 +655,7 @@
 
 /* A folder in use by another process is not reported as a temporary disk error. */
 START_TEST(a_folder_in_use_is_not_waited_for) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert_ptr_null(open_store(&error));
