--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -470,11 +470,13 @@
             create_folder();
             _wgs_set_fault(fault, &r);
             ck_assert(!use_store(&a, &error));
-            ck_assert_msg(error->code == WG_ERROR_DISK, "at %d: %s", at, error->message);
+            ck_assert_msg(error->code == WG_ERROR_DISK, "failed operation %d: %s", at,
+                          error->message);
             g_clear_error(&error);
             _wgs_set_fault(NULL, NULL);
             wgs_store* store = open_store(&error);
-            ck_assert_msg(store != NULL, "at %d: %s", at, error ? error->message : "");
+            ck_assert_msg(store != NULL, "failed operation %d: %s", at,
+                          error ? error->message : "");
             const wgs_content* content = wgs_query_content(store);
             const wgr_restored* found = &content->restored;
             uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index
@@ -587,8 +589,8 @@
     restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, restored_files,
-                  error ? error->message : "");
+    ck_assert_msg(store != NULL, "power loss at step %d, restored files %d: %s", step,
+                  restored_files, error ? error->message : "");
     ck_assert_int_ge(wgs_query_content(store)->restored.entries_num, KEPT);
     wgs_close(store);
     remove_folder();
@@ -630,8 +632,8 @@
     restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, restored_files,
-                  error ? error->message : "");
+    ck_assert_msg(store != NULL, "power loss at step %d, restored files %d: %s", step,
+                  restored_files, error ? error->message : "");
     const wgr_restored* found = &wgs_query_content(store)->restored;
     uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index : 0;
     ck_assert_uint_ge(MAX(last, found->snapshot_index), ENTRIES);
