--- a/tests/local_control.h
+++ b/tests/local_control.h
@@ -96,63 +96,64 @@
     uint64_t read_version;       /* configuration version in the last order answer; 0: none */
 } local_entry;
 
-static inline void local_entry_report(local_entry* f) {
+static inline void local_entry_report(local_entry* entry) {
     Wgpb__EntryReport report = WGPB__ENTRY_REPORT__INIT;
     report.seq = 1;
     report.ready = true;
-    report.members_change = f->members_change;
-    report.configuration_version = f->configuration_version;
-    report.registry_change = f->registry_change;
-    report.state_seen = f->state_seen;
-    report.quarantine_change = f->quarantine_change;
-    wgn_send(f->net, f->link, WGW_TYPE_ENTRY_REPORT, &report.base);
+    report.members_change = entry->members_change;
+    report.configuration_version = entry->configuration_version;
+    report.registry_change = entry->registry_change;
+    report.state_seen = entry->state_seen;
+    report.quarantine_change = entry->quarantine_change;
+    wgn_send(entry->net, entry->link, WGW_TYPE_ENTRY_REPORT, &report.base);
 }
 
-static inline void local_entry_apply_state(local_entry* f, const Wgpb__EntryState* in) {
-    f->leads = in->leads;
-    wg_copy_name(f->leader, sizeof f->leader, in->leader_address);
-    if (in->leads && in->members_change != f->members_change) {
-        f->members_change = in->members_change;
-        f->members = in->members_reset ? 0 : MAX(f->members, 0);
-        f->members += (int)in->n_members - (int)in->n_members_left;
+static inline void local_entry_apply_state(local_entry* entry, const Wgpb__EntryState* in) {
+    entry->leads = in->leads;
+    wg_copy_name(entry->leader, sizeof entry->leader, in->leader_address);
+    if (in->leads && in->members_change != entry->members_change) {
+        entry->members_change = in->members_change;
+        entry->members = in->members_reset ? 0 : MAX(entry->members, 0);
+        entry->members += (int)in->n_members - (int)in->n_members_left;
     }
-    f->state_seen = in->seq;
-    f->states_received++;
-    f->targets += (int)in->n_targets;
+    entry->state_seen = in->seq;
+    entry->states_received++;
+    entry->targets += (int)in->n_targets;
     for (size_t i = 0; i < in->n_targets; i++) {
-        f->cold_reported = f->cold_reported || in->targets[i]->cold_us > 0;
+        entry->cold_reported = entry->cold_reported || in->targets[i]->cold_us > 0;
     }
-    if (in->leads && in->quarantine_change != f->quarantine_change) {
-        f->quarantine_change = in->quarantine_change;
-        f->quarantined = (int)in->n_quarantined;
+    if (in->leads && in->quarantine_change != entry->quarantine_change) {
+        entry->quarantine_change = in->quarantine_change;
+        entry->quarantined = (int)in->n_quarantined;
     }
-    if (in->registry_change != f->registry_change) {
-        f->registry_change = in->registry_change;
-        f->evacuated = (int)in->n_evacuated;
+    if (in->registry_change != entry->registry_change) {
+        entry->registry_change = in->registry_change;
+        entry->evacuated = (int)in->n_evacuated;
     }
 }
 
-static inline void local_entry_record_configuration(local_entry* f, const Wgpb__Configuration* in) {
-    f->configuration_version = in->version;
-    f->configuration_base = in->base_version;
-    f->configuration_bytes = in->packed.len;
+static inline void local_entry_record_configuration(local_entry* entry,
+                                                    const Wgpb__Configuration* in) {
+    entry->configuration_version = in->version;
+    entry->configuration_base = in->base_version;
+    entry->configuration_bytes = in->packed.len;
 }
 
 static inline void local_entry_on_frame(wgn_link link, const wgw_frame* frame, void* user_data) {
     (void)link;
-    local_entry* f = user_data;
+    local_entry* entry = user_data;
     if (frame->type == WGW_TYPE_ENTRY_STATE) {
         Wgpb__EntryState* in = wgpb__entry_state__unpack(NULL, frame->size, frame->payload);
-        local_entry_apply_state(f, in);
+        local_entry_apply_state(entry, in);
         wgpb__entry_state__free_unpacked(in, NULL);
     } else if (frame->type == WGW_TYPE_CONFIGURATION) {
         Wgpb__Configuration* in = wgpb__configuration__unpack(NULL, frame->size, frame->payload);
-        local_entry_record_configuration(f, in);
+        local_entry_record_configuration(entry, in);
         wgpb__configuration__free_unpacked(in, NULL);
     } else if (frame->type == WGW_TYPE_ORDER_ANSWER) {
         Wgpb__OrderAnswer* in = wgpb__order_answer__unpack(NULL, frame->size, frame->payload);
-        f->outcome = (int)in->outcome;
-        f->read_version = in->configuration ? in->configuration->version : 0;
+        entry->outcome = (int)in->outcome;
+        entry->read_version = in->configuration ? in->configuration->version : 0;
         wgpb__order_answer__free_unpacked(in, NULL);
     }
 }
@@ -160,34 +161,34 @@
 static inline void local_entry_on_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
-    local_entry* f = user_data;
-    f->connected = true;
-    local_entry_report(f);
+    local_entry* entry = user_data;
+    entry->connected = true;
+    local_entry_report(entry);
 }
 
 static inline void local_entry_on_down(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
     (void)peer;
-    local_entry* f = user_data;
-    f->connected = false;
-    f->state_seen = 0;
-    f->leads = false;
-    f->link = (wgn_link){0};
+    local_entry* entry = user_data;
+    entry->connected = false;
+    entry->state_seen = 0;
+    entry->leads = false;
+    entry->link = (wgn_link){0};
 }
 
-static inline void local_entry_setup(local_entry* f, int number, const char* control) {
+static inline void local_entry_setup(local_entry* entry, int number, const char* control) {
     wgn_peer self = {.role = WGW_ROLE_ENTRY};
-    f->members = -1;
-    f->outcome = -1;
+    entry->members = -1;
+    entry->outcome = -1;
     g_snprintf(self.name, sizeof self.name, "e%d", number);
     wg_copy_name(self.address, sizeof self.address, "127.0.0.1:1");
-    f->net = wgn_setup(&(wgn_desc){.base = f->base,
-                                   .fleet_key = "a key for the fleet",
-                                   .self = self,
-                                   .on_up = local_entry_on_up,
-                                   .on_frame = local_entry_on_frame,
-                                   .on_down = local_entry_on_down,
-                                   .user_data = f},
-                       NULL);
-    f->link = wgn_dial(f->net, control);
+    entry->net = wgn_setup(&(wgn_desc){.base = entry->base,
+                                       .fleet_key = "a key for the fleet",
+                                       .self = self,
+                                       .on_up = local_entry_on_up,
+                                       .on_frame = local_entry_on_frame,
+                                       .on_down = local_entry_on_down,
+                                       .user_data = entry},
+                           NULL);
+    entry->link = wgn_dial(entry->net, control);
 }
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -190,8 +190,8 @@
 }
 END_TEST
 
-/* Replicas that were named as gone come back with their disks: no host follows them, and no change
-   committed since the recovery is lost. */
+/* Replicas that were named as failed come back with their disks: no host follows them, and no
+   change committed since the recovery is lost. */
 START_TEST(a_former_majority_that_comes_back_is_kept_out) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -213,7 +213,7 @@
 }
 END_TEST
 
-/* Replicas that were named as gone elect a leader among themselves while the recovered replica is
+/* Replicas that were named as failed elect a leader among themselves while the recovered replica is
    stalled: no host may follow that leader. */
 START_TEST(a_former_majority_finds_no_host_to_follow_it) {
     struct event_base* base = event_base_new();
