--- a/tests/local_control.h
+++ b/tests/local_control.h
@@ -31,7 +31,7 @@
 }
 
 /* Fills in the settings of a control that is the only seed of a first start. Returns the address
-   that it listens on, valid until the next call. */
+   that it listens on. */
 static inline const char* local_control_settings(wgco_settings* settings, char* folder) {
     static char* seeds[3]; /* one seed, space for a second and the terminating NULL */
     static char* none[1];
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -54,8 +54,8 @@
     g_rmdir(folder);
 }
 
-/* Runs the loop, connecting as needed, until the control leads; false if it does not within TURNS.
- */
+/* Runs the loop, connecting as needed, until the control leads; false after TURNS without a
+   leader. */
 static bool wait_for_leadership(void) {
     for (int i = 0; i < TURNS && !entry.leads; i++) {
         if (!entry.link.id && i % CONNECT_TURNS == 0) {
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -296,7 +296,7 @@
             votes =
                 votes || (set->replicas[i].name[1] == '0' + unresponsive && set->replicas[i].voter);
         }
-        ck_assert_msg(votes, "seed %d: voter lost its vote", seed);
+        ck_assert_msg(votes, "seed %d: unresponsive voter lost its vote", seed);
         simq_shutdown(run);
     }
 }
