--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -1,5 +1,5 @@
-/* test_control_disk.c -- a replica whose disk takes no writes stands aside and comes back, with a
-   control that runs within the test */
+/* test_control_disk.c -- a control whose disk fails writes gives up leadership and recovers when
+   the disk works again; the control runs within the test process */
 #include <errno.h>
 #include <glib/gstdio.h>
 #include <stdlib.h>
@@ -10,8 +10,8 @@
 #include "wg_store_file.h"
 
 enum {
-    TURNS = 4000, /* of the loop, a millisecond each, before something counts as missing */
-    ORDER_EVERY = 50
+    TURNS = 4000, /* loop turns of 1 ms to wait for an expected event */
+    CONNECT_TURNS = 50
 };
 
 static struct event_base* base;
@@ -21,19 +21,19 @@
 static wgco_control* control;
 static local_entry entry;
 
-static int failure; /* errno of all writes; 0: they work */
-static int passes;  /* so many of them work before */
+static int failure;     /* errno of failing disk operations; 0: none fails */
+static int passes_left; /* disk operations that succeed before the first failure */
 
-static int refuse(_wgs_change change, void* user_data) {
+static int fault(_wgs_change change, void* user_data) {
     (void)change;
     (void)user_data;
-    return passes-- > 0 ? 0 : failure;
+    return passes_left-- > 0 ? 0 : failure;
 }
 
 static void fail_with(int error, int after) {
     failure = error;
-    passes = after;
-    _wgs_set_fault(error ? refuse : NULL, NULL);
+    passes_left = after;
+    _wgs_set_fault(error ? fault : NULL, NULL);
 }
 
 static void begin(void) {
@@ -54,13 +54,14 @@
     g_rmdir(folder);
 }
 
-/* Turn the loop, connected, until the control leads; false when it does not. */
-static bool lead(void) {
+/* Runs the loop, connecting as needed, until the control leads; false after TURNS without a
+   leader. */
+static bool wait_for_leadership(void) {
     for (int i = 0; i < TURNS && !entry.leads; i++) {
-        if (!entry.link.id && i % ORDER_EVERY == 0) {
+        if (!entry.link.id && i % CONNECT_TURNS == 0) {
             entry.link = wgn_dial(entry.net, listen_at);
         }
-        if (entry.up && i % ORDER_EVERY == 0) {
+        if (entry.connected && i % CONNECT_TURNS == 0) {
             local_entry_report(&entry);
         }
         local_turn(base);
@@ -68,11 +69,11 @@
     return entry.leads;
 }
 
-static void begin_led(void) {
+static void begin_as_leader(void) {
     begin();
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
-    ck_assert(lead());
+    local_entry_setup(&entry, 1, listen_at);
+    ck_assert(wait_for_leadership());
 }
 
 static void order(uint64_t version, bool read) {
@@ -94,7 +95,7 @@
     return entry.outcome;
 }
 
-static void put(uint64_t version) {
+static void put_version(uint64_t version) {
     order(version, false);
     ck_assert_int_eq(outcome_within(TURNS), WG_ORDER_DONE);
 }
@@ -105,30 +106,31 @@
     return entry.read_version;
 }
 
-/* Whatever write fails, and however: nothing is acknowledged that is not on the disk, the process
-   goes on, and what was acknowledged is there when the disk takes writes again. */
+/* Whichever write fails, only changes that are on the disk are acknowledged, the process keeps
+   running, and all acknowledged changes are there when the disk works again. */
 START_TEST(it_stands_aside_while_the_disk_takes_no_writes) {
     static const int failures[] = {ENOSPC, EIO, EROFS};
     for (size_t kind = 0; kind < G_N_ELEMENTS(failures); kind++) {
         for (int after = 0; after < 4; after++) {
-            begin_led();
-            put(10);
+            begin_as_leader();
+            put_version(10);
             fail_with(failures[kind], after);
             order(20, false);
-            bool done = outcome_within(200) == WG_ORDER_DONE; /* it may just have come through */
+            bool done =
+                outcome_within(200) == WG_ORDER_DONE; /* possible if the first writes succeed */
             order(21, false);
             ck_assert_int_ne(outcome_within(200), WG_ORDER_DONE);
             ck_assert(!wgco_failed(control));
             for (int i = 0; i < 300; i++) {
-                local_turn(base); /* some tries to start again fail */
+                local_turn(base); /* several attempts to reopen the folder fail */
             }
             ck_assert(!wgco_failed(control));
             ck_assert(!entry.leads);
             fail_with(0, 0);
-            ck_assert(lead());
+            ck_assert(wait_for_leadership());
             uint64_t version = read_version();
             ck_assert(version >= (done ? 20 : 10) && version <= 21);
-            put(30);
+            put_version(30);
             ck_assert_uint_eq(read_version(), 30);
             end();
         }
@@ -136,11 +138,12 @@
 }
 END_TEST
 
+/* A control that starts on a failing disk leads once the disk works. */
 START_TEST(it_starts_once_the_disk_takes_writes) {
     fail_with(ENOSPC, 0);
     begin();
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
+    local_entry_setup(&entry, 1, listen_at);
     for (int i = 0; i < 300; i++) {
         local_turn(base);
     }
@@ -150,13 +153,13 @@
     ck_assert(json_object_get(dump, "disk_takes_no_writes_for_ms") != NULL);
     json_decref(dump);
     fail_with(0, 0);
-    ck_assert(lead());
-    put(10);
+    ck_assert(wait_for_leadership());
+    put_version(10);
     end();
 }
 END_TEST
 
-/* A planned stop does not wait for the disk. */
+/* A planned stop does not wait for a failing disk. */
 START_TEST(it_can_be_stopped_meanwhile) {
     fail_with(EROFS, 0);
     begin();
@@ -165,15 +168,15 @@
     ck_assert(!wgco_failed(control));
     fail_with(0, 0);
     entry = (local_entry){.base = base};
-    local_entry_begin(&entry, 1, listen_at);
+    local_entry_setup(&entry, 1, listen_at);
     end();
 }
 END_TEST
 
-/* Damage is not waited for. */
+/* A damaged data file ends the process instead of being retried. */
 START_TEST(a_damaged_folder_ends_the_process) {
-    begin_led();
-    put(10);
+    begin_as_leader();
+    put_version(10);
     fail_with(EIO, 0);
     order(20, false);
     outcome_within(100);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -1,15 +1,15 @@
-/* test_document.c -- documents packed whole and as differences */
+/* test_document.c -- documents packed complete and as differences to a base */
 #include <string.h>
 
 #include "wg_document.h"
 #include "wg_test.h"
 
 enum {
-    ROUTES = 1400, /* of a configuration of some 300 KB */
+    ROUTES = 1400, /* routes of a configuration of some 300 KB */
     ROUTES_MANY = 18000
 };
 
-/* A configuration whose route `changed` has another time-out; -1: none has. */
+/* A configuration whose route `changed` has a different time-out; -1: no route. */
 static GBytes* document(int routes, int changed) {
     GString* out = g_string_new("{\"version\":7,\"routes\":[");
     for (int i = 0; i < routes; i++) {
@@ -31,11 +31,11 @@
     return wg_document_unpack(data, size, base, error);
 }
 
-static void expect_round_trip(GBytes* whole, GBytes* base) {
-    GBytes* packed = wg_document_pack(whole, base);
+static void expect_round_trip(GBytes* complete, GBytes* base) {
+    GBytes* packed = wg_document_pack(complete, base);
     GBytes* back = unpack(packed, base, NULL);
     ck_assert_ptr_nonnull(back);
-    ck_assert(g_bytes_equal(back, whole));
+    ck_assert(g_bytes_equal(back, complete));
     g_bytes_unref(back);
     g_bytes_unref(packed);
 }
@@ -56,12 +56,12 @@
 END_TEST
 
 START_TEST(a_whole_document_shrinks) {
-    GBytes* whole = document(ROUTES, -1);
-    GBytes* packed = wg_document_pack(whole, NULL);
-    ck_assert_int_lt(g_bytes_get_size(packed) * 4, g_bytes_get_size(whole));
-    expect_round_trip(whole, NULL);
+    GBytes* complete = document(ROUTES, -1);
+    GBytes* packed = wg_document_pack(complete, NULL);
+    ck_assert_int_lt(g_bytes_get_size(packed) * 4, g_bytes_get_size(complete));
+    expect_round_trip(complete, NULL);
     g_bytes_unref(packed);
-    g_bytes_unref(whole);
+    g_bytes_unref(complete);
     GBytes* empty = g_bytes_new(NULL, 0);
     expect_round_trip(empty, NULL);
     g_bytes_unref(empty);
@@ -87,10 +87,10 @@
     expect_refused(data, 0, before);
     uint8_t* copy = g_memdup2(data, size);
     for (gsize i = 0; i < size; i++) {
-        expect_refused(data, i, before); /* cut */
+        expect_refused(data, i, before); /* truncated */
         copy[i] ^= 0x10;
         GBytes* back = wg_document_unpack(copy, size, before, NULL);
-        ck_assert(!back || g_bytes_equal(back, after)); /* a few bits of the head mean nothing */
+        ck_assert(!back || g_bytes_equal(back, after)); /* some header bits are unused */
         g_clear_pointer(&back, g_bytes_unref);
         copy[i] ^= 0x10;
     }
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -1,5 +1,6 @@
-/* test_leader_links.c -- how entry hosts find the leader, and what a new leader tells them, with an
-   entry host or a control that runs within the test */
+/* test_leader_links.c -- how entry hosts find the leader, and what a new leader sends them
+
+   An entry host or a control runs within the test process. */
 #include <glib/gstdio.h>
 #include <stdlib.h>
 #include <sys/socket.h>
@@ -17,10 +18,10 @@
 #include "wg_test.h"
 
 enum {
-    TURNS = 2000, /* of the loop, a millisecond each, before something counts as missing */
-    PLAYS_MOST = 20,
-    LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC, /* that a host waits where no leader is known */
-    SETTLE_TIME = 1500 * WG_USEC_PER_MSEC     /* of a new leader, for all to report to it */
+    TURNS = 2000, /* loop turns of 1 ms to wait for an expected event */
+    ATTEMPTS_MAX = 20,
+    LEADERLESS_TIME = 300 * WG_USEC_PER_MSEC, /* stay with a control that knows no leader */
+    SETTLE_TIME = 1500 * WG_USEC_PER_MSEC     /* time that hosts get to report to a new leader */
 };
 
 static struct event_base* base;
@@ -33,9 +34,9 @@
     local_turn(base);
 }
 
-/* The host is with a follower that knows no leader, for the time given. How long it was really
-   there, since a process that gets no time to run stays longer. Microseconds. */
-static wg_time wait_at(const fake_control* follower, wg_time since, int ms) {
+/* Runs the loop for `ms` while the host is connected to a follower that knows no leader. Returns
+   the time since `since` in microseconds, which is longer if the process stalled. */
+static wg_time wait_connected(const fake_control* follower, wg_time since, int ms) {
     wg_time now;
     do {
         turn();
@@ -45,9 +46,9 @@
     return now - since;
 }
 
-/* One play of the test below. False when this process stood still for as long as the host waits, so
-   that it says nothing. */
-static bool waits_for_word_of_a_leader(void) {
+/* One attempt of the test below. False if this process stalled for as long as the host waits, so
+   that the attempt proves nothing. */
+static bool host_waits_for_leader(void) {
     fake_control follower;
     fake_control leader;
     begin();
@@ -61,7 +62,7 @@
     ck_assert_int_eq(follower.links_up, 1);
     wg_time since = wg_now();
     fake_control_send_leader(&follower, NULL);
-    bool in_time = wait_at(&follower, since, 100) < LEADERLESS_TIME;
+    bool in_time = wait_connected(&follower, since, 100) < LEADERLESS_TIME;
     if (in_time) {
         ck_assert_int_eq(follower.links_down, 0);
         fake_control_send_leader(&follower, leader.address);
@@ -79,17 +80,17 @@
     return in_time;
 }
 
-/* A control that knows no leader yet hears of one sooner than the host finds one by asking others
-   in turn. */
+/* An entry host stays connected for LEADERLESS_TIME to a control that knows no leader, since the
+   control learns of a new leader sooner than the host finds it by connecting to others. */
 START_TEST(an_entry_host_waits_where_no_leader_is_known_yet) {
-    int plays = 0;
-    while (!waits_for_word_of_a_leader()) {
-        ck_assert_int_lt(plays++, PLAYS_MOST);
+    int attempts = 0;
+    while (!host_waits_for_leader()) {
+        ck_assert_int_lt(attempts++, ATTEMPTS_MAX);
     }
 }
 END_TEST
 
-/* An entry host at a seed names controls and will never lead: nothing is waited for there. */
+/* A seed address may belong to an entry host, which never leads: no wait there. */
 START_TEST(an_entry_host_does_not_wait_at_another_one) {
     fake_control other;
     begin();
@@ -110,7 +111,8 @@
 }
 END_TEST
 
-/* It may be cut off from the others: after a while another one is asked. */
+/* A control that learns of no leader may be partitioned: the host disconnects after
+   LEADERLESS_TIME. */
 START_TEST(a_control_that_hears_of_no_leader_is_left) {
     fake_control follower;
     begin();
@@ -130,22 +132,22 @@
 }
 END_TEST
 
-/* ---- what targets hold -------------------------------------------------------------------------
+/* ---- cache lists of targets -------------------------------------------------------------------
  */
 
 enum {
-    LISTS_FAILED_FIRST = 1 /* answers with an error before the list is told */
+    LISTS_FAILED_FIRST = 1 /* error answers before the list is returned */
 };
 
-static int lists_asked;
+static int lists_requested;
 
-static void on_list(struct evhttp_request* request, void* user_data) {
+static void on_list_request(struct evhttp_request* request, void* user_data) {
     (void)user_data;
-    lists_asked++;
+    lists_requested++;
     const char* expected =
         evhttp_find_header(evhttp_request_get_input_headers(request), "Walnutgate-Expect-Target");
     ck_assert_str_eq(expected ? expected : "", "t-1");
-    if (lists_asked <= LISTS_FAILED_FIRST) {
+    if (lists_requested <= LISTS_FAILED_FIRST) {
         evhttp_send_reply(request, 503, "busy", NULL);
         return;
     }
@@ -155,16 +157,16 @@
     evbuffer_free(out);
 }
 
-static const char one_engine[] =
+static const char engine_document[] =
     "{\"version\":1,\"services\":[{\"name\":\"e\",\"engine\":{\"slots\":4,"
     "\"memory_tokens\":1000}}],\"routes\":[],\"limits\":{},\"workspaces\":[]}";
 
-static void fake_leads(fake_control* f, const char* target) {
-    fake_control_send_leader_state(
-        f, &(fake_update){.version = 1, .document = one_engine, .target = target});
+static void send_leader_state(fake_control* f, const char* target) {
+    fake_control_send_leader_state(f,
+                       &(fake_update){.version = 1, .document = engine_document, .target = target});
 }
 
-/* Who begins to coordinate a target asks it what it holds: once, and again when that fails. */
+/* A new coordinator of a target requests its cache list once, and again after a failed request. */
 START_TEST(a_coordinator_asks_its_targets_what_they_hold) {
     fake_control leader;
     begin();
@@ -175,24 +177,24 @@
     wgn_split_address(target, ip, &port);
     struct evhttp* http = evhttp_new(base);
     ck_assert_int_eq(evhttp_bind_socket(http, ip, port), 0);
-    evhttp_set_cb(http, "/v1/cache", on_list, NULL);
+    evhttp_set_cb(http, "/v1/cache", on_list_request, NULL);
     char* seeds[] = {leader.address, NULL};
-    lists_asked = 0;
+    lists_requested = 0;
     wg_entry* entry = fake_control_entry(base, seeds);
-    for (int i = 0; i < TURNS && lists_asked <= LISTS_FAILED_FIRST; i++) {
+    for (int i = 0; i < TURNS && lists_requested <= LISTS_FAILED_FIRST; i++) {
         turn();
         if (leader.links_up > 0 && i % 100 == 0) {
-            fake_leads(&leader, target);
+            send_leader_state(&leader, target);
         }
     }
-    ck_assert_int_eq(lists_asked, LISTS_FAILED_FIRST + 1);
+    ck_assert_int_eq(lists_requested, LISTS_FAILED_FIRST + 1);
     for (int i = 0; i < 900; i++) {
         turn();
         if (i % 100 == 0) {
-            fake_leads(&leader, target);
+            send_leader_state(&leader, target);
         }
     }
-    ck_assert_int_eq(lists_asked, LISTS_FAILED_FIRST + 1);
+    ck_assert_int_eq(lists_requested, LISTS_FAILED_FIRST + 1);
     wg_entry_shutdown(entry);
     evhttp_free(http);
     fake_control_end(&leader);
@@ -201,7 +203,7 @@
 }
 END_TEST
 
-/* ---- orders that a leader does not take ---------------------------------------------------------
+/* ---- orders that a leader refuses -------------------------------------------------------------
  */
 
 static int order_status;
@@ -211,13 +213,11 @@
     order_status = request ? evhttp_request_get_response_code(request) : -1;
 }
 
-/* A leader that was late finds its lease over, refuses an order, and has its lease again a moment
-   later, before it told anybody that it led no more. The host still takes it for the leader, so no
-   other word would have the order sent again: it was held for its whole time and answered 503, as
-   operators' changes were while every process of the fleet stood still now and then. */
+/* A stalled leader may refuse an order and then renew its lease without announcing that it lost it.
+   The host must send the order again, or the operator's request fails with 503. */
 START_TEST(an_order_that_was_refused_is_sent_again) {
     enum {
-        ORDER_TURNS = 600 /* of a millisecond; the order's own time is 900 */
+        ORDER_TURNS = 600 /* loop turns of 1 ms, fewer than the 900 ms time-out of the order */
     };
     fake_control leader;
     begin();
@@ -227,8 +227,8 @@
     for (int i = 0; i < TURNS && leader.reports == 0; i++) {
         turn();
     }
-    fake_control_send_leader_state(
-        &leader, &(fake_update){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
+    fake_control_send_leader_state(&leader,
+                       &(fake_update){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
     for (int i = 0; i < 100; i++) {
         turn();
     }
@@ -272,8 +272,8 @@
 }
 END_TEST
 
-/* After a restart of the whole fleet hosts learn of each other as they come. One that knows a list
-   is told of a new leader's only once all could report: a short one would send callers away. */
+/* A host without a member list gets each list at once. A host that has a list gets the new leader's
+   only after SETTLE_TIME, since an incomplete list would redirect callers. */
 START_TEST(hosts_that_know_no_others_are_told_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
@@ -285,11 +285,11 @@
     ck_assert_msg(control != NULL, "%s", error ? error->message : "");
     local_entry first = {.base = base};
     local_entry second = {.base = base};
-    local_entry third = {.base = base, .members_change = 77}; /* it has a list of a former leader */
-    local_entry_begin(&first, 1, listen);
-    local_entry_begin(&second, 2, listen);
-    local_entry_begin(&third, 3, listen);
-    wg_time begun = wg_now();
+    local_entry third = {.base = base, .members_change = 77}; /* has a list of a previous leader */
+    local_entry_setup(&first, 1, listen);
+    local_entry_setup(&second, 2, listen);
+    local_entry_setup(&third, 3, listen);
+    wg_time started_at = wg_now();
     for (int i = 0; i < TURNS && (first.members < 3 || second.members < 3); i++) {
         turn();
         if (i % 100 == 99) {
@@ -300,7 +300,7 @@
     }
     ck_assert_int_eq(first.members, 3);
     ck_assert_int_eq(second.members, 3);
-    ck_assert_int_lt(wg_now() - begun, SETTLE_TIME);
+    ck_assert_int_lt(wg_now() - started_at, SETTLE_TIME);
     ck_assert_int_eq(third.members, -1);
     for (int i = 0; i < 2 * TURNS && third.members < 3; i++) {
         turn();
@@ -311,7 +311,7 @@
         }
     }
     ck_assert_int_eq(third.members, 3);
-    ck_assert_int_ge(wg_now() - begun, SETTLE_TIME);
+    ck_assert_int_ge(wg_now() - started_at, SETTLE_TIME);
     wgn_shutdown(first.net);
     wgn_shutdown(second.net);
     wgn_shutdown(third.net);
@@ -322,8 +322,9 @@
 }
 END_TEST
 
-/* Somebody who takes connections and says nothing, as a host that is just starting. */
-static int mute_listener(const char* where) {
+/* Returns a listening socket that accepts connections and sends nothing, like a host that is just
+   starting. */
+static int unresponsive_listener(const char* where) {
     struct sockaddr_storage at;
     int size;
     int on = 1;
@@ -344,7 +345,7 @@
     return num;
 }
 
-/* A replica that dialled another one too early dials again when that one has come up. */
+/* A control redials a replica that did not answer as soon as that replica connects to it. */
 START_TEST(who_reaches_a_control_is_dialled_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
@@ -353,11 +354,11 @@
     char* other = local_address(22, LOCAL_FLEET_PORT);
     settings.seeds[1] = other;
     begin();
-    int mute = mute_listener(other);
+    int unresponsive = unresponsive_listener(other);
     wgco_control* control = wgco_setup(&(wgco_desc){.base = base, .settings = &settings}, NULL);
     ck_assert_ptr_nonnull(control);
-    ck_assert_int_eq(accepted_within(mute, 300), 1);
-    ck_assert_int_eq(accepted_within(mute, 300), 0); /* it waits for an answer */
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 1);
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 0); /* the control waits for an answer */
     fake_control starting = {0};
     wgn_peer self = {.role = WGW_ROLE_CONTROL, .identity = 5};
     uint16_t port;
@@ -372,10 +373,10 @@
                                          .user_data = &starting},
                              NULL);
     wgn_dial(starting.net, listen_at);
-    ck_assert_int_eq(accepted_within(mute, 300), 1);
+    ck_assert_int_eq(accepted_within(unresponsive, 300), 1);
     wgn_shutdown(starting.net);
     wgco_shutdown(control);
-    close(mute);
+    close(unresponsive);
     event_base_free(base);
     folder_wipe(folder);
     g_rmdir(folder);
@@ -383,14 +384,14 @@
 }
 END_TEST
 
-/* ---- a leader that only sends what it is told to ------------------------------------------------
+/* ---- a scripted leader ------------------------------------------------------------------------
  */
 
 enum {
     LEADER_ID = 5
 };
 
-static uint64_t control_id; /* of the control that was reached */
+static uint64_t control_id; /* identity of the connected control; 0: none */
 
 static void on_control_up(wgn_link link, const wgn_peer* peer, void* user_data) {
     (void)link;
@@ -421,7 +422,8 @@
     ck_assert(wgn_send(net, link, WGW_TYPE_QUORUM, &out.base));
 }
 
-/* A replica whose disk was lost hears of a leader before it knows where that is. */
+/* A replica that lost its disk learns of a leader before it knows its address: hosts get the leader
+   only once the address is known. */
 START_TEST(hosts_are_told_where_the_leader_is_once_that_is_known) {
     static const char leader[] = "10.9.8.7:17000";
     char folder[] = "/tmp/wg-links-XXXXXX";
@@ -444,9 +446,9 @@
                              NULL);
     wgn_link link = wgn_dial(net, listen_at);
     local_entry host = {.base = base};
-    local_entry_begin(&host, 1, listen_at);
+    local_entry_setup(&host, 1, listen_at);
     control_id = 0;
-    for (int i = 0; i < TURNS && (!control_id || !host.up); i++) {
+    for (int i = 0; i < TURNS && (!control_id || !host.connected); i++) {
         turn();
     }
     send_quorum(net, link, WGR_MESSAGE_APPEND, "");
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -1,9 +1,7 @@
-/* test_lost_majority.c -- real processes: the majority of the replicas is lost for good, then every
-   host starts anew
+/* test_lost_majority.c -- real processes: a majority of the replicas is lost for good
 
-   What users saw, and the evidence: see test_entry_standby.c. Here the replica that is left holds
-   the configuration and the targets; each host has to serve callers by it, and says 503 to whoever
-   reads the configuration, since nobody can be sure of the newest. */
+   Guards against hosts that do not serve from the remaining replica, and against a forced recovery
+   that loses committed changes or lets the previous majority lead again. */
 #include <errno.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -14,15 +12,15 @@
 enum {
     HOSTS = 3,
     TARGETS = 1,
-    SERVE_MS = 12000,    /* from the start of the hosts; they wait 3 s for a leader here */
-    RECOVERY_MS = 12000, /* until the configuration is read back */
-    JOIN_MS = 4000,      /* for emptied replicas to get their votes */
-    AGAIN_MS = 300,
-    LEASE_MS = 1000, /* the replica that is left may lead for 0.4 s more */
-    FORM_MS = 30000
+    SERVE_MS = 12000,    /* time for a restarted host to serve; includes standby_ms */
+    RECOVERY_MS = 12000, /* time until the configuration can be read */
+    JOIN_MS = 4000,      /* time for wiped replicas to get their votes */
+    POLL_MS = 300,
+    LEASE_MS = 1000, /* longer than the lease of the remaining replica */
+    STARTUP_MS = 30000
 };
 
-static void end(pid_t* pid) {
+static void kill_and_wait(pid_t* pid) {
     kill(*pid, SIGKILL);
     while (waitpid(*pid, NULL, 0) < 0 && errno == EINTR) {
     }
@@ -38,10 +36,10 @@
         hosts_start_entry(h, &h->hosts[i]);
     }
     h->started_before = true;
-    ck_assert(hosts_put_until(h, 1, FORM_MS));
+    ck_assert(hosts_put_until(h, 1, STARTUP_MS));
     hosts_start_target(h, &h->targets[0]);
     for (int i = 0; i < HOSTS; i++) {
-        ck_assert(hosts_serves_until(h, &h->hosts[i], FORM_MS));
+        ck_assert(hosts_serves_until(h, &h->hosts[i], STARTUP_MS));
     }
 }
 
@@ -54,10 +52,10 @@
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
-    /* Two disks are lost at once: more than three replicas bear. One after the other, the first is
-       in the set again before the second one goes. */
+    /* Both replicas end before one is restarted: restarted in turn, the first would be in the set
+       again before the second one ends. */
     for (int i = 1; i < HOSTS; i++) {
-        end(&h.hosts[i].replica);
+        kill_and_wait(&h.hosts[i].replica);
         hosts_wipe(&h, &h.hosts[i]);
     }
     for (int i = 1; i < HOSTS; i++) {
@@ -65,7 +63,7 @@
     }
     hosts_run_for(&h, LEASE_MS);
     for (int i = 0; i < HOSTS; i++) {
-        end(&h.hosts[i].entry);
+        kill_and_wait(&h.hosts[i].entry);
         hosts_start_entry(&h, &h.hosts[i]);
     }
     bool good = true;
@@ -78,10 +76,10 @@
 }
 END_TEST
 
-/* ---- an operator forms the set anew -----------------------------------------------------------
+/* ---- forced recovery by an operator -----------------------------------------------------------
  */
 
-static char* names(const hosts* h, int first, int last) {
+static char* replica_names(const hosts* h, int first, int last) {
     GString* list = g_string_new(NULL);
     for (int i = first; i <= last; i++) {
         g_string_append_printf(list, "%s127.%d.1.%d", i > first ? "," : "", h->part, i);
@@ -89,17 +87,17 @@
     return g_string_free(list, FALSE);
 }
 
-static int form_anew(hosts* h, int first, int last) {
-    char* gone = names(h, first, last);
-    int status = hosts_form_anew(h, &h->hosts[0], gone);
-    g_free(gone);
+static int recover_set(hosts* h, int first, int last) {
+    char* removed = replica_names(h, first, last);
+    int status = hosts_form_anew(h, &h->hosts[0], removed);
+    g_free(removed);
     return status;
 }
 
-/* The others end; `wiped`: without their disks. */
+/* Kills all replicas but the first; `wiped`: their disks are lost too. */
 static void lose_majority(hosts* h, bool wiped) {
     for (int i = 1; i < HOSTS; i++) {
-        end(&h->hosts[i].replica);
+        kill_and_wait(&h->hosts[i].replica);
         if (wiped) {
             hosts_wipe(h, &h->hosts[i]);
         }
@@ -107,27 +105,28 @@
     hosts_run_for(h, LEASE_MS);
 }
 
-/* All that was agreed on is there; the emptied ones join, so that the one that was left may go. */
+/* A forced recovery keeps all committed changes; the wiped replicas join, so that the remaining
+   replica may fail afterwards. */
 START_TEST(an_operator_forms_the_set_anew) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
     lose_majority(&h, true);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_get_until(&h, 1, RECOVERY_MS) && hosts_put_until(&h, 2, RECOVERY_MS);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
     hosts_run_for(&h, JOIN_MS);
     good = good && hosts_put_until(&h, 3, RECOVERY_MS);
-    end(&h.hosts[0].replica);
+    kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 4, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
+    ck_assert_msg(good, "the set was not recovered; logs in %s", h.folder);
 }
 END_TEST
 
-/* Those that were emptied are there already when the set is formed, and came in touch before. */
+/* Wiped replicas that connected before the forced recovery join the recovered set. */
 START_TEST(emptied_replicas_that_wait_join_the_new_set) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -137,17 +136,18 @@
         hosts_start_replica(&h, &h.hosts[i]);
     }
     hosts_run_for(&h, LEASE_MS);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     hosts_run_for(&h, JOIN_MS);
-    end(&h.hosts[0].replica);
+    kill_and_wait(&h.hosts[0].replica);
     good = good && hosts_put_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "the set did not form; logs in %s", h.folder);
+    ck_assert_msg(good, "the set was not recovered; logs in %s", h.folder);
 }
 END_TEST
 
-/* By the command of an operator, who names two controls that are up; the newest log goes on. */
+/* walnutgatectl is given two running controls and recovers the set from the one with the newest
+   log. */
 START_TEST(the_command_finds_the_newest_log) {
     struct event_base* base = event_base_new();
     hosts h;
@@ -155,16 +155,16 @@
     lose_majority(&h, true);
     hosts_start_replica(&h, &h.hosts[1]);
     hosts_run_for(&h, LEASE_MS);
-    char* gone = names(&h, 2, 3);
+    char* removed = replica_names(&h, 2, 3);
     char controls[2 * WG_ADDRESS_MAX];
     g_snprintf(controls, sizeof controls, "--controls=127.%d.9.2:7300,127.%d.9.1:7300", h.part,
                h.part);
-    char* arguments[] = {
-        controls, (char*)"--key-file=operator.key", (char*)"replica", (char*)"form-anew", gone,
-        NULL};
+    char* arguments[] = {controls,         (char*)"--key-file=operator.key",
+                         (char*)"replica", (char*)"form-anew",
+                         removed,          NULL};
     int status = hosts_run_program(&h, "walnutgatectl", "ctl.log", arguments);
     bool good = status == 0 && hosts_put_until(&h, 2, RECOVERY_MS);
-    g_free(gone);
+    g_free(removed);
     finish(&h, base, good);
     ck_assert_msg(good, "exit status %d; logs in %s", status, h.folder);
 }
@@ -174,66 +174,66 @@
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
-    int leads = form_anew(&h, 2, 3);
+    int status_with_leader = recover_set(&h, 2, 3);
     lose_majority(&h, false);
-    int one_named = form_anew(&h, 2, 2);
-    int itself_named = form_anew(&h, 1, 3); /* it is up */
+    int status_one_named = recover_set(&h, 2, 2);
+    int status_running_named = recover_set(&h, 1, 3); /* names a replica that is running */
     hosts_start_replica(&h, &h.hosts[1]);
     bool back = hosts_put_until(&h, 2, RECOVERY_MS);
-    int one_is_up = form_anew(&h, 2, 3);
+    int status_one_up = recover_set(&h, 2, 3);
     finish(&h, base, back);
-    ck_assert_int_eq(leads, 409);
-    ck_assert_int_eq(one_named, 409);
-    ck_assert_int_eq(itself_named, 409);
-    ck_assert_int_eq(one_is_up, 409);
+    ck_assert_int_eq(status_with_leader, 409);
+    ck_assert_int_eq(status_one_named, 409);
+    ck_assert_int_eq(status_running_named, 409);
+    ck_assert_int_eq(status_one_up, 409);
     ck_assert_msg(back, "the majority did not come back; logs in %s", h.folder);
 }
 END_TEST
 
-/* The operator was wrong: both that were named as gone come back with their disks. Nobody follows
-   them, and nothing that was agreed on since is undone. */
+/* Replicas that were named as failed come back with their disks: no host follows them, and no
+   change committed since the recovery is lost. */
 START_TEST(a_former_majority_that_comes_back_is_kept_out) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
     lose_majority(&h, false);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
-    for (int ms = 0; ms < RECOVERY_MS && good; ms += AGAIN_MS) {
-        hosts_run_for(&h, AGAIN_MS);
-        int version = hosts_get_version(&h, &h.hosts[(ms / AGAIN_MS) % HOSTS]);
+    for (int ms = 0; ms < RECOVERY_MS && good; ms += POLL_MS) {
+        hosts_run_for(&h, POLL_MS);
+        int version = hosts_get_version(&h, &h.hosts[(ms / POLL_MS) % HOSTS]);
         good = version == 0 || version >= 2;
     }
     good = good && hosts_put_until(&h, 3, RECOVERY_MS) && hosts_get_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "a former replica was followed; logs in %s", h.folder);
+    ck_assert_msg(good, "a host followed a previous replica; logs in %s", h.folder);
 }
 END_TEST
 
-/* As above, and the replica that went on stands still meanwhile: the former ones have a majority
-   and elect a leader, which looks for hosts. */
+/* Replicas that were named as failed elect a leader among themselves while the recovered replica is
+   stalled: no host may follow that leader. */
 START_TEST(a_former_majority_finds_no_host_to_follow_it) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
     lose_majority(&h, false);
-    ck_assert_int_eq(form_anew(&h, 2, 3), 200);
+    ck_assert_int_eq(recover_set(&h, 2, 3), 200);
     bool good = hosts_put_until(&h, 2, RECOVERY_MS);
     kill(h.hosts[0].replica, SIGSTOP);
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
     }
-    for (int ms = 0; ms < JOIN_MS; ms += AGAIN_MS) {
-        hosts_run_for(&h, AGAIN_MS);
-        good = good && hosts_get_version(&h, &h.hosts[(ms / AGAIN_MS) % HOSTS]) != 1;
+    for (int ms = 0; ms < JOIN_MS; ms += POLL_MS) {
+        hosts_run_for(&h, POLL_MS);
+        good = good && hosts_get_version(&h, &h.hosts[(ms / POLL_MS) % HOSTS]) != 1;
     }
     kill(h.hosts[0].replica, SIGCONT);
     good = good && hosts_get_until(&h, 2, RECOVERY_MS) && hosts_put_until(&h, 3, RECOVERY_MS);
     finish(&h, base, good);
-    ck_assert_msg(good, "a former replica was followed; logs in %s", h.folder);
+    ck_assert_msg(good, "a host followed a previous replica; logs in %s", h.folder);
 }
 END_TEST
 
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -1,4 +1,4 @@
-/* test_parts.c -- base, wire, settings, claims, members, places */
+/* test_parts.c -- unit tests of base, wire, settings, claims, members and places */
 #include <glib/gstdio.h>
 
 #include "wg_claim.h"
@@ -53,9 +53,9 @@
         wgw_parse parse = wgw_frame_parse(bad, 8, 0, &frame);
         ck_assert(parse == WGW_PARSE_BAD || byte == 3 || byte == 2);
     }
-    uint8_t whole[18] = {0};
-    memcpy(whole, head, sizeof head);
-    ck_assert_int_eq(wgw_frame_parse(whole, sizeof whole, 0, &frame), WGW_PARSE_COMPLETE);
+    uint8_t complete[18] = {0};
+    memcpy(complete, head, sizeof head);
+    ck_assert_int_eq(wgw_frame_parse(complete, sizeof complete, 0, &frame), WGW_PARSE_COMPLETE);
     ck_assert_int_eq(frame.type, WGW_TYPE_REPORT);
     ck_assert_uint_eq(frame.size, 10);
 }
@@ -158,16 +158,16 @@
     ck_assert_int_eq(claim(c, 1, 10, 1000), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 1, 10, 1000), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_RUNNING);
-    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* of somebody else: ignored */
+    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* ignored: attempt 11 does not hold the claim */
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_RUNNING);
     claim_end(c, 1, 10, WG_VERDICT_NOT_RUN);
     ck_assert_int_eq(claim(c, 1, 11, 1000), WGK_OUTCOME_GRANTED);
     claim_end(c, 1, 11, WG_VERDICT_RAN);
-    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* too late */
+    claim_end(c, 1, 11, WG_VERDICT_NOT_RUN); /* ignored: the claim has ended */
     ck_assert_int_eq(claim(c, 1, 12, 1000), WGK_OUTCOME_ENDED);
     ck_assert_int_eq(claim(c, 2, 20, 1050), WGK_OUTCOME_GRANTED);
     ck_assert_int_eq(claim(c, 3, 30, 1050), WGK_OUTCOME_FULL);
-    /* A leader whose clock is behind does not make claims younger. */
+    /* A leader with a slow clock does not extend the retention of claims. */
     ck_assert_int_eq(claim(c, 3, 30, 900), WGK_OUTCOME_FULL);
     ck_assert_int_eq(claim(c, 3, 30, 1101), WGK_OUTCOME_GRANTED);
     Wgpb__ClaimState* state = wgk_dump(c);
@@ -196,17 +196,17 @@
     a.state = WGM_STATE_LEAVING;
     ck_assert_int_eq(wgm_record_heartbeat(m, SECOND, &a), WGM_EVENT_LEAVING);
     a.state = WGM_STATE_UP;
-    wgm_record_heartbeat(m, SECOND, &a); /* a late report of before */
+    wgm_record_heartbeat(m, SECOND, &a); /* a delayed heartbeat from before the drain */
     ck_assert_int_eq(wgm_find(m, "a")->state, WGM_STATE_LEAVING);
-    wgm_member again = member("a", 2, WGM_STATE_UP, "x");
-    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &again), WGM_EVENT_RESTARTED);
+    wgm_member restarted = member("a", 2, WGM_STATE_UP, "x");
+    ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &restarted), WGM_EVENT_RESTARTED);
     ck_assert_int_eq(wgm_record_heartbeat(m, 2 * SECOND, &a), WGM_EVENT_STALE);
     ck_assert_uint_eq(wgm_find(m, "a")->incarnation, 2);
     ck_assert_ptr_null(wgm_tick(m, 5 * SECOND));
     ck_assert_str_eq(wgm_tick(m, 5 * SECOND + 1)->name, "a");
     const wgm_member* list[4];
     ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 0);
-    ck_assert_int_eq(wgm_record_heartbeat(m, 6 * SECOND, &again), WGM_EVENT_UP);
+    ck_assert_int_eq(wgm_record_heartbeat(m, 6 * SECOND, &restarted), WGM_EVENT_UP);
     ck_assert_int_eq(wgm_pick_entry_hosts(m, "w", "x", 0, list, 4), 1);
     wgm_shutdown(m);
 }
@@ -225,9 +225,9 @@
 
 START_TEST(entry_hosts_are_few_near_and_steady) {
     wgm_members* all = twelve_members();
-    wgm_members* less = twelve_members();
+    wgm_members* with_draining = twelve_members();
     wgm_member leaving = member("r3", 1, WGM_STATE_LEAVING, "east");
-    wgm_record_heartbeat(less, 0, &leaving);
+    wgm_record_heartbeat(with_draining, 0, &leaving);
     int moved = 0;
     for (int w = 0; w < 200; w++) {
         char workspace[8];
@@ -235,7 +235,7 @@
         const wgm_member* before[3];
         const wgm_member* after[3];
         ck_assert_int_eq(wgm_pick_entry_hosts(all, workspace, "east", 3, before, 3), 3);
-        ck_assert_int_eq(wgm_pick_entry_hosts(less, workspace, "east", 3, after, 3), 3);
+        ck_assert_int_eq(wgm_pick_entry_hosts(with_draining, workspace, "east", 3, after, 3), 3);
         bool seen_west = false;
         for (int i = 0; i < 3; i++) {
             bool west = strcmp(before[i]->data_centre, "west") == 0;
@@ -249,15 +249,15 @@
             moved += kept ? 0 : 1;
         }
     }
-    /* Only workspaces that used the leaving host move: 3 of 12 hosts each, so a quarter of them. */
+    /* Only workspaces that use the leaving host move: a quarter, with 3 of 12 hosts each. */
     ck_assert_int_ge(moved, 30);
     ck_assert_int_le(moved, 70);
     wgm_shutdown(all);
-    wgm_shutdown(less);
+    wgm_shutdown(with_draining);
 }
 END_TEST
 
-static wgp_place* place_with(int targets, int slots) {
+static wgp_place* setup_place(int targets, int slots) {
     wgp_place* p = wgp_setup(&(wgp_desc){.seed = 3, .data_centre = "east"}, NULL);
     wgp_config_begin(p);
     for (int i = 0; i < targets; i++) {
@@ -273,7 +273,7 @@
 }
 
 START_TEST(only_leased_slots_are_used) {
-    wgp_place* p = place_with(2, 2);
+    wgp_place* p = setup_place(2, 2);
     wgp_choice choice;
     for (int i = 0; i < 4; i++) {
         ck_assert(wgp_pick(p, 0, &(wgp_request){.service = 7}, &choice));
@@ -285,7 +285,7 @@
     ck_assert(reserve.reserve);
     wgp_sent(p, &reserve);
     ck_assert(!wgp_pick(p, 0, &(wgp_request){.service = 7, .urgent = true}, &choice));
-    /* A quota below what runs takes back each slot as it falls idle, and only then. */
+    /* A quota below the number of running requests releases each slot when it becomes idle. */
     wgp_set_quota(p, 7, 3);
     ck_assert(!wgp_take_report_due(p));
     wgp_done(p, 0, &(wgp_choice){.target = 1}, WGP_RESULT_SUCCESS);
@@ -298,7 +298,7 @@
 END_TEST
 
 START_TEST(leaving_is_not_unseen_by_an_older_list) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     ck_assert_int_eq(wgp_update_host(p, "127.0.0.1:1000", true, 10), WGP_EVENT_DRAINING);
     ck_assert(!wgp_is_usable(p, 0, 1));
     wgp_update_host(p, "127.0.0.1:1000", false, 9);
@@ -308,9 +308,9 @@
     ck_assert(wgp_is_usable(p, 0, 1));
     ck_assert_int_eq(wgp_record_draining(p, 2), WGP_EVENT_DRAINING);
     wgp_update_host(p, "127.0.0.1:1001", false, 50);
-    ck_assert(!wgp_is_usable(p, 0, 2)); /* it said so itself */
+    ck_assert(!wgp_is_usable(p, 0, 2)); /* the target itself reported that it is draining */
     wgp_choice choice;
-    wgp_add_slots(p, 1, 1); /* what it held was given back when it was seen leaving */
+    wgp_add_slots(p, 1, 1); /* its slots were released when it was marked as draining */
     ck_assert(wgp_pick(p, 0, &(wgp_request){.service = 7, .not_target = 1}, &choice));
     ck_assert_uint_eq(choice.target, 1);
     wgp_target_info info;
@@ -321,7 +321,7 @@
 END_TEST
 
 START_TEST(failing_target_is_put_aside_and_probed) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_event event = WGP_EVENT_DEFAULT;
     for (int i = 0; i < 3; i++) {
@@ -334,7 +334,7 @@
     wgp_sent(p, &one);
     ck_assert(!wgp_is_usable(p, SECOND, 1)); /* one probe at a time */
     ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_EJECTED);
-    ck_assert(!wgp_is_usable(p, SECOND + 400 * MSEC, 1)); /* longer than before */
+    ck_assert(!wgp_is_usable(p, SECOND + 400 * MSEC, 1)); /* a longer ejection than the first */
     wgp_sent(p, &one);
     ck_assert_int_eq(wgp_done(p, 4 * SECOND, &one, WGP_RESULT_SUCCESS), WGP_EVENT_RESTORED);
     wgp_shutdown(p);
@@ -342,13 +342,13 @@
 END_TEST
 
 START_TEST(a_resting_target_gets_nothing_and_keeps_one_slot) {
-    wgp_place* p = place_with(2, 4);
+    wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_choice choice;
-    wg_backoff_hint wish = {.status = 503, .period = 3 * SECOND, .draining = true};
+    wg_backoff_hint hint = {.status = 503, .period = 3 * SECOND, .draining = true};
     wgp_sent(p, &one);
-    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_BACKOFF);
-    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &wish, 0), WGP_EVENT_DEFAULT);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &hint, 0), WGP_EVENT_BACKOFF);
+    ck_assert_int_eq(wgp_record_answer(p, SECOND, 1, &hint, 0), WGP_EVENT_DEFAULT);
     ck_assert_int_eq(wgp_done(p, SECOND, &one, WGP_RESULT_FAILED), WGP_EVENT_DEFAULT);
     wgp_target_info info;
     wgp_query_target_id(p, 1, &info);
@@ -361,9 +361,9 @@
     wgp_record_prefix(p, 99, 1);
     ck_assert(wgp_pick(p, 3 * SECOND, &(wgp_request){.service = 7, .prefix = 99}, &choice));
     ck_assert_uint_eq(choice.target, 2);
-    /* Both rest; the first of them is back first. */
-    wish.period = 9 * SECOND;
-    wgp_record_answer(p, SECOND, 2, &wish, 0);
+    /* Both targets are in backoff; target 1 returns first. */
+    hint.period = 9 * SECOND;
+    wgp_record_answer(p, SECOND, 2, &hint, 0);
     ck_assert(!wgp_has_room(p, 3 * SECOND, 7, true));
     ck_assert_int_ge(wgp_backoff_ends_at(p, 3 * SECOND, 7), 4 * SECOND);
     ck_assert_int_lt(wgp_backoff_ends_at(p, 3 * SECOND, 7), 5 * SECOND);
@@ -378,7 +378,7 @@
 END_TEST
 
 START_TEST(prefix_is_a_hint_that_gives_way) {
-    wgp_place* p = place_with(4, 8);
+    wgp_place* p = setup_place(4, 8);
     wgp_choice choice;
     wgp_record_prefix(p, 99, 2);
     wgp_request request = {.service = 7, .prefix = 99};
@@ -387,7 +387,8 @@
         ck_assert_uint_eq(choice.target, 2);
         wgp_sent(p, &choice);
     }
-    /* Its load counts: beyond a quarter of its slots more than the least loaded it loses. */
+    /* The preferred target is passed over when its load exceeds the least by over a quarter of its
+       slots. */
     wgp_update_load(p, 2, 8);
     ck_assert(wgp_pick(p, 0, &request, &choice));
     ck_assert_uint_ne(choice.target, 2);
@@ -399,7 +400,7 @@
 }
 END_TEST
 
-/* The error of a refused desc has to hold "library_desc.field". */
+/* Checks that a desc was refused with an error that names "library_desc.field". */
 static void ck_refused(const void* made, GError* error, const char* field) {
     ck_assert_ptr_null(made);
     ck_assert_ptr_nonnull(strstr(error->message, field));
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,4 +1,5 @@
-/* test_store.c -- the data folder: cut and flipped bytes, torn tails, snapshots, truncation */
+/* test_store.c -- the data folder: lost and flipped bytes, torn tails, snapshots, truncation, disks
+   that fail writes, power loss */
 #include <fcntl.h>
 #include <glib/gstdio.h>
 #include <sys/stat.h>
@@ -13,7 +14,7 @@
 
 static char folder[64];
 
-static void fresh_folder(void) {
+static void create_folder(void) {
     g_strlcpy(folder, "/tmp/wgs-XXXXXX", sizeof folder);
     ck_assert_ptr_nonnull(mkdtemp(folder));
 }
@@ -43,17 +44,17 @@
 
 static char* last_log(void) {
     GDir* dir = g_dir_open(folder, 0, NULL);
-    char* best = NULL;
+    char* newest = NULL;
     const char* name;
     while ((name = g_dir_read_name(dir))) {
-        if (g_str_has_prefix(name, "log-") && (!best || strcmp(name, best) > 0)) {
-            g_free(best);
-            best = g_strdup(name);
+        if (g_str_has_prefix(name, "log-") && (!newest || strcmp(name, newest) > 0)) {
+            g_free(newest);
+            newest = g_strdup(name);
         }
     }
     g_dir_close(dir);
-    char* path = g_build_filename(folder, best, NULL);
-    g_free(best);
+    char* path = g_build_filename(folder, newest, NULL);
+    g_free(newest);
     return path;
 }
 
@@ -68,7 +69,7 @@
 }
 
 START_TEST(what_was_synced_is_there_again) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert(wgs_query_content(store)->fresh);
@@ -89,7 +90,7 @@
 END_TEST
 
 START_TEST(two_processes_cannot_share_a_folder) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert_ptr_null(open_store(&error));
@@ -100,9 +101,9 @@
 }
 END_TEST
 
-/* A synced record that lost bytes, or has a bit flipped, stops the start with the reason. */
+/* A synced record that lost bytes, or has a flipped bit, makes the start fail with an error. */
 START_TEST(damage_to_a_synced_record_is_found) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 3, 1);
@@ -124,7 +125,7 @@
         ck_assert(g_file_set_contents(path, bad, (gssize)size, NULL));
         ck_assert_int_eq(entries_found(&error), -1);
         g_clear_error(&error);
-        /* A start that refuses leaves the file as it was, for whoever looks into it. */
+        /* A failed start leaves the damaged file unchanged for analysis. */
         char* after;
         gsize after_size;
         ck_assert(g_file_get_contents(path, &after, &after_size, NULL));
@@ -141,9 +142,9 @@
 }
 END_TEST
 
-/* A record that was being written at a crash, any part of it, is cut off. */
+/* A record that was partly written at a crash is truncated. */
 START_TEST(torn_tail_is_cut) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 2, 1);
@@ -176,7 +177,7 @@
 END_TEST
 
 START_TEST(damage_before_the_tail_stops_the_start) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 30, 1);
@@ -202,7 +203,7 @@
 START_TEST(damaged_small_files_stop_the_start) {
     static const char* names[] = {"state", "synced"};
     for (size_t n = 0; n < G_N_ELEMENTS(names); n++) {
-        fresh_folder();
+        create_folder();
         GError* error = NULL;
         wgs_store* store = open_store(&error);
         append(store, 1, 3, 1);
@@ -221,8 +222,8 @@
         g_free(path);
         remove_folder();
     }
-    /* Without its identity a folder with a log must not pass for a new one. */
-    fresh_folder();
+    /* A folder that has a log but no identity must not be taken for a new one. */
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 3, 1);
@@ -236,12 +237,12 @@
 }
 END_TEST
 
-/* A power cut may spoil every slot of the marker that was not synced, and nothing else. */
+/* A power loss may damage all unsynced slots of the marker file, which must not stop the start. */
 START_TEST(a_power_cut_may_spoil_the_whole_marker) {
     enum {
-        UNSYNCED_SLOTS = 64 /* bytes of the slots that are written without a sync */
+        UNSYNCED_SLOTS = 64 /* size in bytes of the slots that are written without a sync */
     };
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 4, 1);
@@ -262,9 +263,9 @@
 }
 END_TEST
 
-/* Removals that no sync of the folder followed may be kept or lost each by itself. */
+/* A power loss may undo any file removal that no folder sync followed. */
 START_TEST(a_power_cut_may_bring_a_removed_segment_back) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 40, 1);
@@ -290,7 +291,7 @@
 END_TEST
 
 START_TEST(truncation_and_new_entries) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 40, 1);
@@ -307,7 +308,7 @@
 END_TEST
 
 START_TEST(snapshot_bounds_the_log) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     wgr_set set = {.num = 1, .replicas = {{.id = 42, .name = "c1", .voter = true}}};
@@ -327,7 +328,7 @@
     ck_assert_uint_eq(g_bytes_get_size(r->snapshot), 5);
     ck_assert_int_eq(r->set.num, 1);
     wgs_close(store);
-    /* A damaged snapshot cannot be replaced by the log that was dropped. */
+    /* A damaged snapshot makes the start fail, since the log before it was removed. */
     char* path = g_build_filename(folder, "snapshot-00000000000000000600", NULL);
     ck_assert(g_file_set_contents(path, "damaged", -1, NULL));
     ck_assert_int_eq(entries_found(&error), -1);
@@ -338,7 +339,7 @@
 END_TEST
 
 START_TEST(snapshot_from_the_leader_replaces_the_log) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     append(store, 1, 10, 1);
@@ -359,7 +360,7 @@
 END_TEST
 
 START_TEST(full_disk_is_an_error) {
-    /* A folder that cannot be written stands for a full disk. */
+    /* A folder that cannot be written simulates a full disk. */
     GError* error = NULL;
     ck_assert_ptr_null(wgs_open(&(wgs_desc){.folder = "/proc/none", .fresh_identity = 1}, &error));
     ck_assert_int_eq(error->code, WG_ERROR_IO);
@@ -370,27 +371,27 @@
 }
 END_TEST
 
-/* ---- disks that refuse ------------------------------------------------------------------------
+/* ---- failing disk operations ------------------------------------------------------------------
  */
 
 typedef struct {
-    int ops;     /* writes, syncs, renames and so on so far */
-    int fail_at; /* the one that fails, 0 none */
-    int num;     /* so many in a row */
-    int failure; /* errno */
-} refusal;
+    int ops;     /* disk operations so far: writes, syncs, renames and removals */
+    int fail_at; /* number of the first operation that fails, from 1; 0: none fails */
+    int num;     /* operations in a row that fail */
+    int failure; /* errno of the failing operations */
+} disk_fault;
 
-static int refuse(_wgs_change change, void* user_data) {
+static int fault(_wgs_change change, void* user_data) {
     (void)change;
-    refusal* r = user_data;
+    disk_fault* r = user_data;
     r->ops++;
     return r->fail_at && r->ops >= r->fail_at && r->ops < r->fail_at + r->num ? r->failure : 0;
 }
 
-/* What a run of the store has been told that it holds. */
+/* State that the store has acknowledged in a run. */
 typedef struct {
-    uint64_t index; /* last entry */
-    uint64_t least; /* last entry that no truncation under way can have taken away */
+    uint64_t index;     /* index of the last entry */
+    uint64_t min_index; /* last entry that an unfinished truncation cannot have removed */
     uint64_t term;
     uint64_t snapshot;
 } acknowledged;
@@ -401,12 +402,12 @@
     bool good = wgs_append(store, &entry, 1, error);
     g_bytes_unref(entry.data);
     a->index += good;
-    a->least = a->index;
+    a->min_index = a->index;
     return good;
 }
 
 static bool truncate_to(wgs_store* store, acknowledged* a, uint64_t last, GError** error) {
-    a->least = last;
+    a->min_index = last;
     bool good = wgs_truncate(store, last + 1, error);
     a->index = good ? last : a->index;
     return good;
@@ -427,7 +428,7 @@
     return good;
 }
 
-/* Everything that a replica does to its folder; stops at the first failure. */
+/* Does all kinds of changes that a replica makes to its folder; stops at the first failure. */
 static bool use_store(acknowledged* a, GError** error) {
     wgs_store* store = open_store(error);
     bool good = store != NULL;
@@ -450,39 +451,41 @@
     return good;
 }
 
-/* Each write, sync, rename and removal fails once, or again and again: the error says that the disk
-   may come back, and all that was acknowledged is there when it does. */
+/* Each write, sync, rename and removal fails once or three times: the error is WG_ERROR_DISK, and
+   all acknowledged state is there when the disk works again. */
 START_TEST(what_was_acknowledged_survives_each_refusal) {
     static const int failures[] = {ENOSPC, EDQUOT, EIO, EROFS};
-    refusal counted = {0};
+    disk_fault counted = {0};
     acknowledged all = {.term = 1};
-    fresh_folder();
-    _wgs_set_fault(refuse, &counted);
+    create_folder();
+    _wgs_set_fault(fault, &counted);
     ck_assert(use_store(&all, NULL));
     remove_folder();
     ck_assert_int_gt(counted.ops, 60);
     for (int at = 1; at <= counted.ops; at++) {
         for (int kind = 0; kind < 8; kind++) {
-            refusal r = {.fail_at = at, .num = kind % 2 ? 1 : 3, .failure = failures[kind / 2]};
+            disk_fault r = {.fail_at = at, .num = kind % 2 ? 1 : 3, .failure = failures[kind / 2]};
             acknowledged a = {.term = 1};
             GError* error = NULL;
-            fresh_folder();
-            _wgs_set_fault(refuse, &r);
+            create_folder();
+            _wgs_set_fault(fault, &r);
             ck_assert(!use_store(&a, &error));
-            ck_assert_msg(error->code == WG_ERROR_DISK, "at %d: %s", at, error->message);
+            ck_assert_msg(error->code == WG_ERROR_DISK, "failed operation %d: %s", at,
+                          error->message);
             g_clear_error(&error);
             _wgs_set_fault(NULL, NULL);
             wgs_store* store = open_store(&error);
-            ck_assert_msg(store != NULL, "at %d: %s", at, error ? error->message : "");
+            ck_assert_msg(store != NULL, "failed operation %d: %s", at,
+                          error ? error->message : "");
             const wgs_content* content = wgs_query_content(store);
             const wgr_restored* found = &content->restored;
             uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index
                                                : found->snapshot_index;
             ck_assert_uint_eq(content->identity, 42);
-            ck_assert_uint_ge(MAX(last, found->snapshot_index), a.least);
+            ck_assert_uint_ge(MAX(last, found->snapshot_index), a.min_index);
             ck_assert_uint_ge(found->term + 1, a.term);
             ck_assert_uint_ge(found->snapshot_index, a.snapshot);
-            /* It goes on from there. */
+            /* The store accepts new entries. */
             uint64_t next = MAX(last, found->snapshot_index) + 1;
             wgs_release_content(store);
             append(store, next, 3, a.term + 1);
@@ -494,30 +497,25 @@
 }
 END_TEST
 
-/* ---- losses of power --------------------------------------------------------------------------
+/* ---- power loss -------------------------------------------------------------------------------
 
-   What users could have seen: a replica that refuses to start after a loss of power, "data file
-   log: a segment is missing", until somebody empties its disk; with another one lost beside it, no
-   majority. Order of events: a follower cuts back entries that another leader did not have, more
-   than a log file of them; the later files are removed, the one before is cut and synced; power is
-   lost before the folder is synced. A removal that was not synced may be undone, each by itself, so
-   a later file is back while the one before it ends short of it. Found by reading; the test
-   below showed it: 2 of 48 combinations of a lost step and of files that are back. */
+   Guards against a replica that cannot start after a power loss because a removed log file is back
+   while the file before it is truncated: unsynced removals may be undone one by one. */
 
 enum {
     REMOVED_MAX = 8
 };
 
-/* Files that were removed and whose removal is not synced yet. */
+/* Copies of log files whose removal is not synced yet. */
 typedef struct {
-    refusal refuse;
+    disk_fault fault;
     char* names[REMOVED_MAX];
     char* contents[REMOVED_MAX];
     gsize sizes[REMOVED_MAX];
     int num;
-} power;
+} power_loss;
 
-static void forget_removed(power* p) {
+static void forget_removed(power_loss* p) {
     for (int i = 0; i < p->num; i++) {
         g_free(p->names[i]);
         g_free(p->contents[i]);
@@ -525,15 +523,15 @@
     p->num = 0;
 }
 
-static void keep_copy(power* p, const char* name) {
+static void save_copy(power_loss* p, const char* name) {
     char* path = g_build_filename(folder, name, NULL);
     ck_assert_int_lt(p->num, REMOVED_MAX);
     ck_assert(g_file_get_contents(path, &p->contents[p->num], &p->sizes[p->num], NULL));
     p->names[p->num++] = path;
 }
 
-/* The files as they stand before one of them is removed; those that stay are sorted out later. */
-static void keep_copies(power* p) {
+/* Copies all log files before one is removed; restore_removed() skips those that still exist. */
+static void save_copies(power_loss* p) {
     GDir* dir = g_dir_open(folder, 0, NULL);
     const char* name;
     while ((name = g_dir_read_name(dir))) {
@@ -542,121 +540,124 @@
             known = g_str_has_suffix(p->names[i], name);
         }
         if (g_str_has_prefix(name, "log-") && !known) {
-            keep_copy(p, name);
+            save_copy(p, name);
         }
     }
     g_dir_close(dir);
 }
 
 static int lose_power(_wgs_change change, void* user_data) {
-    power* p = user_data;
-    int failure = refuse(change, &p->refuse);
+    power_loss* p = user_data;
+    int failure = fault(change, &p->fault);
     if (failure == 0 && change == _WGS_CHANGE_REMOVE) {
-        keep_copies(p);
+        save_copies(p);
     } else if (failure == 0 && change == _WGS_CHANGE_SYNC_FOLDER) {
         forget_removed(p);
     }
     return failure;
 }
 
-/* Of the removed files those are back whose bit is set. */
-static void bring_back(const power* p, int which) {
+/* Restores the removed files whose bit is set in the mask `restored_files`. */
+static void restore_removed(const power_loss* p, int restored_files) {
     int removed = 0;
     for (int i = 0; i < p->num; i++) {
         if (g_file_test(p->names[i], G_FILE_TEST_EXISTS)) {
             continue;
         }
-        if (which & 1 << removed++) {
+        if (restored_files & 1 << removed++) {
             ck_assert(g_file_set_contents(p->names[i], p->contents[i], (gssize)p->sizes[i], NULL));
         }
     }
 }
 
-/* Cut back over several files with a loss of power at one step; false: there was no such step. */
-static bool cut_back(int step, int which) {
+/* Truncates the log over several files with a power loss at one step. False if the truncation has
+   fewer steps. */
+static bool truncate_with_power_loss(int step, int restored_files) {
     enum {
-        ENTRIES = 40, /* 10 in a file */
+        ENTRIES = 40, /* ten entries in a log file */
         KEPT = 14
     };
-    power p = {.refuse = {.fail_at = step, .num = 1000, .failure = EIO}};
+    power_loss p = {.fault = {.fail_at = step, .num = 1000, .failure = EIO}};
     GError* error = NULL;
-    fresh_folder();
+    create_folder();
     wgs_store* store = open_store(&error);
     append(store, 1, ENTRIES, 1);
     _wgs_set_fault(lose_power, &p);
-    bool over = wgs_truncate(store, KEPT + 1, NULL);
+    bool finished = wgs_truncate(store, KEPT + 1, NULL);
     _wgs_set_fault(NULL, NULL);
     wgs_close(store);
-    bring_back(&p, which);
+    restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, which,
-                  error ? error->message : "");
+    ck_assert_msg(store != NULL, "power loss at step %d, restored files %d: %s", step,
+                  restored_files, error ? error->message : "");
     ck_assert_int_ge(wgs_query_content(store)->restored.entries_num, KEPT);
     wgs_close(store);
     remove_folder();
-    return !over;
+    return !finished;
 }
 
 START_TEST(a_power_cut_while_the_log_is_cut_back) {
     enum {
-        COMBINATIONS = 8 /* of three files */
+        COMBINATIONS = 8 /* subsets of three removed files */
     };
-    for (int which = 0; which < COMBINATIONS; which++) {
-        for (int step = 1; cut_back(step, which); step++) {
+    for (int restored_files = 0; restored_files < COMBINATIONS; restored_files++) {
+        for (int step = 1; truncate_with_power_loss(step, restored_files); step++) {
         }
     }
 }
 END_TEST
 
-/* A snapshot of entries that the log has, or one of the leader's in place of the log. */
-static bool take_snapshot(int step, int which, bool reset) {
+/* Stores a snapshot with a power loss at one step: of entries in the log, or with `reset` the
+   leader's in place of the log. False if storing has fewer steps. */
+static bool snapshot_with_power_loss(int step, int restored_files, bool reset) {
     enum {
         ENTRIES = 40,
-        OWN = 36,
-        LEADERS = 100
+        OWN_INDEX = 36,
+        LEADER_INDEX = 100
     };
-    power p = {.refuse = {.fail_at = step, .num = 1000, .failure = EIO}};
+    power_loss p = {.fault = {.fail_at = step, .num = 1000, .failure = EIO}};
     GError* error = NULL;
-    fresh_folder();
+    create_folder();
     wgs_store* store = open_store(&error);
     append(store, 1, ENTRIES, 1);
     wgr_set set = {.num = 1, .replicas = {{.id = 42, .voter = true}}};
     GBytes* state = g_bytes_new("state", 5);
     _wgs_set_fault(lose_power, &p);
-    bool over = wgs_save_snapshot(store, reset ? LEADERS : OWN, 1, &set, state, reset, NULL);
+    bool finished =
+        wgs_save_snapshot(store, reset ? LEADER_INDEX : OWN_INDEX, 1, &set, state, reset, NULL);
     _wgs_set_fault(NULL, NULL);
     wgs_close(store);
     g_bytes_unref(state);
-    bring_back(&p, which);
+    restore_removed(&p, restored_files);
     forget_removed(&p);
     store = open_store(&error);
-    ck_assert_msg(store != NULL, "power lost at step %d, files %d back: %s", step, which,
-                  error ? error->message : "");
+    ck_assert_msg(store != NULL, "power loss at step %d, restored files %d: %s", step,
+                  restored_files, error ? error->message : "");
     const wgr_restored* found = &wgs_query_content(store)->restored;
     uint64_t last = found->entries_num ? found->entries[found->entries_num - 1].index : 0;
     ck_assert_uint_ge(MAX(last, found->snapshot_index), ENTRIES);
     wgs_close(store);
     remove_folder();
-    return !over;
+    return !finished;
 }
 
 START_TEST(a_power_cut_while_a_snapshot_is_stored) {
     enum {
-        COMBINATIONS = 16 /* of four files */
+        COMBINATIONS = 16 /* subsets of four removed files */
     };
-    for (int which = 0; which < COMBINATIONS; which++) {
-        for (int step = 1; take_snapshot(step, which, false); step++) {
+    for (int restored_files = 0; restored_files < COMBINATIONS; restored_files++) {
+        for (int step = 1; snapshot_with_power_loss(step, restored_files, false); step++) {
         }
-        for (int step = 1; take_snapshot(step, which, true); step++) {
+        for (int step = 1; snapshot_with_power_loss(step, restored_files, true); step++) {
         }
     }
 }
 END_TEST
 
-/* Another process at the folder is no passing trouble of the disk. */
+/* A folder in use by another process is not reported as a temporary disk error. */
 START_TEST(a_folder_in_use_is_not_waited_for) {
-    fresh_folder();
+    create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
     ck_assert_ptr_null(open_store(&error));
--- a/tests/test_successions.c
+++ b/tests/test_successions.c
@@ -1,13 +1,11 @@
-/* test_successions.c -- real processes: seeds of the fault soak in which a host was replaced,
-   leaders fell, and a disk was lost
+/* test_successions.c -- real processes: fault soak seeds with a replaced host, failing leaders and
+   a lost disk
 
-   What users saw, and the evidence: see test_quorum_leaders_change.c. Seeds 1026 and 1027 are runs
-   of nothing else; never served again on the code in which silence counted anew with each leader.
-   In seed 990124, a harsh run, it happened once in five plays beside seven other runs. */
+   Guards against losing the majority for good, see test_quorum_leaders_change.c. */
 #include "soak_run.h"
 #include "wg_test.h"
 
-static void run_successions(uint64_t seed) {
+static void run_host_replacements(uint64_t seed) {
     soak_result r = soak_run(
         &(soak_desc){.seed = seed, .hosts = 4, .disks = 3, .harsh = true, .successions = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
@@ -16,12 +14,12 @@
 }
 
 START_TEST(a_disk_is_lost_after_leaders_fell) {
-    run_successions(1026);
+    run_host_replacements(1026);
 }
 END_TEST
 
 START_TEST(a_disk_is_lost_after_leaders_fell_again) {
-    run_successions(1027);
+    run_host_replacements(1027);
 }
 END_TEST
 
