--- a/tests/fleet_common.h
+++ b/tests/fleet_common.h
@@ -18,8 +18,8 @@
     proc_fleet_start(&fleet, desc);
 }
 
-static int ask_status(const char* router, const char* method, const char* path, const char* key,
-                      const char* headers, const char* body) {
+static int fetch_status(const char* router, const char* method, const char* path, const char* key,
+                        const char* headers, const char* body) {
     proc_answer answer =
         proc_ask(proc_find(&fleet, router)->address, method, path, key, headers, body);
     int status = answer.status;
@@ -43,7 +43,7 @@
     return desc;
 }
 
-static void ck_clean(const load_result* result) {
+static void ck_no_failures(const load_result* result) {
     ck_assert_msg(result->failed == 0, "%lu failed, last: %s", result->failed, result->last_error);
     ck_assert_uint_eq(result->wrong, 0);
     ck_assert_uint_eq(result->doubled, 0);
@@ -51,7 +51,7 @@
 }
 
 /* Checks that no action ran twice, and that none reported as not run reached a service. */
-static void ck_actions(const load_result* result) {
+static void ck_actions_ran_once(const load_result* result) {
     for (int i = 0; i < fleet.num; i++) {
         proc_process* p = &fleet.processes[i];
         if (!g_str_has_prefix(p->name, "service")) {
--- a/tests/local_control.h
+++ b/tests/local_control.h
@@ -15,12 +15,12 @@
     LOCAL_FLEET_PORT = 17000
 };
 
-static inline struct event_base* local_base(void) {
+static inline struct event_base* local_event_base(void) {
     return wg_loop_setup();
 }
 
 /* Runs the pending events of the loop, then sleeps for 1 ms. */
-static inline void local_turn(struct event_base* base) {
+static inline void local_run_loop(struct event_base* base) {
     event_base_loop(base, EVLOOP_NONBLOCK);
     g_usleep(1000);
 }
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -32,7 +32,7 @@
 
 static void run_turns(int num) {
     for (int i = 0; i < num; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
 }
 
@@ -102,7 +102,7 @@
 
 static bool target_got_request(void) {
     for (int i = 0; i < TURNS_MAX && !strstr(target_received->str, "\r\n\r\n"); i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     return strstr(target_received->str, "\r\n\r\n") != NULL;
 }
@@ -121,7 +121,7 @@
 
 /* Starts the target, the leader and the entry host; the leader has sent nothing yet. */
 static void one_entry_begin(void) {
-    base = local_base();
+    base = local_event_base();
     target_received = g_string_new(NULL);
     target_connection = NULL;
     target_disconnected = false;
@@ -131,7 +131,7 @@
     char* seeds[] = {leader.address, NULL};
     entry = fake_control_entry(base, seeds);
     for (int i = 0; i < TURNS_MAX && leader.links_up == 0; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
 }
 
@@ -204,7 +204,7 @@
 static int status_within(int fd, char answer[1024], int ms) {
     answer[0] = 0;
     for (int i = 0; i < ms; i++) {
-        local_turn(base);
+        local_run_loop(base);
         ssize_t got = recv(fd, answer, 1023, 0);
         if (got > 0) {
             answer[got] = 0;
--- a/tests/test_cold_coordinators.c
+++ b/tests/test_cold_coordinators.c
@@ -87,7 +87,7 @@
                              NULL);
     wgn_dial(net, fleet);
     for (int i = 0; i < TURNS_MAX && !requester_link.id; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_uint_ne(requester_link.id, 0);
     for (uint64_t ticket = 1; ticket <= COLD_CALLS; ticket++) {
@@ -100,7 +100,7 @@
         ck_assert(wgn_send(net, requester_link, WGW_TYPE_ADMIT_ASK, &request.base));
     }
     for (int i = 0; i < TURNS_MAX && admissions_answered < COLD_CALLS; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(admissions_answered, COLD_CALLS);
     wgn_shutdown(net);
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -38,7 +38,7 @@
     "\"workspaces\":[{\"name\":\"w\",\"keys\":[\"k1\",\"k2\"],\"priority\":1},"
     "{\"name\":\"v\",\"keys\":[\"k3\"]}]}";
 
-START_TEST(a_whole_configuration_is_read) {
+START_TEST(complete_configuration_is_read) {
     char reason[200];
     wg_config* c = parse(complete, reason, sizeof reason);
     ck_assert_ptr_nonnull(c);
@@ -134,7 +134,7 @@
 END_TEST
 
 /* A document truncated at any byte is refused, never applied in part. */
-START_TEST(a_cut_document_is_refused) {
+START_TEST(truncated_document_is_refused) {
     for (size_t size = 0; size < strlen(complete); size++) {
         GError* error = NULL;
         ck_assert_ptr_null(wg_config_parse(complete, size, &error));
@@ -143,5 +143,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("config", a_whole_configuration_is_read, weights_split_requests,
-             invalid_configurations_are_refused_with_the_reason, a_cut_document_is_refused)
+WG_TEST_MAIN("config", complete_configuration_is_read, weights_split_requests,
+             invalid_configurations_are_refused_with_the_reason, truncated_document_is_refused)
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -39,7 +39,7 @@
 static void begin(void) {
     g_strlcpy(folder, "/tmp/wg-disk-XXXXXX", sizeof folder);
     ck_assert_ptr_nonnull(mkdtemp(folder));
-    base = local_base();
+    base = local_event_base();
     listen_at = local_control_settings(&settings, folder);
     GError* error = NULL;
     control = wgco_setup(&(wgco_desc){.base = base, .settings = &settings}, &error);
@@ -64,7 +64,7 @@
         if (entry.connected && i % CONNECT_TURNS == 0) {
             local_entry_report(&entry);
         }
-        local_turn(base);
+        local_run_loop(base);
     }
     return entry.leads;
 }
@@ -90,7 +90,7 @@
 
 static int outcome_within(int turns) {
     for (int i = 0; i < turns && entry.outcome < 0; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     return entry.outcome;
 }
@@ -108,7 +108,7 @@
 
 /* Whichever write fails, only changes that are on the disk are acknowledged, the process keeps
    running, and all acknowledged changes are there when the disk works again. */
-START_TEST(it_stands_aside_while_the_disk_takes_no_writes) {
+START_TEST(control_gives_up_leadership_while_writes_fail) {
     static const int failures[] = {ENOSPC, EIO, EROFS};
     for (size_t kind = 0; kind < G_N_ELEMENTS(failures); kind++) {
         for (int after = 0; after < 4; after++) {
@@ -122,7 +122,7 @@
             ck_assert_int_ne(outcome_within(200), WG_ORDER_DONE);
             ck_assert(!wgco_failed(control));
             for (int i = 0; i < 300; i++) {
-                local_turn(base); /* several attempts to reopen the folder fail */
+                local_run_loop(base); /* several attempts to reopen the folder fail */
             }
             ck_assert(!wgco_failed(control));
             ck_assert(!entry.leads);
@@ -139,13 +139,13 @@
 END_TEST
 
 /* A control that starts on a failing disk leads once the disk works. */
-START_TEST(it_starts_once_the_disk_takes_writes) {
+START_TEST(control_leads_once_the_disk_works) {
     fail_with(ENOSPC, 0);
     begin();
     entry = (local_entry){.base = base};
     local_entry_setup(&entry, 1, listen_at);
     for (int i = 0; i < 300; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert(!wgco_failed(control));
     ck_assert(!entry.leads);
@@ -160,7 +160,7 @@
 END_TEST
 
 /* A planned stop does not wait for a failing disk. */
-START_TEST(it_can_be_stopped_meanwhile) {
+START_TEST(control_with_a_failing_disk_can_be_stopped) {
     fail_with(EROFS, 0);
     begin();
     wgco_stop(control);
@@ -190,6 +190,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("control disk", it_stands_aside_while_the_disk_takes_no_writes,
-             it_starts_once_the_disk_takes_writes, it_can_be_stopped_meanwhile,
+WG_TEST_MAIN("control disk", control_gives_up_leadership_while_writes_fail,
+             control_leads_once_the_disk_works, control_with_a_failing_disk_can_be_stopped,
              a_damaged_folder_ends_the_process)
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -55,7 +55,7 @@
 }
 END_TEST
 
-START_TEST(a_whole_document_shrinks) {
+START_TEST(complete_document_shrinks) {
     GBytes* complete = document(ROUTES, -1);
     GBytes* packed = wg_document_pack(complete, NULL);
     ck_assert_int_lt(g_bytes_get_size(packed) * 4, g_bytes_get_size(complete));
@@ -115,5 +115,5 @@
 END_TEST
 
 WG_TEST_MAIN("document", one_changed_route_takes_few_bytes_whatever_the_size,
-             a_whole_document_shrinks, another_base_or_damaged_bytes_are_refused,
+             complete_document_shrinks, another_base_or_damaged_bytes_are_refused,
              a_document_beyond_the_limit_is_refused)
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -80,7 +80,7 @@
         for (int k = 0; k < TURNS_MAX && got <= 0; k++) {
             got = recv(flood[i], bytes, sizeof bytes, 0);
             if (got <= 0) {
-                local_turn(base);
+                local_run_loop(base);
             }
         }
         ck_assert_int_gt(got, 0);
@@ -135,7 +135,7 @@
     flood_send(request);
     close(fd);
     for (int i = 0; i < TURNS_MAX && answered_before < 0; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_ge(answered_before, 0);
     ck_assert_int_le(answered_before, ANSWERED_BEFORE_MAX);
@@ -204,7 +204,7 @@
     ck_assert_int_eq(send(fd, request, sizeof request - 1, MSG_NOSIGNAL), sizeof request - 1);
     advance_clock(STOP_MIN_MS);
     for (int i = 0; i < TURNS_MAX && !event_base_got_break(base); i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert(event_base_got_break(base));
     ck_assert_int_gt(recv(fd, &byte, 1, 0), 0);
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -392,7 +392,7 @@
     lead_engine(9);
     int running = send_get("/a/x", prompt);
     for (int i = 0; i < TURNS_MAX && !strstr(target_received->str, "GET /a/x"); i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_ptr_nonnull(strstr(target_received->str, "GET /a/x"));
     struct evbuffer* out = bufferevent_get_output(target_connection);
@@ -456,7 +456,7 @@
                                  "Walnutgate-Prompt-Tokens: 1210,80\r\n";
     int fd = send_get(path, fields);
     for (int i = 0; i < SENT_TURNS_MAX && !strstr(target_received->str, path); i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     close(fd);
     run_turns(20);
--- a/tests/test_entry_quarantine.c
+++ b/tests/test_entry_quarantine.c
@@ -141,7 +141,7 @@
     wgn_close(leader.net, leader.link);
     int ups = leader.links_up;
     for (int i = 0; i < TURNS_MAX && leader.links_up == ups; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     run_turns(200);
     ck_assert_int_eq(leader.crashes, 2);
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -207,7 +207,7 @@
     desc.tries = 100;
     load_result result;
     load_run(&desc, &result);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     proc_fleet_stop(&fleet);
 }
@@ -219,7 +219,7 @@
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, SECOND);
     load_result result;
     load_run(&desc, &result);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     return proc_journal(proc_find(&fleet, service), "lookups") - before;
 }
@@ -309,20 +309,20 @@
                        .router_extra = "[table]\nrows=demand\n"});
     proc_process* router = proc_find(&fleet, "r1");
     const char* app = "/v1/app/app/x";
-    ck_assert_int_eq(ask_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     int64_t queries = proc_state(&fleet, router, "link.row_queries");
-    ck_assert_int_eq(ask_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     ck_assert_int_eq(proc_state(&fleet, router, "link.row_queries"), queries);
     /* A restarted router holds only the rows that requests needed since. */
     proc_kill(router);
     proc_start(&fleet, router);
     ck_assert(proc_until(router_is_ready, router, 20));
-    ck_assert_int_eq(ask_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
     ck_assert_int_le(proc_state(&fleet, router, "table.workspaces"), 2);
     /* An unknown key is accepted once an operator has added it. */
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     uint8_t hash[WG_KEY_HASH_SIZE];
     char keys[80] = "keys=";
     wg_key_hash("nobody", hash);
@@ -331,10 +331,10 @@
     }
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "new", keys, NULL), 0);
     proc_sleep(500);
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 200);
     ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "delete", "workspaces", "new", NULL), 0);
     proc_sleep(500);
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     proc_fleet_stop(&fleet);
 }
 END_TEST
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -11,23 +11,23 @@
     load_desc desc = callers(LOAD_KIND_STREAM, 4, SECOND);
     load_result result;
     load_run(&desc, &result);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     const char* app = "/v1/app/app/x";
     const char* chat = "/v1/chat/completions";
-    ck_assert_int_eq(ask_status("r1", "GET", app, "key-w0", NULL, NULL), 200);
-    ck_assert_int_eq(ask_status("r1", "GET", app, "nobody", NULL, NULL), 401);
-    ck_assert_int_eq(ask_status("r1", "GET", app, NULL, NULL, NULL), 401);
-    ck_assert_int_eq(ask_status("r1", "GET", "/v1/app/none/x", "key-w0", NULL, NULL), 404);
-    ck_assert_int_eq(ask_status("r1", "GET", "/nowhere", "key-w0", NULL, NULL), 404);
-    ck_assert_int_eq(ask_status("r1", "GET", chat, "key-w0", NULL, NULL), 405);
-    ck_assert_int_eq(ask_status("r1", "POST", chat, "key-w0", NULL, "not json"), 400);
-    ck_assert_int_eq(ask_status("r1", "POST", chat, "key-w0", NULL, "{\"model\":5}"), 400);
-    ck_assert_int_eq(ask_status("r1", "POST", chat, "key-w0", NULL, "{\"model\":\"app\"}"), 404);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w0", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", app, NULL, NULL, NULL), 401);
+    ck_assert_int_eq(fetch_status("r1", "GET", "/v1/app/none/x", "key-w0", NULL, NULL), 404);
+    ck_assert_int_eq(fetch_status("r1", "GET", "/nowhere", "key-w0", NULL, NULL), 404);
+    ck_assert_int_eq(fetch_status("r1", "GET", chat, "key-w0", NULL, NULL), 405);
+    ck_assert_int_eq(fetch_status("r1", "POST", chat, "key-w0", NULL, "not json"), 400);
+    ck_assert_int_eq(fetch_status("r1", "POST", chat, "key-w0", NULL, "{\"model\":5}"), 400);
+    ck_assert_int_eq(fetch_status("r1", "POST", chat, "key-w0", NULL, "{\"model\":\"app\"}"), 404);
     char* large = g_strnfill(5000, 'x');
-    ck_assert_int_eq(ask_status("r1", "POST", app, "key-w0", NULL, large), 413);
+    ck_assert_int_eq(fetch_status("r1", "POST", app, "key-w0", NULL, large), 413);
     char* header = g_strdup_printf("X-Large: %s\r\n", large);
-    ck_assert_int_ne(ask_status("r1", "GET", app, "key-w0", header, NULL), 200);
+    ck_assert_int_ne(fetch_status("r1", "GET", app, "key-w0", header, NULL), 200);
     g_free(header);
     g_free(large);
     /* Internal headers that a caller sends have no effect. */
@@ -89,7 +89,7 @@
     const char* z = strstr(text, "\"/z\"");
     ck_assert(x && y && z && x < y && y < z);
     g_free(text);
-    ck_assert_int_eq(ask_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
     ck_assert_int_ge(proc_state(&fleet, proc_find(&fleet, "c1"), "links.frames_bad"), 1);
     proc_fleet_stop(&fleet);
 }
@@ -153,7 +153,7 @@
     load_run(&desc, &result);
     ck_assert_uint_gt(result.whole, 100);
     ck_assert_uint_eq(result.wrong, 0);
-    ck_actions(&result);
+    ck_actions_ran_once(&result);
     load_clear(&result);
     proc_fleet_kill(&fleet);
 }
@@ -247,7 +247,7 @@
     load_result result;
     load_run(&desc, &result);
     ck_assert(done);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     proc_fleet_kill(&fleet);
 }
@@ -297,7 +297,7 @@
     load_result result;
     load_run(&desc, &result);
     ck_assert_int_eq(next_daemon, 6);
-    ck_clean(&result);
+    ck_no_failures(&result);
     ck_assert_uint_eq(result.broken, 0);
     load_clear(&result);
     proc_fleet_stop(&fleet);
@@ -385,7 +385,7 @@
                         strlen(partial_requests[i]), 30000, NULL));
         ck_assert_int_lt(g_get_monotonic_time() - begin, 25 * G_USEC_PER_SEC);
     }
-    ck_assert_int_eq(ask_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
+    ck_assert_int_eq(fetch_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
     proc_fleet_stop(&fleet);
 }
 END_TEST
--- a/tests/test_hosts.c
+++ b/tests/test_hosts.c
@@ -19,7 +19,7 @@
 END_TEST
 
 /* Aborted streams resume at targets that may answer 500, refuse, or abort again. */
-START_TEST(promises_hold_while_targets_fail) {
+START_TEST(guarantees_hold_while_targets_fail) {
     soak_result r = soak_run(&(soak_desc){.seed = 3, .seconds = 5, .calm = true, .spoiled = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
     ck_assert_int_gt(r.failed, 0);
@@ -36,12 +36,12 @@
 }
 END_TEST
 
-START_TEST(promises_hold_under_faults) {
+START_TEST(guarantees_hold_under_faults) {
     run(7, 10, 4, 3);
 }
 END_TEST
 
-START_TEST(promises_hold_with_an_even_core) {
+START_TEST(guarantees_hold_with_four_replicas) {
     run(8, 10, 4, 4);
 }
 END_TEST
@@ -57,7 +57,7 @@
 
 /* Stalled processes, power losses with lost disks, and replaced hosts, with the deployed time-outs.
    How many faults of a kind occur depends on the speed of the machine too. */
-START_TEST(promises_hold_under_harsh_faults) {
+START_TEST(guarantees_hold_under_harsh_faults) {
     soak_result r = run_harsh(2222, 20, 5, 5);
     ck_assert_int_gt(r.replaced + r.disks_lost, 0);
 }
@@ -65,14 +65,14 @@
 
 /* Seed 2215: a replacement voted beside a replica that had just failed, and the next replaced host
    took the majority; see test_quorum_successor.c. */
-START_TEST(promises_hold_with_a_harsh_seed_that_failed) {
+START_TEST(guarantees_hold_with_a_harsh_seed_that_failed) {
     run_harsh(2215, 20, 5, 3);
 }
 END_TEST
 
 /* Seed 2206: while links came up one after the other, a third coordinator granted admissions beside
    two others, so a cold target got more requests than two coordinators may grant. */
-START_TEST(a_cold_target_is_not_fed_by_three_coordinators) {
+START_TEST(cold_target_gets_no_admissions_of_a_third_coordinator) {
     run_harsh(2206, 20, 5, 3);
 }
 END_TEST
@@ -80,15 +80,16 @@
 /* Seed 52022: a new coordinator requested the cache list of a cold target beside the requests that
    two coordinators granted. Seeds 72010 and 71016: a coordinator that had lost the leader, or had
    just started, did not know that a target was cold. */
-START_TEST(promises_hold_with_seeds_that_failed) {
+START_TEST(guarantees_hold_with_seeds_that_failed) {
     run(52022, 12, 4, 3);
     run(72010, 12, 4, 3);
     run(71016, 12, 4, 3);
 }
 END_TEST
 
-WG_TEST_MAIN("hosts", a_calm_fleet_serves_all, promises_hold_while_targets_fail,
-             drained_targets_get_nothing, promises_hold_under_faults,
-             promises_hold_with_an_even_core, promises_hold_under_harsh_faults,
-             promises_hold_with_a_harsh_seed_that_failed,
-             a_cold_target_is_not_fed_by_three_coordinators, promises_hold_with_seeds_that_failed)
+WG_TEST_MAIN("hosts", a_calm_fleet_serves_all, guarantees_hold_while_targets_fail,
+             drained_targets_get_nothing, guarantees_hold_under_faults,
+             guarantees_hold_with_four_replicas, guarantees_hold_under_harsh_faults,
+             guarantees_hold_with_a_harsh_seed_that_failed,
+             cold_target_gets_no_admissions_of_a_third_coordinator,
+             guarantees_hold_with_seeds_that_failed)
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -27,11 +27,11 @@
 static struct event_base* base;
 
 static void begin(void) {
-    base = local_base();
+    base = local_event_base();
 }
 
 static void turn(void) {
-    local_turn(base);
+    local_run_loop(base);
 }
 
 /* Runs the loop for `ms` while the host is connected to a follower that knows no leader. Returns
@@ -91,7 +91,7 @@
 END_TEST
 
 /* A seed address may belong to an entry host, which never leads: no wait there. */
-START_TEST(an_entry_host_does_not_wait_at_another_one) {
+START_TEST(entry_host_does_not_wait_at_another_entry_host) {
     fake_control other;
     begin();
     fake_control_begin_as(base, &other, 1, WGW_ROLE_ENTRY);
@@ -113,7 +113,7 @@
 
 /* A control that learns of no leader may be partitioned: the host disconnects after
    LEADERLESS_TIME. */
-START_TEST(a_control_that_hears_of_no_leader_is_left) {
+START_TEST(control_without_a_leader_is_disconnected) {
     fake_control follower;
     begin();
     fake_control_begin(base, &follower, 1);
@@ -162,12 +162,12 @@
     "\"memory_tokens\":1000}}],\"routes\":[],\"limits\":{},\"workspaces\":[]}";
 
 static void send_leader_state(fake_control* f, const char* target) {
-    fake_control_send_leader_state(f,
-                       &(fake_update){.version = 1, .document = engine_document, .target = target});
+    fake_control_send_leader_state(
+        f, &(fake_update){.version = 1, .document = engine_document, .target = target});
 }
 
 /* A new coordinator of a target requests its cache list once, and again after a failed request. */
-START_TEST(a_coordinator_asks_its_targets_what_they_hold) {
+START_TEST(new_coordinator_requests_cache_lists) {
     fake_control leader;
     begin();
     fake_control_begin(base, &leader, 1);
@@ -227,8 +227,8 @@
     for (int i = 0; i < TURNS && leader.reports == 0; i++) {
         turn();
     }
-    fake_control_send_leader_state(&leader,
-                       &(fake_update){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
+    fake_control_send_leader_state(
+        &leader, &(fake_update){.version = 1, .document = "{}", .target = "127.0.0.1:9"});
     for (int i = 0; i < 100; i++) {
         turn();
     }
@@ -255,7 +255,7 @@
 }
 END_TEST
 
-START_TEST(lists_of_what_is_held_are_read_strictly) {
+START_TEST(cache_lists_are_parsed_strictly) {
     static const char good[] =
         "{\"epoch\":3,\"held\":[[\"\",\"5c1e\",800,\"m\"],[\"\",\"aa\",0,\"m\"],[\"\",7,5],"
         "[],3,[\"\",\"91bd\",1,\"m\"]]}";
@@ -274,7 +274,7 @@
 
 /* A host without a member list gets each list at once. A host that has a list gets the new leader's
    only after SETTLE_TIME, since an incomplete list would redirect callers. */
-START_TEST(hosts_that_know_no_others_are_told_at_once) {
+START_TEST(hosts_without_a_member_list_get_it_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
     wgco_settings settings;
@@ -346,7 +346,7 @@
 }
 
 /* A control redials a replica that did not answer as soon as that replica connects to it. */
-START_TEST(who_reaches_a_control_is_dialled_at_once) {
+START_TEST(connecting_replica_is_dialled_back_at_once) {
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
     wgco_settings settings;
@@ -424,7 +424,7 @@
 
 /* A replica that lost its disk learns of a leader before it knows its address: hosts get the leader
    only once the address is known. */
-START_TEST(hosts_are_told_where_the_leader_is_once_that_is_known) {
+START_TEST(hosts_get_the_leader_address_once_known) {
     static const char leader[] = "10.9.8.7:17000";
     char folder[] = "/tmp/wg-links-XXXXXX";
     ck_assert_ptr_nonnull(mkdtemp(folder));
@@ -470,9 +470,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("leader links", hosts_are_told_where_the_leader_is_once_that_is_known,
-             who_reaches_a_control_is_dialled_at_once,
-             a_coordinator_asks_its_targets_what_they_hold, lists_of_what_is_held_are_read_strictly,
-             an_entry_host_waits_where_no_leader_is_known_yet,
-             an_entry_host_does_not_wait_at_another_one, a_control_that_hears_of_no_leader_is_left,
-             an_order_that_was_refused_is_sent_again, hosts_that_know_no_others_are_told_at_once)
+WG_TEST_MAIN("leader links", hosts_get_the_leader_address_once_known,
+             connecting_replica_is_dialled_back_at_once, new_coordinator_requests_cache_lists,
+             cache_lists_are_parsed_strictly, an_entry_host_waits_where_no_leader_is_known_yet,
+             entry_host_does_not_wait_at_another_entry_host,
+             control_without_a_leader_is_disconnected, an_order_that_was_refused_is_sent_again,
+             hosts_without_a_member_list_get_it_at_once)
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -25,7 +25,7 @@
 
 static void run_turns(int num) {
     for (int i = 0; i < num; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
 }
 
@@ -41,7 +41,7 @@
     g_strlcpy(folder, "/tmp/wg-states-XXXXXX", sizeof folder);
     ck_assert_ptr_nonnull(mkdtemp(folder));
     listen_at = local_control_settings(&settings, folder);
-    base = local_base();
+    base = local_event_base();
     start_control();
 }
 
@@ -57,7 +57,7 @@
     *host = (local_entry){.base = base};
     local_entry_setup(host, number, listen_at);
     for (int i = 0; i < TURNS && !host->leads; i++) {
-        local_turn(base);
+        local_run_loop(base);
         if (i % 100 == 99) {
             local_entry_report(host);
         }
@@ -95,14 +95,14 @@
 
 static void expect_version(local_entry* host, uint64_t version) {
     for (int i = 0; i < TURNS && host->configuration_version < version; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_uint_eq(host->configuration_version, version);
 }
 
 /* A host that has a version that the leader remembers gets the difference to it, not the complete
    configuration. */
-START_TEST(a_configuration_goes_out_as_what_changed) {
+START_TEST(configuration_is_sent_as_a_difference) {
     begin();
     local_entry host;
     connect_host(&host, 1);
@@ -131,7 +131,7 @@
 END_TEST
 
 /* A report that crosses a configuration on the wire does not cause it to be sent again. */
-START_TEST(what_is_on_its_way_is_not_sent_again) {
+START_TEST(configuration_in_flight_is_not_resent) {
     begin();
     local_entry host;
     connect_host(&host, 1);
@@ -175,7 +175,7 @@
 }
 
 /* Changes that arrive together are sent to each host in a few states, not in one state each. */
-START_TEST(changes_of_one_moment_go_out_together) {
+START_TEST(simultaneous_changes_are_sent_together) {
     begin();
     local_entry host;
     local_entry other;
@@ -187,7 +187,7 @@
         order_target(&host, i, 1);
     }
     for (int i = 0; i < TURNS && other.targets < TARGETS; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(other.targets, TARGETS);
     ck_assert_int_le(other.states_received - before, TARGETS / 4);
@@ -199,7 +199,7 @@
 
 /* The leader's own stall does not count as time without contact: it must not report running targets
    as unresponsive after it. */
-START_TEST(a_leader_that_stood_still_takes_no_target_for_silent) {
+START_TEST(stalled_leader_reports_no_target_unresponsive) {
     begin();
     local_entry host;
     connect_host(&host, 1);
@@ -207,7 +207,7 @@
         order_target(&host, i, 1);
     }
     for (int i = 0; i < TURNS && host.targets < TARGETS; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(host.targets, TARGETS);
     wg_now_skip((settings.target_silent_ms + 1000) * MSEC);
@@ -219,7 +219,7 @@
         run_turns(10);
     }
     for (int i = 0; i < TURNS && host.targets < 2 * TARGETS; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(host.targets, 2 * TARGETS);
     wgn_shutdown(host.net);
@@ -238,13 +238,13 @@
     host->outcome = -1;
     ck_assert(wgn_send(host->net, host->link, WGW_TYPE_ORDER, &order.base));
     for (int i = 0; i < TURNS && host->outcome < 0; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
 }
 
 static void expect_evacuated(const local_entry* host, int num) {
     for (int i = 0; i < TURNS && host->evacuated != num; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(host->evacuated, num);
 }
@@ -316,7 +316,7 @@
 
 static void expect_quarantined(const local_entry* host, int num) {
     for (int i = 0; i < TURNS && host->quarantined != num; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
     ck_assert_int_eq(host->quarantined, num);
 }
@@ -332,12 +332,12 @@
     host->outcome = -1;
     ck_assert(wgn_send(host->net, host->link, WGW_TYPE_ORDER, &order.base));
     for (int i = 0; i < TURNS && host->outcome < 0; i++) {
-        local_turn(base);
+        local_run_loop(base);
     }
 }
 
 /* Crashes reported by different hosts add up at the leader, which notifies all hosts. */
-START_TEST(evidence_of_two_hosts_is_put_together) {
+START_TEST(crashes_reported_by_two_hosts_add_up) {
     begin();
     local_entry host;
     local_entry other;
@@ -391,7 +391,7 @@
 }
 END_TEST
 
-START_TEST(a_quarantine_ends_with_its_time) {
+START_TEST(quarantine_expires) {
     begin();
     settings.quarantine_s = 1;
     local_entry host;
@@ -410,9 +410,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("leader states", evidence_of_two_hosts_is_put_together,
-             a_quarantine_outlives_its_leader, a_quarantine_ends_with_its_time,
-             a_configuration_goes_out_as_what_changed, what_is_on_its_way_is_not_sent_again,
-             changes_of_one_moment_go_out_together,
-             a_leader_that_stood_still_takes_no_target_for_silent,
+WG_TEST_MAIN("leader states", crashes_reported_by_two_hosts_add_up,
+             a_quarantine_outlives_its_leader, quarantine_expires,
+             configuration_is_sent_as_a_difference, configuration_in_flight_is_not_resent,
+             simultaneous_changes_are_sent_together, stalled_leader_reports_no_target_unresponsive,
              an_evacuation_outlives_its_leader)
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -107,7 +107,7 @@
 
 /* A forced recovery keeps all committed changes; the wiped replicas join, so that the remaining
    replica may fail afterwards. */
-START_TEST(an_operator_forms_the_set_anew) {
+START_TEST(operator_recovers_the_set) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -127,7 +127,7 @@
 END_TEST
 
 /* Wiped replicas that connected before the forced recovery join the recovered set. */
-START_TEST(emptied_replicas_that_wait_join_the_new_set) {
+START_TEST(wiped_replicas_join_the_recovered_set) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(a_set_is_not_formed_while_a_majority_may_come_back) {
+START_TEST(recovery_is_refused_while_a_majority_may_return) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -192,7 +192,7 @@
 
 /* Replicas that were named as failed come back with their disks: no host follows them, and no
    change committed since the recovery is lost. */
-START_TEST(a_former_majority_that_comes_back_is_kept_out) {
+START_TEST(previous_majority_is_kept_out) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -215,7 +215,7 @@
 
 /* Replicas that were named as failed elect a leader among themselves while the recovered replica is
    stalled: no host may follow that leader. */
-START_TEST(a_former_majority_finds_no_host_to_follow_it) {
+START_TEST(previous_majority_is_not_followed) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -237,8 +237,7 @@
 }
 END_TEST
 
-WG_TEST_MAIN("lost_majority", hosts_that_start_without_a_majority_serve,
-             an_operator_forms_the_set_anew, emptied_replicas_that_wait_join_the_new_set,
-             the_command_finds_the_newest_log, a_set_is_not_formed_while_a_majority_may_come_back,
-             a_former_majority_that_comes_back_is_kept_out,
-             a_former_majority_finds_no_host_to_follow_it)
+WG_TEST_MAIN("lost_majority", hosts_that_start_without_a_majority_serve, operator_recovers_the_set,
+             wiped_replicas_join_the_recovered_set, the_command_finds_the_newest_log,
+             recovery_is_refused_while_a_majority_may_return, previous_majority_is_kept_out,
+             previous_majority_is_not_followed)
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -11,7 +11,7 @@
 #include "wg_test.h"
 #include "wg_wire.h"
 
-START_TEST(stale_handles_are_found_out) {
+START_TEST(stale_handles_are_detected) {
     wg_pool pool;
     wg_pool_setup(&pool, &(wg_pool_desc){.capacity = 2});
     wg_handle a = wg_pool_alloc(&pool);
@@ -223,7 +223,7 @@
     return m;
 }
 
-START_TEST(entry_hosts_are_few_near_and_steady) {
+START_TEST(entry_hosts_are_few_local_and_stable) {
     wgm_members* all = twelve_members();
     wgm_members* with_draining = twelve_members();
     wgm_member leaving = member("r3", 1, WGM_STATE_LEAVING, "east");
@@ -297,7 +297,7 @@
 }
 END_TEST
 
-START_TEST(leaving_is_not_unseen_by_an_older_list) {
+START_TEST(older_list_does_not_undo_draining) {
     wgp_place* p = setup_place(2, 4);
     ck_assert_int_eq(wgp_update_host(p, "127.0.0.1:1000", true, 10), WGP_EVENT_DRAINING);
     ck_assert(!wgp_is_usable(p, 0, 1));
@@ -320,7 +320,7 @@
 }
 END_TEST
 
-START_TEST(failing_target_is_put_aside_and_probed) {
+START_TEST(failing_target_is_ejected_and_probed) {
     wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_event event = WGP_EVENT_DEFAULT;
@@ -341,7 +341,7 @@
 }
 END_TEST
 
-START_TEST(a_resting_target_gets_nothing_and_keeps_one_slot) {
+START_TEST(target_in_backoff_gets_no_requests_and_keeps_one_slot) {
     wgp_place* p = setup_place(2, 4);
     wgp_choice one = {.target = 1};
     wgp_choice choice;
@@ -377,7 +377,7 @@
 }
 END_TEST
 
-START_TEST(prefix_is_a_hint_that_gives_way) {
+START_TEST(prefix_preference_yields_to_load) {
     wgp_place* p = setup_place(4, 8);
     wgp_choice choice;
     wgp_record_prefix(p, 99, 2);
@@ -424,11 +424,11 @@
 }
 END_TEST
 
-WG_TEST_MAIN("parts", stale_handles_are_found_out, histogram_quantiles_are_close,
+WG_TEST_MAIN("parts", stale_handles_are_detected, histogram_quantiles_are_close,
              bad_frames_are_refused, proof_depends_on_key_label_and_hellos,
              bad_settings_name_file_group_and_key, claims_are_granted_once, members_come_and_go,
-             entry_hosts_are_few_near_and_steady, only_leased_slots_are_used,
-             leaving_is_not_unseen_by_an_older_list,
-             a_resting_target_gets_nothing_and_keeps_one_slot,
-             failing_target_is_put_aside_and_probed, prefix_is_a_hint_that_gives_way,
+             entry_hosts_are_few_local_and_stable, only_leased_slots_are_used,
+             older_list_does_not_undo_draining,
+             target_in_backoff_gets_no_requests_and_keeps_one_slot,
+             failing_target_is_ejected_and_probed, prefix_preference_yields_to_load,
              bad_descs_name_the_field)
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -120,7 +120,7 @@
 
 /* When every voter has just started, no lease can be held, so the election need not wait for one
    to expire. */
-START_TEST(all_that_start_at_once_elect_at_once) {
+START_TEST(simultaneous_start_elects_at_once) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
         wait_leader(run);
@@ -140,7 +140,7 @@
 
 /* A replica that starts with an empty disk holds no promises, so the election need not wait for
    them. */
-START_TEST(all_that_start_with_a_disk_lost_elect_at_once) {
+START_TEST(simultaneous_start_with_a_lost_disk_elects_at_once) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
         wait_leader(run);
@@ -162,7 +162,7 @@
 
 /* A voter that did not restart may be a leader that still holds its lease: the others wait for the
    normal election time-out. */
-START_TEST(one_that_kept_running_is_waited_for) {
+START_TEST(running_voter_delays_the_election) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
         int leader = wait_leader(run);
@@ -187,7 +187,7 @@
 
 /* With the time-outs of deploy/replica.ini, lost messages and delays longer than the shortest
    election time-out do not unseat a running leader. */
-START_TEST(short_waits_keep_a_leader_on_a_bad_network) {
+START_TEST(short_timeouts_keep_a_leader_on_a_bad_network) {
     uint64_t elections = 0;
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
@@ -207,7 +207,7 @@
 END_TEST
 
 /* A failed leader is replaced within twice the longest election time-out. */
-START_TEST(short_waits_replace_a_lost_leader_soon) {
+START_TEST(short_timeouts_replace_a_failed_leader_soon) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                                 .replicas = 3,
@@ -224,7 +224,7 @@
 }
 END_TEST
 
-START_TEST(hand_over_ends_the_lease_first) {
+START_TEST(leadership_transfer_ends_the_lease_first) {
     for (int seed = 0; seed < 10; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
         int leader = wait_leader(run);
@@ -242,7 +242,7 @@
 }
 END_TEST
 
-START_TEST(frozen_leader_does_not_lead_when_it_wakes) {
+START_TEST(stalled_leader_does_not_lead_when_it_resumes) {
     simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
     simq_freeze(run, leader, 3 * SECOND);
@@ -256,7 +256,7 @@
 }
 END_TEST
 
-START_TEST(cut_off_replica_does_not_unseat_the_leader) {
+START_TEST(partitioned_replica_does_not_unseat_the_leader) {
     simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
     int cut = nth_other(leader, 0, 3);
@@ -411,7 +411,7 @@
 }
 END_TEST
 
-START_TEST(random_runs_hold_and_replay) {
+START_TEST(random_runs_are_consistent_and_reproducible) {
     for (uint64_t seed = 100; seed < 106; seed++) {
         uint64_t traces[2];
         for (int again = 0; again < 2; again++) {
@@ -428,7 +428,7 @@
 END_TEST
 
 /* Runs for longer than the retention period of claims. */
-START_TEST(random_runs_hold_past_the_keeping_time_of_claims) {
+START_TEST(random_runs_outlast_the_retention_of_claims) {
     simq_run* run = simq_setup(&(simq_desc){.seed = 90711, .replicas = 3, .faults = true});
     simq_steps(run, 200000);
     simq_settle(run, 30 * SECOND);
@@ -449,11 +449,13 @@
 
 WG_TEST_MAIN("quorum", one_replica_leads_itself, one_replica_leads_itself_at_once_after_a_restart,
              five_replicas_survive_any_two, no_majority_no_leader, promise_to_a_leader_is_kept,
-             promise_survives_a_restart, all_that_start_at_once_elect_at_once,
-             all_that_start_with_a_disk_lost_elect_at_once, one_that_kept_running_is_waited_for,
-             short_waits_keep_a_leader_on_a_bad_network, short_waits_replace_a_lost_leader_soon,
-             hand_over_ends_the_lease_first, frozen_leader_does_not_lead_when_it_wakes,
-             cut_off_replica_does_not_unseat_the_leader, one_way_cut_of_a_leader_ends_its_lease,
+             promise_survives_a_restart, simultaneous_start_elects_at_once,
+             simultaneous_start_with_a_lost_disk_elects_at_once, running_voter_delays_the_election,
+             short_timeouts_keep_a_leader_on_a_bad_network,
+             short_timeouts_replace_a_failed_leader_soon, leadership_transfer_ends_the_lease_first,
+             stalled_leader_does_not_lead_when_it_resumes,
+             partitioned_replica_does_not_unseat_the_leader, one_way_cut_of_a_leader_ends_its_lease,
              lost_disk_votes_only_after_replacement, older_terms_are_not_committed_by_counting,
-             two_editors_one_wins_and_a_resend_gets_the_first_answer, random_runs_hold_and_replay,
-             random_runs_hold_past_the_keeping_time_of_claims, bad_descs_name_the_field)
+             two_editors_one_wins_and_a_resend_gets_the_first_answer,
+             random_runs_are_consistent_and_reproducible,
+             random_runs_outlast_the_retention_of_claims, bad_descs_name_the_field)
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -147,7 +147,7 @@
 }
 
 /* Measures the time from the replacement's catching up to a complete set. */
-START_TEST(a_set_is_whole_within_a_bounded_time) {
+START_TEST(set_is_complete_within_a_bounded_time) {
     enum {
         STEP_MS = 10,
         STEPS = 2000,
@@ -208,7 +208,7 @@
 
 /* The time since the last contact counts from the start of a replica, not from the first election:
    otherwise the failed voter is removed too late, and the next loss takes the majority. */
-START_TEST(silence_counts_from_the_start_of_all) {
+START_TEST(contact_age_counts_from_the_start) {
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
         replacement_run p = begin(seed);
@@ -233,7 +233,7 @@
 END_TEST
 
 /* The time since the last contact also counts during an outage without a leader. */
-START_TEST(silence_counts_while_nobody_leads) {
+START_TEST(contact_age_counts_during_an_outage) {
     enum {
         PARTITION_MS = 3000
     };
@@ -258,7 +258,7 @@
 
 /* A new leader that knows how long a voter has been out of contact still gives it time to answer
    before it removes the voter from the set. */
-START_TEST(a_new_leader_gives_a_silent_voter_time_to_answer) {
+START_TEST(new_leader_gives_an_unresponsive_voter_time_to_answer) {
     enum {
         VOTERS_OF_FIVE = 5,
         LEARNER = 5,
@@ -304,5 +304,6 @@
 
 WG_TEST_MAIN("quorum_leaders_change", a_disk_may_be_lost_five_seconds_after_a_replacement,
              a_disk_may_be_lost_ten_seconds_after_a_replacement,
-             a_set_is_whole_within_a_bounded_time, silence_counts_from_the_start_of_all,
-             silence_counts_while_nobody_leads, a_new_leader_gives_a_silent_voter_time_to_answer)
+             set_is_complete_within_a_bounded_time, contact_age_counts_from_the_start,
+             contact_age_counts_during_an_outage,
+             new_leader_gives_an_unresponsive_voter_time_to_answer)
--- a/tests/test_quorum_stalls.c
+++ b/tests/test_quorum_stalls.c
@@ -32,7 +32,7 @@
                   simq_leader(run));
 }
 
-START_TEST(a_machine_that_stands_still_costs_no_election) {
+START_TEST(stall_of_all_replicas_causes_no_election) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
         int leader = simq_leader(run);
@@ -47,7 +47,7 @@
 }
 END_TEST
 
-START_TEST(a_leader_that_nobody_can_replace_goes_on) {
+START_TEST(irreplaceable_leader_continues_after_a_stall) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
         int leader = simq_leader(run);
@@ -63,7 +63,7 @@
 
 /* A stalled leader is replaced while the other replicas run, and follows the new leader
    afterwards. */
-START_TEST(a_leader_that_can_be_replaced_is) {
+START_TEST(stalled_leader_is_replaced) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
         int leader = simq_leader(run);
@@ -80,7 +80,7 @@
 END_TEST
 
 /* A leader whose event loop is delayed again and again is replaced by the running replicas. */
-START_TEST(a_replica_that_is_always_late_does_not_hold_on) {
+START_TEST(repeatedly_stalled_leader_is_replaced) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(seed);
         int leader = simq_leader(run);
@@ -96,7 +96,7 @@
 
 /* The leader's own stall does not count as time without contact: it must not remove the learner
    that replaces a failed voter. */
-START_TEST(a_leader_that_stood_still_takes_nobody_out) {
+START_TEST(stalled_leader_removes_no_replica) {
     enum {
         LEARNER = 3,
         LONG_STALL_MS =
@@ -137,7 +137,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quorum_stalls", a_machine_that_stands_still_costs_no_election,
-             a_leader_that_nobody_can_replace_goes_on, a_leader_that_can_be_replaced_is,
-             a_replica_that_is_always_late_does_not_hold_on,
-             a_leader_that_stood_still_takes_nobody_out)
+WG_TEST_MAIN("quorum_stalls", stall_of_all_replicas_causes_no_election,
+             irreplaceable_leader_continues_after_a_stall, stalled_leader_is_replaced,
+             repeatedly_stalled_leader_is_replaced, stalled_leader_removes_no_replica)
--- a/tests/test_quorum_start.c
+++ b/tests/test_quorum_start.c
@@ -127,7 +127,7 @@
     ck_assert(!reply.reject);
 }
 
-START_TEST(it_stands_after_a_second_round_of_all) {
+START_TEST(election_starts_after_a_second_round_of_answers) {
     start(1, 3);
     wg_time first = next_query_round();
     ck_assert_int_gt(first, 0);
@@ -160,7 +160,7 @@
 }
 END_TEST
 
-START_TEST(one_that_restarts_between_the_rounds_is_asked_again) {
+START_TEST(restart_between_rounds_requires_another_round) {
     start(1, 3);
     wgr_message vote = {0};
     wg_time first = next_query_round();
@@ -178,7 +178,7 @@
 }
 END_TEST
 
-START_TEST(the_newest_log_goes_first) {
+START_TEST(newest_log_starts_the_election) {
     wgr_message vote = {0};
     /* The log of the node ends at index 4. */
     for (uint64_t other_last_index = 3; other_last_index <= 5; other_last_index++) {
@@ -196,7 +196,7 @@
 }
 END_TEST
 
-START_TEST(who_heard_a_leader_ends_the_questions) {
+START_TEST(refusal_by_a_follower_ends_the_queries) {
     start(1, 3);
     wgr_message vote = {0};
     wg_time first = next_query_round();
@@ -212,7 +212,7 @@
 }
 END_TEST
 
-START_TEST(a_promise_is_told_and_kept) {
+START_TEST(promise_is_reported_and_kept) {
     start(1, 0);
     wgr_message before = query_node();
     ck_assert(!before.reject);
@@ -224,7 +224,7 @@
 }
 END_TEST
 
-START_TEST(a_vote_is_given_in_the_life_that_was_told) {
+START_TEST(vote_requires_the_reported_incarnation) {
     start(1, 0);
     uint64_t incarnation_id = query_node().incarnation;
     ck_assert(grants_vote(incarnation_id));
@@ -237,7 +237,7 @@
 }
 END_TEST
 
-START_TEST(one_whose_disk_is_lost_need_not_answer) {
+START_TEST(replica_with_a_lost_disk_need_not_answer) {
     start(1, 3);
     wgr_message vote = {0};
     wgr_record_replaced(node, THIRD);
@@ -249,8 +249,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quorum start", it_stands_after_a_second_round_of_all,
+WG_TEST_MAIN("quorum start", election_starts_after_a_second_round_of_answers,
              late_answers_of_the_first_round_do_not_count,
-             one_that_restarts_between_the_rounds_is_asked_again, the_newest_log_goes_first,
-             who_heard_a_leader_ends_the_questions, a_promise_is_told_and_kept,
-             a_vote_is_given_in_the_life_that_was_told, one_whose_disk_is_lost_need_not_answer)
+             restart_between_rounds_requires_another_round, newest_log_starts_the_election,
+             refusal_by_a_follower_ends_the_queries, promise_is_reported_and_kept,
+             vote_requires_the_reported_incarnation, replica_with_a_lost_disk_need_not_answer)
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -100,7 +100,7 @@
     }
 }
 
-START_TEST(a_replaced_replica_weighs_no_more) {
+START_TEST(replaced_replica_has_no_vote) {
     static const fault_plan plans[] = {{.voters = 3, .replaced = 1, .lost = 1},
                                        {.voters = 4, .replaced = 1, .lost = 1},
                                        {.voters = 5, .replaced = 1, .lost = 2},
@@ -113,7 +113,7 @@
 
 /* The replacement loses its disk while it joins, and all other replicas lose power. Had it counted
    beside the replica it replaces for any time, only two voters of four would be left. */
-START_TEST(a_newcomer_that_is_lost_takes_nobody_along) {
+START_TEST(lost_replacement_costs_no_majority) {
     static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
         REPLACEMENT = 3,
@@ -149,7 +149,7 @@
 
 /* A replacement must not get a vote beside a voter that fails while the replacement starts and
    still counts as reachable. */
-START_TEST(a_newcomer_does_not_count_beside_one_that_ends_as_it_comes) {
+START_TEST(replacement_does_not_vote_beside_a_failing_voter) {
     static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
         REPLACEMENT = 3,
@@ -206,7 +206,7 @@
 }
 
 /* After a planned stop of one of four voters, the set survives the loss of another disk at once. */
-START_TEST(a_voter_that_leaves_weighs_no_more_at_once) {
+START_TEST(leaving_voter_loses_its_vote_at_once) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin_without_replacement(4, seed);
         int leaving = pick_follower(run, seed, 4);
@@ -232,7 +232,7 @@
 
 /* A voter that left and restarts with the same identity gets its vote back within a second after
    the period that a learner of a full set waits (1.6 s here). */
-START_TEST(a_voter_that_left_comes_back) {
+START_TEST(voter_that_left_rejoins) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin_without_replacement(4, seed);
         int leaving = pick_follower(run, seed, 4);
@@ -257,7 +257,7 @@
 
 /* A set of three keeps all voters, since two could not survive a loss. The voter is notified and
    stops regardless. */
-START_TEST(a_voter_that_is_needed_stays) {
+START_TEST(needed_voter_stays_in_the_set) {
     simq_run* run = begin_without_replacement(3, 1);
     int leaving = pick_follower(run, 1, 3);
     simq_leave(run, leaving);
@@ -288,7 +288,7 @@
 END_TEST
 
 /* A voter that stalls for less than the removal time stays in the set, beside the new replica. */
-START_TEST(a_short_silence_costs_no_place) {
+START_TEST(short_stall_keeps_the_vote) {
     for (int seed = 0; seed < SEEDS; seed++) {
         static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
         simq_run* run = begin(&plan, seed);
@@ -308,7 +308,7 @@
 END_TEST
 
 /* All kinds of random faults, with replacements and planned stops. */
-START_TEST(random_runs_hold_with_succession) {
+START_TEST(random_runs_are_consistent_with_replacements) {
     for (uint64_t seed = 700; seed < 706; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = seed,
                                                 .replicas = seed % 2 ? 4 : 6,
@@ -329,9 +329,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quorum_successor", a_replaced_replica_weighs_no_more,
-             a_newcomer_that_is_lost_takes_nobody_along,
-             a_newcomer_does_not_count_beside_one_that_ends_as_it_comes,
-             a_learner_has_time_to_answer, a_voter_that_leaves_weighs_no_more_at_once,
-             a_voter_that_left_comes_back, a_voter_that_is_needed_stays, a_set_never_gets_too_small,
-             a_short_silence_costs_no_place, random_runs_hold_with_succession)
+WG_TEST_MAIN("quorum_successor", replaced_replica_has_no_vote, lost_replacement_costs_no_majority,
+             replacement_does_not_vote_beside_a_failing_voter, a_learner_has_time_to_answer,
+             leaving_voter_loses_its_vote_at_once, voter_that_left_rejoins,
+             needed_voter_stays_in_the_set, a_set_never_gets_too_small, short_stall_keeps_the_vote,
+             random_runs_are_consistent_with_replacements)
--- a/tests/test_roster.c
+++ b/tests/test_roster.c
@@ -46,7 +46,7 @@
     }
 }
 
-START_TEST(one_change_is_told_alone) {
+START_TEST(only_changes_are_sent) {
     wg_roster* leader = wg_roster_setup();
     wg_roster* copy = wg_roster_setup();
     wg_roster_begin(leader, 3);
@@ -77,7 +77,7 @@
 
 /* A leader that loses its lease and regains it in the same term begins a new roster. A copy of the
    previous roster must notice, even when both have seen the same number of changes. */
-START_TEST(a_list_begun_again_in_one_term_is_told_anew) {
+START_TEST(roster_begun_again_in_a_term_resets_copies) {
     enum {
         TERM = 3,
         KNOWN = 5
@@ -106,7 +106,7 @@
 END_TEST
 
 /* Copies that are updated at different intervals equal the roster, also when leaders change. */
-START_TEST(copies_always_come_to_the_same_list) {
+START_TEST(copies_converge_to_the_same_roster) {
     enum {
         COPIES = 6
     };
@@ -159,7 +159,7 @@
 }
 
 /* Answers spread callers over all hosts of the data centre. */
-START_TEST(every_host_is_named_to_somebody) {
+START_TEST(every_host_is_offered_to_some_caller) {
     wg_roster* r = roster_of(HOSTS_PER_DATA_CENTRE * DATA_CENTRES);
     GHashTable* seen = g_hash_table_new(NULL, NULL);
     for (int i = 0; i < CALLERS; i++) {
@@ -178,7 +178,7 @@
 END_TEST
 
 /* Excluding a host changes only the answers that named it, by one host each. */
-START_TEST(a_caller_is_named_the_same_hosts_again) {
+START_TEST(caller_is_offered_stable_hosts) {
     wg_roster* r = roster_of(HOSTS_PER_DATA_CENTRE * DATA_CENTRES);
     int changed = 0;
     for (int i = 0; i < CALLERS; i++) {
@@ -205,7 +205,7 @@
 }
 END_TEST
 
-START_TEST(few_hosts_are_all_named_and_far_ones_where_none_is_near) {
+START_TEST(remote_hosts_are_offered_when_local_ones_are_too_few) {
     wg_roster* r = roster_of(3 * DATA_CENTRES);
     wg_roster_query query = {.data_centre = "dc1", .caller = 5};
     GPtrArray* picked = wg_roster_pick(r, &query);
@@ -224,7 +224,6 @@
 }
 END_TEST
 
-WG_TEST_MAIN("roster", one_change_is_told_alone, a_list_begun_again_in_one_term_is_told_anew,
-             copies_always_come_to_the_same_list, every_host_is_named_to_somebody,
-             a_caller_is_named_the_same_hosts_again,
-             few_hosts_are_all_named_and_far_ones_where_none_is_near)
+WG_TEST_MAIN("roster", only_changes_are_sent, roster_begun_again_in_a_term_resets_copies,
+             copies_converge_to_the_same_roster, every_host_is_offered_to_some_caller,
+             caller_is_offered_stable_hosts, remote_hosts_are_offered_when_local_ones_are_too_few)
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -24,7 +24,7 @@
 START_TEST(target_in_backoff_gets_no_requests) {
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     load_result result = run_load(1);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     proc_process* target = proc_find(&fleet, "service1");
     ck_assert_int_gt(lookups_at("service1"), 0);
@@ -34,7 +34,7 @@
     printf("%lu complete, %lu failed; %d backoff periods with more than two requests\n",
            result.whole, result.failed, (int)num);
     fflush(stdout);
-    ck_clean(&result);
+    ck_no_failures(&result);
     load_clear(&result);
     ck_assert_int_eq(num, 0);
     proc_faults(target, "refuse=0");
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -81,7 +81,7 @@
 }
 END_TEST
 
-START_TEST(silent_router_loses_its_slots_after_the_term) {
+START_TEST(unresponsive_router_loses_its_slots_after_the_lease) {
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
     wgf_router a = wgf_router_up(s, SECOND, "a", 1, "dc");
@@ -108,7 +108,7 @@
 }
 END_TEST
 
-START_TEST(leaving_target_is_not_leased) {
+START_TEST(draining_target_is_not_leased) {
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
     wgf_router a = wgf_router_up(s, SECOND, "a", 1, "dc");
@@ -146,7 +146,7 @@
 
 /* With a slow clock a router may report after the leader has ended its leases: the leader requests
    a full report. */
-START_TEST(router_whose_leases_ended_is_asked_for_everything) {
+START_TEST(router_with_expired_leases_must_report_in_full) {
     wgf_share* s = share_with_targets();
     static wgf_orders orders;
     wgf_router a = wgf_router_up(s, SECOND, "a", 1, "dc");
@@ -234,7 +234,7 @@
 END_TEST
 
 /* Each sample trace meets the expectations that it states. */
-START_TEST(sample_traces_have_their_outcomes) {
+START_TEST(sample_traces_meet_their_expectations) {
     static const char* names[] = {"contest-weekend",  "storm-night", "ordinary-day",
                                   "one-router",       "uneven",      "overload",
                                   "data-centre-gone", "targets-die"};
@@ -272,7 +272,7 @@
 END_TEST
 
 /* Random loads and faults; the simulation asserts that no target is leased twice. */
-START_TEST(random_fleets_keep_the_bound) {
+START_TEST(random_fleets_stay_within_the_gap_bound) {
     for (uint64_t seed = 1; seed <= 12; seed++) {
         GString* text = g_string_new(NULL);
         g_string_append_printf(text, "fleet seed=%d routers=%d targets=%d slots=4 duration_s=60\n",
@@ -303,8 +303,8 @@
 
 WG_TEST_MAIN("share", repeated_and_late_reports_count_once,
              new_leader_grants_only_after_old_leases_ended,
-             silent_router_loses_its_slots_after_the_term, leaving_target_is_not_leased,
-             shares_follow_weights_and_demand, router_whose_leases_ended_is_asked_for_everything,
+             unresponsive_router_loses_its_slots_after_the_lease, draining_target_is_not_leased,
+             shares_follow_weights_and_demand, router_with_expired_leases_must_report_in_full,
              crossing_grants_are_counted_once, pacer_holds_to_its_budget,
-             sample_traces_have_their_outcomes, bad_traces_name_the_line,
-             random_fleets_keep_the_bound)
+             sample_traces_meet_their_expectations, bad_traces_name_the_line,
+             random_fleets_stay_within_the_gap_bound)
--- a/tests/test_soak_crashes.c
+++ b/tests/test_soak_crashes.c
@@ -11,14 +11,14 @@
     ck_assert_int_ge(r.crashes, 1);
 }
 
-START_TEST(few_targets_end_under_faults) {
+START_TEST(few_targets_crash_under_faults) {
     run(31002, false);
 }
 END_TEST
 
-START_TEST(few_targets_end_under_harsh_faults) {
+START_TEST(few_targets_crash_under_harsh_faults) {
     run(31001, true);
 }
 END_TEST
 
-WG_TEST_MAIN("soak crashes", few_targets_end_under_faults, few_targets_end_under_harsh_faults)
+WG_TEST_MAIN("soak crashes", few_targets_crash_under_faults, few_targets_crash_under_harsh_faults)
--- a/tests/test_soak_rests.c
+++ b/tests/test_soak_rests.c
@@ -12,14 +12,15 @@
     ck_assert_int_ge(r.busy, 1);
 }
 
-START_TEST(wishes_are_heeded_under_faults) {
+START_TEST(backoff_hints_are_followed_under_faults) {
     run(41001, false);
 }
 END_TEST
 
-START_TEST(wishes_are_heeded_under_harsh_faults) {
+START_TEST(backoff_hints_are_followed_under_harsh_faults) {
     run(41002, true);
 }
 END_TEST
 
-WG_TEST_MAIN("soak rests", wishes_are_heeded_under_faults, wishes_are_heeded_under_harsh_faults)
+WG_TEST_MAIN("soak rests", backoff_hints_are_followed_under_faults,
+             backoff_hints_are_followed_under_harsh_faults)
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -68,7 +68,7 @@
     return num;
 }
 
-START_TEST(what_was_synced_is_there_again) {
+START_TEST(synced_state_is_restored) {
     create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
@@ -143,7 +143,7 @@
 END_TEST
 
 /* A record that was partly written at a crash is truncated. */
-START_TEST(torn_tail_is_cut) {
+START_TEST(torn_tail_is_truncated) {
     create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
@@ -238,7 +238,7 @@
 END_TEST
 
 /* A power loss may damage all unsynced slots of the marker file, which must not stop the start. */
-START_TEST(a_power_cut_may_spoil_the_whole_marker) {
+START_TEST(power_loss_may_damage_the_unsynced_marker) {
     enum {
         UNSYNCED_SLOTS = 64 /* size in bytes of the slots that are written without a sync */
     };
@@ -264,7 +264,7 @@
 END_TEST
 
 /* A power loss may undo any file removal that no folder sync followed. */
-START_TEST(a_power_cut_may_bring_a_removed_segment_back) {
+START_TEST(power_loss_may_restore_a_removed_segment) {
     create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
@@ -453,7 +453,7 @@
 
 /* Each write, sync, rename and removal fails once or three times: the error is WG_ERROR_DISK, and
    all acknowledged state is there when the disk works again. */
-START_TEST(what_was_acknowledged_survives_each_refusal) {
+START_TEST(acknowledged_state_survives_each_disk_error) {
     static const int failures[] = {ENOSPC, EDQUOT, EIO, EROFS};
     disk_fault counted = {0};
     acknowledged all = {.term = 1};
@@ -597,7 +597,7 @@
     return !finished;
 }
 
-START_TEST(a_power_cut_while_the_log_is_cut_back) {
+START_TEST(power_loss_during_truncation) {
     enum {
         COMBINATIONS = 8 /* subsets of three removed files */
     };
@@ -642,7 +642,7 @@
     return !finished;
 }
 
-START_TEST(a_power_cut_while_a_snapshot_is_stored) {
+START_TEST(power_loss_during_a_snapshot) {
     enum {
         COMBINATIONS = 16 /* subsets of four removed files */
     };
@@ -656,7 +656,7 @@
 END_TEST
 
 /* A folder in use by another process is not reported as a temporary disk error. */
-START_TEST(a_folder_in_use_is_not_waited_for) {
+START_TEST(folder_in_use_is_not_a_disk_error) {
     create_folder();
     GError* error = NULL;
     wgs_store* store = open_store(&error);
@@ -668,11 +668,11 @@
 }
 END_TEST
 
-WG_TEST_MAIN("store", what_was_synced_is_there_again, two_processes_cannot_share_a_folder,
-             damage_to_a_synced_record_is_found, torn_tail_is_cut,
-             a_power_cut_may_spoil_the_whole_marker, a_power_cut_may_bring_a_removed_segment_back,
+WG_TEST_MAIN("store", synced_state_is_restored, two_processes_cannot_share_a_folder,
+             damage_to_a_synced_record_is_found, torn_tail_is_truncated,
+             power_loss_may_damage_the_unsynced_marker, power_loss_may_restore_a_removed_segment,
              damage_before_the_tail_stops_the_start, damaged_small_files_stop_the_start,
              truncation_and_new_entries, snapshot_bounds_the_log,
              snapshot_from_the_leader_replaces_the_log, full_disk_is_an_error,
-             what_was_acknowledged_survives_each_refusal, a_power_cut_while_the_log_is_cut_back,
-             a_power_cut_while_a_snapshot_is_stored, a_folder_in_use_is_not_waited_for)
+             acknowledged_state_survives_each_disk_error, power_loss_during_truncation,
+             power_loss_during_a_snapshot, folder_in_use_is_not_a_disk_error)
--- a/tests/test_successions.c
+++ b/tests/test_successions.c
@@ -13,22 +13,22 @@
     ck_assert_int_eq(r.disks_lost, 1);
 }
 
-START_TEST(a_disk_is_lost_after_leaders_fell) {
+START_TEST(disk_is_lost_after_leaders_failed) {
     run_host_replacements(1026);
 }
 END_TEST
 
-START_TEST(a_disk_is_lost_after_leaders_fell_again) {
+START_TEST(disk_is_lost_after_leaders_failed_again) {
     run_host_replacements(1027);
 }
 END_TEST
 
-START_TEST(a_fleet_that_never_served_again) {
+START_TEST(seed_that_lost_its_majority_recovers) {
     soak_result r = soak_run(
         &(soak_desc){.seed = 990124, .seconds = 20, .hosts = 5, .disks = 3, .harsh = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
 }
 END_TEST
 
-WG_TEST_MAIN("successions", a_disk_is_lost_after_leaders_fell,
-             a_disk_is_lost_after_leaders_fell_again, a_fleet_that_never_served_again)
+WG_TEST_MAIN("successions", disk_is_lost_after_leaders_failed,
+             disk_is_lost_after_leaders_failed_again, seed_that_lost_its_majority_recovers)
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -151,7 +151,7 @@
 }
 END_TEST
 
-START_TEST(forgotten_deletions_ask_for_a_new_start) {
+START_TEST(dropped_tombstones_require_a_reset) {
     wgt_table* t = wgt_setup(&(wgt_desc){.tombstones_max = 2}, NULL);
     wgt_result result;
     for (uint64_t i = 1; i <= 10; i += 2) {
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-START_TEST(snapshot_brings_all_back) {
+START_TEST(snapshot_restores_the_table) {
     wgt_table* t = wgt_setup(&(wgt_desc){0}, NULL);
     wgt_result result;
     wgt_row row = workspace("a", 10, key_a);
@@ -267,5 +267,5 @@
 
 WG_TEST_MAIN("table", equal_versions_one_wins, all_rows_or_none, references_and_keys_are_checked,
              copy_follows_by_changes_and_never_goes_back, rows_of_one_edit_stay_together,
-             forgotten_deletions_ask_for_a_new_start, snapshot_brings_all_back, bad_csv_says_where,
+             dropped_tombstones_require_a_reset, snapshot_restores_the_table, bad_csv_says_where,
              csv_round_trip, full_table_refuses_and_loses_nothing)
