--- a/lib/base/wg_base.h
+++ b/lib/base/wg_base.h
@@ -59,12 +59,12 @@
     WG_VERDICT_DEFAULT = 0,  /* not decided yet */
     WG_VERDICT_NOT_RUN,      /* no byte reached a target that could run it, or the target reported
                                 that it did not run */
-    WG_VERDICT_RAN,          /* a complete response was received */
+    WG_VERDICT_RAN,          /* a complete answer was received */
     WG_VERDICT_MAY_HAVE_RUN, /* any other case */
     WG_VERDICT_NUM
 } wg_verdict;
 
-/* Name of a verdict in the header and the error body of a response. */
+/* Name of a verdict in the header and the error body of an answer. */
 const char* wg_verdict_name(wg_verdict verdict);
 
 /* GError domain of all libraries. */
--- a/lib/claim/wg_claim.h
+++ b/lib/claim/wg_claim.h
@@ -29,7 +29,7 @@
     WGK_CLAIMS_DEFAULT = 65536,
     WGK_KEEP_SECONDS_DEFAULT = 24 * 3600,
     WGK_KEY_SIZE = 16,
-    WGK_BODY_MAX = 2048 /* bytes of a response body that are kept */
+    WGK_BODY_MAX = 2048 /* bytes of an answer's body that are kept */
 };
 
 typedef enum {
--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -291,7 +291,7 @@
     }
 }
 
-/* Sends entry hosts connected to this follower to the leader once its address is known. */
+/* Redirects entry hosts connected to this follower to the leader once its address is known. */
 static void _wgco_announce_leader(wgco_control* c) {
     /* The address is empty while only the leader's identity is known. */
     const char* leader = _wgco_leader_address(c);
--- a/lib/control/wg_control.h
+++ b/lib/control/wg_control.h
@@ -23,7 +23,7 @@
         4. wgco_stop(c) transfers leadership and leaves the loop when done; wgco_shutdown(c);
 
     THE CALLER OWNS
-        base and settings, for as long as the control lives.
+        base and settings, which have to outlive the control.
 */
 #include "wg_claim.h"
 #include "wg_http.h"
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_form.c
@@ -16,7 +16,7 @@
     /* Term increase of the recovered set; the previous set cannot hold this many elections in
        years. */
     _WGCO_RECOVERY_TERM_GAP = 1 << 30,
-    /* Time for the HTTP response to be sent before the endpoints close. */
+    /* Time for the HTTP answer to be sent before the endpoints close. */
     _WGCO_RECOVERY_REOPEN_DELAY = 100 * WG_USEC_PER_MSEC
 };
 
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -79,9 +79,9 @@
 
 /* Cumulative usage of a workspace as last reported by an entry host. */
 typedef struct {
-    uint64_t workspace;
-    uint64_t tokens;
-    uint64_t asked;
+    uint64_t workspace; /* hash of its name */
+    uint64_t tokens;    /* tokens served */
+    uint64_t asked;     /* demand: tokens of all its requests, including refused ones */
 } _wgco_reported_t;
 
 /* A previous configuration that hosts may still hold. */
@@ -102,9 +102,9 @@
 
 /* Recent usage of a workspace in the fleet, with a half-life of WG_USAGE_HALF_LIFE. */
 typedef struct {
-    uint64_t workspace;
-    double tokens;
-    double asked;
+    uint64_t workspace; /* hash of its name */
+    double tokens;      /* tokens served */
+    double asked;       /* demand, in tokens */
 } _wgco_usage_t;
 
 struct wgco_control {
@@ -140,7 +140,7 @@
     wg_registry* registry;
     wg_quarantine* quarantine; /* replicated (wg_control_quarantine.c) */
     wg_suspects* suspects;     /* crash evidence reported by entry hosts */
-    wg_time quarantine_at;     /* when due quarantines were last looked for */
+    wg_time quarantine_at;     /* time of the last check for due quarantines */
     wg_roster* roster;
     GHashTable* entries; /* link id -> _wgco_entry_t* */
     uint64_t state_seq;  /* sequence number of the last state sent to any entry host */
--- a/lib/control/wg_control_orders.c
+++ b/lib/control/wg_control_orders.c
@@ -77,8 +77,8 @@
     return text[0] && strlen(text) < WG_NAME_MAX;
 }
 
-/* An evacuation that already holds is proposed as well: an earlier opposite order may still be
-   uncommitted. */
+/* An evacuation that is already in force is proposed as well: an earlier opposite order may still
+   be uncommitted. */
 static void _wgco_order_evacuation(wgco_control* c, wgn_link link, const Wgpb__Order* in) {
     if (!_wgco_is_name(in->evacuation->data_centre)) {
         _wgco_answer_order(c, link, in->ticket, WG_ORDER_INVALID);
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -1,6 +1,6 @@
 /* wg_control_quarantine.c -- quarantine of requests that crash targets
 
-   Entry hosts report the requests that were in flight at targets that ended. This evidence is
+   Entry hosts report the requests that were in progress at targets that crashed. This evidence is
    not replicated: each new leader collects it again from the hosts. A quarantine is committed in
    the replicated log, so it survives leader changes and restarts, and reaches all hosts with the
    next state. Hosts cannot contain such a request alone: each host that does not know it would
--- a/lib/control/wg_control_watch.c
+++ b/lib/control/wg_control_watch.c
@@ -139,7 +139,7 @@
     return g_string_free(holders, FALSE);
 }
 
-/* Without this, the time of a stall would count as silence, and targets, entry hosts and routers
+/* Without this, a stall would count as time without contact, and targets, entry hosts and routers
    would be removed before the messages they sent meanwhile are read. */
 void _wgco_watch_extend_deadlines(wgco_control* c, wg_time now) {
     enum {
--- a/lib/http/wg_http.h
+++ b/lib/http/wg_http.h
@@ -3,11 +3,11 @@
     wg_http.h -- helpers over evhttp that routers and controls share
 
     WHAT IT DOES
-        Listens with limits, sends JSON and error responses, reads bearer keys, paths, queries and
+        Listens with limits, sends JSON and error answers, reads bearer keys, paths, queries and
         JSON bodies, and detects requests whose length is ambiguous.
 
     FEATURES
-        - every error response is JSON with code, verdict, message and an optional retry_after_ms,
+        - every error answer is JSON with code, verdict, message and an optional retry_after_ms,
           together with a Retry-After header in whole seconds, rounded up
         - limits on connections and sizes
 
--- a/lib/member/wg_member.c
+++ b/lib/member/wg_member.c
@@ -35,7 +35,7 @@
         wg_copy_name(member->name, sizeof member->name, name);
         return member;
     }
-    /* The table is full: reuse the entry of a router that is gone. */
+    /* The table is full: reuse the entry of an unreachable router. */
     for (int i = 0; i < m->num; i++) {
         if (m->items[i].state == WGM_STATE_UNREACHABLE) {
             m->items[i] = (wgm_member){0};
--- a/lib/member/wg_member.h
+++ b/lib/member/wg_member.h
@@ -8,15 +8,15 @@
 
     FEATURES
         - a restarted router has a new incarnation; messages of previous incarnations are ignored
-        - a router without heartbeats for gone_after is marked gone; a router that is leaving is
-          excluded from answers immediately
+        - a router without heartbeats for gone_after is marked unreachable; a router that is leaving
+   is excluded from answers immediately
         - each change has a version, so that copies receive only changes
         - rendezvous hashing (Thaler and Ravishankar 1998) by workspace keeps a workspace on few
           routers, local data centre first
 
     USE
         1. wgm_members* m = wgm_setup(&(wgm_desc){.members_max = 512}, &error);
-        2. leader: wgm_record_heartbeat(m, now, &member); gone = wgm_tick(m, now);
+        2. leader: wgm_record_heartbeat(m, now, &member); failed = wgm_tick(m, now);
         3. copy:   wgm_put(m, &member);
         4. num = wgm_pick_entry_hosts(m, "ham-dakar", "plateau", 3, list, 8);
         5. wgm_shutdown(m);
@@ -54,7 +54,7 @@
 
 typedef enum {
     WGM_EVENT_DEFAULT = 0, /* no change */
-    WGM_EVENT_UP,          /* a new member, or one that was gone */
+    WGM_EVENT_UP,          /* a new member, or one that was unreachable */
     WGM_EVENT_RESTARTED,   /* the same name with a new incarnation */
     WGM_EVENT_LEAVING,
     WGM_EVENT_STALE, /* message of a previous incarnation; ignored */
@@ -83,7 +83,7 @@
 /* Leader: extends all deadlines by `time` after a stall of this process: heartbeats were not read
    meanwhile. */
 void wgm_extend_deadlines(wgm_members* members, wg_time now, wg_time time);
-/* Leader: marks routers without recent heartbeats as gone. Returns one of them per call, or
+/* Leader: marks routers without heartbeats for gone_after as unreachable. Returns one per call, or
    NULL. */
 const wgm_member* wgm_tick(wgm_members* members, wg_time now);
 /* Copy: stores a member received from the leader, unless the stored version is newer. */
--- a/lib/message/wg_message.h
+++ b/lib/message/wg_message.h
@@ -3,13 +3,13 @@
     wg_message.h -- strict parser for HTTP/1.1 message heads and bodies; pure functions
 
     WHAT IT DOES
-        Parses the head of a request or a response (RFC 9112) and decodes a body by its framing.
+        Parses the head of a request or an answer (RFC 9112) and decodes a body by its framing.
         Anything that two parsers could interpret differently is an error: two lengths, a signed
         length, whitespace before a colon, a length together with chunks, a folded line.
 
     FEATURES
         - heads point into the caller's bytes; nothing is copied
-        - one function decides the framing of requests and responses
+        - one function decides the framing of requests and answers
         - the body decoder reports the end of the body; bytes after it stay in the input buffer
 
     USE
@@ -44,13 +44,13 @@
     WG_FRAMING_NONE = 0, /* no body */
     WG_FRAMING_LENGTH,
     WG_FRAMING_CHUNKED,
-    WG_FRAMING_CLOSE /* response until the connection closes; a truncation cannot be detected */
+    WG_FRAMING_CLOSE /* ends when the connection closes; a truncation cannot be detected */
 } wg_framing;
 
 typedef struct {
     wg_text method; /* of a request */
     wg_text target; /* of a request: path with query */
-    int status;     /* of a response */
+    int status;     /* of an answer */
     int minor;      /* HTTP/1.minor */
     wg_message_pair fields[WG_MESSAGE_FIELDS_MAX];
     int fields_num;
@@ -64,8 +64,8 @@
 size_t wg_message_head_size(const char* bytes, size_t size);
 /* Parses a complete request head. Returns 0, or the HTTP status to refuse the request with. */
 int wg_message_parse_request(const char* bytes, size_t size, wg_message_head* head);
-/* Parses a complete response head. `bodiless` means that the request was a HEAD. False if the head
-   is malformed. */
+/* Parses a complete answer head. `bodiless` means that the request was a HEAD. False if the head is
+   malformed. */
 bool wg_message_parse_answer(const char* bytes, size_t size, bool bodiless, wg_message_head* head);
 /* Value of the first field with this name, case-insensitive; its text is NULL if there is none. */
 wg_text wg_message_field(const wg_message_head* head, const char* name);
--- a/lib/net/wg_loop.h
+++ b/lib/net/wg_loop.h
@@ -9,7 +9,7 @@
 
     FEATURES
         - first: links to other fleet processes and ticks (WGN_PRIORITY)
-        - second: requests in progress: target responses, disconnects of waiting callers
+        - second: requests in progress: answers of targets, disconnects of waiting callers
         - then everything else: requests from callers, new connections, operator endpoints
 
     USE
--- a/lib/net/wg_net.h
+++ b/lib/net/wg_net.h
@@ -35,7 +35,7 @@
 
 enum {
     WGN_PRIORITY = 0,   /* highest priority of the event loop, for links and their tick */
-    WGN_PRIORITIES = 2, /* for event_base_priority_init(); other events get the last */
+    WGN_PRIORITIES = 2, /* minimum of an event loop with priorities: links, then all other events */
     WGN_LINKS_DEFAULT = 1024,
     WGN_PROOF_DEADLINE_DEFAULT = 2 * WG_USEC_PER_SEC,
     WGN_RECEIVE_DEADLINE_DEFAULT = 4 * WG_USEC_PER_SEC,
--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -398,7 +398,8 @@
     if (n->role == WGR_ROLE_LEADER) {
         _wgr_leader_tick(n, now);
     } else if (now >= n->election_at) {
-        /* A lone voter has no other replica whose promise it could violate. */
+        /* The only voter of a set wins at once: there is no promise of another voter to wait for.
+         */
         _wgr_campaign(n, now, WGR_CAMPAIGN_PRE);
     } else {
         _wgr_start_tick(n, now);
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -75,7 +75,7 @@
     WGR_MESSAGE_DEFAULT = 0,
     WGR_MESSAGE_PRE_VOTE,
     WGR_MESSAGE_PRE_VOTE_REPLY,
-    WGR_MESSAGE_VOTE, /* hint 1: part of a leadership transfer; `life`: see wgr_message */
+    WGR_MESSAGE_VOTE, /* hint 1: part of a leadership transfer */
     WGR_MESSAGE_VOTE_REPLY,
     WGR_MESSAGE_APPEND,
     WGR_MESSAGE_APPEND_REPLY,
@@ -114,7 +114,7 @@
 /* Time since the leader's last contact with an unresponsive replica. */
 typedef struct {
     uint64_t id;
-    wg_time length;
+    wg_time length; /* microseconds */
 } wgr_unresponsive;
 
 typedef struct {
@@ -128,10 +128,11 @@
     uint64_t commit;
     bool reject;
     uint64_t hint; /* rejected APPEND_REPLY: last index of the follower */
-    wg_time echo;  /* send time of a heartbeat, or number of a START_ASK round; the reply returns it
-                      unchanged */
-    uint64_t incarnation; /* incarnation. START_REPLY: of the sender; VOTE: receiver's incarnation,
-                      which may grant the vote without waiting for a lease to end, 0: none */
+    wg_time
+        echo; /* send time of a heartbeat, or number of a START_QUERY round; replies return it */
+    /* START_REPLY: incarnation of the sender. VOTE: incarnation in which the receiver may grant the
+       vote without waiting for a lease to end; 0: none. */
+    uint64_t incarnation;
     wgr_entry* entries;
     int entries_num;
     uint64_t snapshot_index;
@@ -140,8 +141,8 @@
     uint64_t total;
     GBytes* chunk;
     wgr_set set; /* SNAPSHOT only */
-    wgr_unresponsive
-        silences[WGR_REPLICAS_MAX]; /* APPEND: replicas that don't respond to the leader */
+    /* APPEND: replicas that don't respond to the leader */
+    wgr_unresponsive silences[WGR_REPLICAS_MAX];
     int silences_num;
 } wgr_message;
 
--- a/lib/quorum/wg_quorum_internal.h
+++ b/lib/quorum/wg_quorum_internal.h
@@ -104,9 +104,9 @@
     int votes_num;
 
     /* start: wg_quorum_start.c */
-    uint64_t incarnation; /* random id of this process incarnation */
+    uint64_t incarnation; /* random id of this run of the process, never 0 */
     bool promised;   /* in this incarnation the replica has been leader or in contact with one */
-    bool start_done; /* no more START_ASK rounds in this incarnation */
+    bool start_done; /* no more START_QUERY rounds in this incarnation */
     wg_time start_next_at;
     wg_time start_round;
     _wgr_start_reply_t start_replies[2 * WGR_REPLICAS_MAX]; /* one for each voter of the current set
--- a/lib/quorum/wg_quorum_silence.c
+++ b/lib/quorum/wg_quorum_silence.c
@@ -6,7 +6,7 @@
    the next failure could cost the majority.
 
    While there is no leader, a candidate or a replica that has just started measures the time from
-   its first request to a voter.
+   its first request to a voter, so that the next leader does not start from zero.
 
    Message delay can make a follower's measured time shorter than the leader's, never longer. A
    replica is removed from the list when a message from it is received. A wrong entry cannot violate
--- a/lib/roster/wg_roster.h
+++ b/lib/roster/wg_roster.h
@@ -17,8 +17,8 @@
 
     USE
         1. wg_roster* r = wg_roster_setup();
-        2. wg_roster_begin(r, term); wg_roster_record_report(r, now, &host); wg_roster_leave(r,
-   name);
+        2. wg_roster_begin(r, term); wg_roster_record_report(r, now, &host);
+           wg_roster_leave(r, name);
         3. wg_roster_difference d = wg_roster_since(r, change); ... wg_roster_difference_clear(&d);
         4. copies: wg_roster_copy_reset/add/remove(), then wg_roster_copy_set_change().
 
@@ -42,7 +42,7 @@
 
 /* Changes that a copy is missing. */
 typedef struct {
-    bool reset;         /* `came` is the full list */
+    bool reset;         /* `added` is the full list */
     GPtrArray* added;   /* const wg_roster_host*, borrowed */
     GPtrArray* removed; /* names, const char*, borrowed */
     uint64_t change;    /* number of the copy after it applied the difference */
@@ -66,7 +66,8 @@
 bool wg_roster_record_report(wg_roster* roster, wg_time now, const wg_roster_host* host);
 /* Removes a host that no longer accepts callers; true when it was listed. */
 bool wg_roster_leave(wg_roster* roster, const char* name);
-/* Extends all deadlines by `time` after a stall of this process: hosts were not read meanwhile. */
+/* Extends all deadlines by `time` after a stall of this process: reports were not read
+   meanwhile. */
 void wg_roster_extend_deadlines(wg_roster* roster, wg_time now, wg_time time);
 /* Removes one host whose last report is older than `limit` (microseconds) and copies its name to
    `name`. Returns false when there is none. */
--- a/lib/settings/wg_settings.h
+++ b/lib/settings/wg_settings.h
@@ -57,12 +57,12 @@
         .offset = offsetof(type_, field), .def = def_, .unit = "", .help = help_                   \
     }
 
-/* Read a file into `settings`, zero-initialised by the caller. Returns false with WG_ERROR_INVALID
+/* Reads a file into `settings`, zero-initialised by the caller. Returns false with WG_ERROR_INVALID
    on error; `settings` may then be filled in part and must still be cleared. */
 bool wgi_load(const char* path, const wgi_key* keys, int num, void* settings, GError** error);
-/* Print all keys except secrets with their values, as an INI file, to standard output. */
+/* Prints all keys with their values, except secrets, as an INI file to standard output. */
 void wgi_print(const wgi_key* keys, int num, const void* settings);
-/* Print the list of keys as a Markdown table to standard output. */
+/* Prints the list of keys as a Markdown table to standard output. */
 void wgi_print_help(const wgi_key* keys, int num);
-/* Free the texts in `settings`. */
+/* Frees the texts in `settings`. */
 void wgi_clear(const wgi_key* keys, int num, void* settings);
--- a/lib/share/wg_pacer.h
+++ b/lib/share/wg_pacer.h
@@ -5,7 +5,7 @@
     WHAT IT DOES
         Reports are sent at a regular interval while requests are in progress and at a longer one
         otherwise. They are sent early when they would change the leader's plan: a workspace starts
-        to wait, slots become idle, or a slot that the leader asked back is free. Over the budget,
+        to wait, slots become idle, or a slot that the leader reclaims is free. Over the budget,
         only the reports needed to renew the leases are sent. Pure.
 
     USE
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -69,7 +69,7 @@
 typedef struct {
     uint32_t target;
     uint32_t slots;
-    bool ejected; /* ejected: the target failed for this router and gets no requests from it */
+    bool ejected; /* the target failed for this router and gets no requests from it */
 } wgf_held_slots;
 
 typedef struct {
@@ -78,8 +78,8 @@
     bool leaving;
     const wgf_account* accounts;
     int accounts_num;
-    const wgf_held_slots* held; /* targets whose slots changed or were granted since the last
-                             report; full reports: all */
+    /* targets whose slots changed or were granted since the last report; full reports: all */
+    const wgf_held_slots* held;
     int held_num;
 } wgf_report_desc;
 
@@ -135,7 +135,8 @@
 wgf_share* wgf_setup(const wgf_desc* desc, GError** error);
 void wgf_shutdown(wgf_share* share);
 
-/* Name all services and targets between begin and end; end removes those not named. */
+/* Sets the configuration: all services and targets are named between begin and end; end removes
+   those that were not named. */
 void wgf_config_begin(wgf_share* share);
 bool wgf_config_service(wgf_share* share, uint32_t service, int over_percent, int64_t first_cost);
 bool wgf_config_target(wgf_share* share, uint32_t target, uint32_t service, int slots,
--- a/lib/share/wg_share_internal.h
+++ b/lib/share/wg_share_internal.h
@@ -8,7 +8,7 @@
     uint16_t sent;     /* granted since; the router may not have received them yet */
     uint16_t unsent;   /* granted, to be sent with the next orders */
     uint32_t sent_seq; /* seq of the last orders that granted some */
-    bool ejected;      /* ejected: the target failed for this router */
+    bool ejected;      /* the target failed for this router */
 } _wgf_slot_t;
 
 /* Use of one service by one workspace at one router. */
--- a/lib/store/wg_store_file.h
+++ b/lib/store/wg_store_file.h
@@ -13,8 +13,7 @@
     _WGS_RECORD_STATUS_DEFAULT = 0,
     _WGS_RECORD_COMPLETE,
     _WGS_RECORD_TRUNCATED, /* the record extends beyond the end of the data */
-    _WGS_RECORD_CORRUPT,   /* the length exceeds WGS_RECORD_SIZE_MAX, or the checksum does not match
-                            */
+    _WGS_RECORD_CORRUPT,   /* length above WGS_RECORD_SIZE_MAX, or a wrong checksum */
     _WGS_RECORD_STATUS_NUM
 } _wgs_record_status;
 
