--- a/lib/base/wg_watch.c
+++ b/lib/base/wg_watch.c
@@ -1,44 +1,44 @@
 /* wg_watch.c -- see wg_watch.h */
 #include "wg_watch.h"
 
-bool wg_lag_monitor_tick(wg_lag_monitor* p, wg_time now, wg_time period, wg_time* late) {
-    wg_time last_tick_at = p->ticked_at;
-    p->ticked_at = now;
+bool wg_lag_monitor_tick(wg_lag_monitor* monitor, wg_time now, wg_time period, wg_time* max_lag) {
+    wg_time last_tick_at = monitor->ticked_at;
+    monitor->ticked_at = now;
     if (last_tick_at == 0) {
         return false;
     }
     wg_time lag = MAX(now - last_tick_at - period, 0);
-    return wg_lag_monitor_record(p, now, lag, late);
+    return wg_lag_monitor_record(monitor, now, lag, max_lag);
 }
 
-bool wg_lag_monitor_record(wg_lag_monitor* p, wg_time now, wg_time lag, wg_time* late) {
-    p->lag_last = lag;
-    wg_hist_add(&p->lag_hist, lag);
-    p->lag_max = MAX(p->lag_max, lag);
-    if (p->lag_max < WG_LAG_LOG_MIN || now - p->logged_at < WG_USEC_PER_SEC) {
+bool wg_lag_monitor_record(wg_lag_monitor* monitor, wg_time now, wg_time lag, wg_time* max_lag) {
+    monitor->lag_last = lag;
+    wg_hist_add(&monitor->lag_hist, lag);
+    monitor->lag_max = MAX(monitor->lag_max, lag);
+    if (monitor->lag_max < WG_LAG_LOG_MIN || now - monitor->logged_at < WG_USEC_PER_SEC) {
         return false;
     }
-    *late = p->lag_max;
-    p->lag_max = 0;
-    p->logged_at = now;
+    *max_lag = monitor->lag_max;
+    monitor->lag_max = 0;
+    monitor->logged_at = now;
     return true;
 }
 
-bool wg_outage_update(wg_outage* a, bool present, wg_time now) {
+bool wg_outage_update(wg_outage* outage, bool present, wg_time now) {
     if (present) {
-        *a = (wg_outage){0};
+        *outage = (wg_outage){0};
         return false;
     }
-    if (a->since == 0) {
-        *a = (wg_outage){.since = now, .log_at = now + WG_OUTAGE_LOG_DELAY};
+    if (outage->since == 0) {
+        *outage = (wg_outage){.since = now, .log_at = now + WG_OUTAGE_LOG_DELAY};
     }
-    if (now < a->log_at) {
+    if (now < outage->log_at) {
         return false;
     }
-    a->log_at = now + wg_outage_duration(a, now);
+    outage->log_at = now + wg_outage_duration(outage, now);
     return true;
 }
 
-wg_time wg_outage_duration(const wg_outage* a, wg_time now) {
-    return a->since ? now - a->since : 0;
+wg_time wg_outage_duration(const wg_outage* outage, wg_time now) {
+    return outage->since ? now - outage->since : 0;
 }
--- a/lib/base/wg_watch.h
+++ b/lib/base/wg_watch.h
@@ -7,14 +7,14 @@
         the log. Pure.
 
     FEATURES
-        - wg_lag_monitor: lag of a periodic timer, as a histogram and a maximum; at most one log
-   line a second
+        - wg_lag_monitor: lag of a periodic timer, as a histogram and a maximum; at most one
+          log line a second
         - wg_outage: a log line after WG_OUTAGE_LOG_DELAY of outage, then each time its length has
           doubled
 
     USE
-        1. if (wg_lag_monitor_tick(&pulse, now, period, &late)) { log(late); }
-        2. if (wg_outage_update(&absence, have_it, now)) { log(now - absence.since); }
+        1. if (wg_lag_monitor_tick(&monitor, now, period, &lag)) { log(lag); }
+        2. if (wg_outage_update(&outage, present, now)) { log(now - outage.since); }
 
     THE CALLER OWNS
         both structs; zero-initialise them.
@@ -38,11 +38,11 @@
 } wg_lag_monitor;
 
 /* Records a tick of a timer with this period. True if a log line is due: at most once a second, if
-   the lag reached WG_LAG_LOG_MIN since the last line. `*late` is then the maximum lag. */
-bool wg_lag_monitor_tick(wg_lag_monitor* pulse, wg_time now, wg_time period, wg_time* late);
+   the lag reached WG_LAG_LOG_MIN since the last line. `*max_lag` is then the maximum lag. */
+bool wg_lag_monitor_tick(wg_lag_monitor* monitor, wg_time now, wg_time period, wg_time* max_lag);
 /* Records a lag, in microseconds, of something that is not periodic. Returns as
    wg_lag_monitor_tick(). */
-bool wg_lag_monitor_record(wg_lag_monitor* pulse, wg_time now, wg_time lag, wg_time* late);
+bool wg_lag_monitor_record(wg_lag_monitor* monitor, wg_time now, wg_time lag, wg_time* max_lag);
 
 typedef struct {
     wg_time since;  /* start of the outage; 0: none */
@@ -50,6 +50,6 @@
 } wg_outage;
 
 /* Records whether the dependency is present. True if a log line about the outage is due. */
-bool wg_outage_update(wg_outage* absence, bool present, wg_time now);
+bool wg_outage_update(wg_outage* outage, bool present, wg_time now);
 /* Length of the outage in microseconds; 0 if there is none. */
-wg_time wg_outage_duration(const wg_outage* absence, wg_time now);
+wg_time wg_outage_duration(const wg_outage* outage, wg_time now);
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -11,7 +11,7 @@
     _WGCO_ROUTERS_MAX = 512,
     _WGCO_PEERS_MAX = 16,
     _WGCO_ROWS_PER_REPLY = WGT_EDIT_ROWS_MAX + 1,
-    _WGCO_FAIRS_MAX = 2048,
+    _WGCO_VIRTUAL_TIMES_MAX = 2048,
     _WGCO_DUMP_SHARES_MAX = 200,
     /* Longest planned stop: time for two elections, and below the shortest grace period before a
        supervisor kills the process. */
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -72,8 +72,8 @@
     _wgco_propose_quarantine(c, &change);
 }
 
-static bool _wgco_was_proposed(wg_time asked_at, wg_time now) {
-    return asked_at && now - asked_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
+static bool _wgco_was_proposed(wg_time proposed_at, wg_time now) {
+    return proposed_at && now - proposed_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
 }
 
 /* Returns a suspect whose quarantine is due and not proposed recently, or NULL. */
--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -64,9 +64,9 @@
     const wgt_row* changed[_WGCO_ROWS_PER_REPLY];
     Wgpb__Member members[_WGCO_ROUTERS_MAX];
     Wgpb__Member* member_list[_WGCO_ROUTERS_MAX];
-    wgf_virtual_time fairs[_WGCO_FAIRS_MAX];
-    Wgpb__Fair fair_items[_WGCO_FAIRS_MAX];
-    Wgpb__Fair* fair_list[_WGCO_FAIRS_MAX];
+    wgf_virtual_time fairs[_WGCO_VIRTUAL_TIMES_MAX];
+    Wgpb__Fair fair_items[_WGCO_VIRTUAL_TIMES_MAX];
+    Wgpb__Fair* fair_list[_WGCO_VIRTUAL_TIMES_MAX];
     Wgpb__Fair fleet_items[WGF_SERVICES_MAX];
     Wgpb__Fair* fleet_list[WGF_SERVICES_MAX];
     wgf_orders orders;
@@ -143,7 +143,7 @@
 
 static void _wgco_fill_fairs(wgco_control* c, _wgco_session_t* s, Wgpb__Reply* reply) {
     _wgco_reply_t* scratch = _wgco_scratch();
-    int num = wgf_take_virtual_times(c->share, s->share, scratch->fairs, _WGCO_FAIRS_MAX);
+    int num = wgf_take_virtual_times(c->share, s->share, scratch->fairs, _WGCO_VIRTUAL_TIMES_MAX);
     reply->fairs = scratch->fair_list;
     for (int i = 0; i < num; i++) {
         Wgpb__Fair* out = &scratch->fair_items[i];
@@ -191,7 +191,7 @@
 }
 
 /* Answers a report or pushes changes. Leadership is checked against the current time. */
-static void _wgco_send_reply(wgco_control* c, _wgco_session_t* s, bool with_fairs) {
+static void _wgco_send_reply(wgco_control* c, _wgco_session_t* s, bool with_virtual_times) {
     Wgpb__Reply reply = WGPB__REPLY__INIT;
     wgr_stats stats = wgr_query_stats(c->node, wg_now());
     reply.term = stats.term;
@@ -207,7 +207,7 @@
         _wgco_fill_members(c, s, &reply);
         _wgco_fill_orders(c, s, &reply);
         reply.want_full = wgf_needs_full_report(c->share, s->share);
-        if (with_fairs) {
+        if (with_virtual_times) {
             _wgco_fill_fairs(c, s, &reply);
         }
     }
--- a/lib/net/wg_net.c
+++ b/lib/net/wg_net.c
@@ -249,11 +249,11 @@
 static bool _wgn_handle_frame(_wgn_link_t* l, const wgw_frame* frame) {
     l->net->stats.frames_received++;
     if (l->up) {
-        bool early = frame->type == WGW_TYPE_HELLO || frame->type == WGW_TYPE_PROOF;
-        if (!early && frame->type != WGW_TYPE_PING) {
+        bool handshake = frame->type == WGW_TYPE_HELLO || frame->type == WGW_TYPE_PROOF;
+        if (!handshake && frame->type != WGW_TYPE_PING) {
             l->net->desc.on_frame(_wgn_id(l), frame, l->net->desc.user_data);
         }
-        return !early;
+        return !handshake;
     }
     if (frame->type == WGW_TYPE_HELLO && !l->peer_hello) {
         return _wgn_receive_hello(l, frame);
--- a/lib/share/wg_pacer.c
+++ b/lib/share/wg_pacer.c
@@ -36,10 +36,10 @@
     p->wanted = true;
 }
 
-void wgf_pacer_update(wgf_pacer* p, const wgf_pacer_load* news) {
-    bool wait_begins = news->waiting && !p->waiting_reported;
-    bool wait_ends = !news->waiting && p->waiting_reported && news->idle;
-    p->at_work = news->at_work;
+void wgf_pacer_update(wgf_pacer* p, const wgf_pacer_load* load) {
+    bool wait_begins = load->waiting && !p->waiting_reported;
+    bool wait_ends = !load->waiting && p->waiting_reported && load->idle;
+    p->at_work = load->at_work;
     p->wanted = p->wanted || wait_begins || wait_ends;
 }
 
@@ -48,9 +48,9 @@
         return false;
     }
     bool within_budget = _wgf_pacer_within_budget(p, now, bytes);
-    bool vital = now - p->sent_at >= p->desc.max_interval;
-    p->deferred += within_budget || vital ? 0 : 1;
-    return within_budget || vital;
+    bool overdue = now - p->sent_at >= p->desc.max_interval;
+    p->deferred += within_budget || overdue ? 0 : 1;
+    return within_budget || overdue;
 }
 
 void wgf_pacer_sent(wgf_pacer* p, wg_time now, bool waiting) {
--- a/lib/share/wg_pacer.h
+++ b/lib/share/wg_pacer.h
@@ -61,7 +61,7 @@
 /* Requests a report before the regular interval is over. */
 void wgf_pacer_request(wgf_pacer* pacer);
 /* Updates the load; call it after each change. */
-void wgf_pacer_update(wgf_pacer* pacer, const wgf_pacer_load* news);
+void wgf_pacer_update(wgf_pacer* pacer, const wgf_pacer_load* load);
 /* Whether to send a report now. `bytes` is the link's total traffic, both directions. */
 bool wgf_pacer_due(wgf_pacer* pacer, wg_time now, uint64_t bytes);
 void wgf_pacer_sent(wgf_pacer* pacer, wg_time now, bool waiting);
--- a/lib/share/wg_share.c
+++ b/lib/share/wg_share.c
@@ -484,7 +484,7 @@
     return r >= 0 && s->routers[r].has_orders;
 }
 
-int wgf_take_virtual_times(wgf_share* s, wgf_router handle, wgf_virtual_time* fairs, int max) {
+int wgf_take_virtual_times(wgf_share* s, wgf_router handle, wgf_virtual_time* times, int max) {
     int r = wg_pool_slot(&s->routers_pool, (wg_handle){handle.id});
     int num = 0;
     int account = r < 0 ? -1 : s->routers[r].first_account;
@@ -495,7 +495,7 @@
         }
         const _wgf_flow_t* f = &s->flows[a->flow];
         int64_t others = (f->pending - a->pending) * WGF_SCALE / f->weight;
-        fairs[num++] = (wgf_virtual_time){.service = s->services[f->service].id,
+        times[num++] = (wgf_virtual_time){.service = s->services[f->service].id,
                                           .workspace = f->workspace,
                                           .virtual_time = (uint64_t)(f->virtual_time + others),
                                           .acked = a->served};
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -29,7 +29,7 @@
         2. wgf_config_begin(s); wgf_config_service(); wgf_config_target(); wgf_config_end(s);
         3. r = wgf_router_up(s, now, "r1", incarnation, "plateau");  wgf_report(s, now, r, &report);
         4. wgf_plan(s, now);
-        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_virtual_times(s, r, fairs, max);
+        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_virtual_times(s, r, times, max);
         6. wgf_shutdown(s);
 
     THE CALLER OWNS
@@ -160,7 +160,7 @@
 bool wgf_take_orders(wgf_share* share, wgf_router router, uint64_t seq, wgf_orders* orders);
 bool wgf_has_orders(const wgf_share* share, wgf_router router);
 /* Virtual times of the workspaces that have queued or running requests at this router. */
-int wgf_take_virtual_times(wgf_share* share, wgf_router router, wgf_virtual_time* fairs, int max);
+int wgf_take_virtual_times(wgf_share* share, wgf_router router, wgf_virtual_time* times, int max);
 /* Virtual time at which a workspace starts when it becomes active. */
 uint64_t wgf_query_fleet_time(const wgf_share* share, uint32_t service);
 /* Virtual time of one workspace; 0 when unknown. */
