--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -265,7 +265,10 @@
     }
     for (int i = 0; i < num; i++) {
         if (!set_column(row, kind, assignments[i])) {
-            fprintf(stderr, "walnutgatectl: \"%s\" is not column=value\n", assignments[i]);
+            fprintf(
+                stderr,
+                "walnutgatectl: \"%s\" is not column=value with a known column and a valid value\n",
+                assignments[i]);
             json_decref(row);
             return EXIT_USAGE;
         }
@@ -304,7 +307,8 @@
 static int dump_one(const options_t* options, const char* address) {
     response_t response = send_request(address, options->key, "/debug/state", NULL);
     if (response.status != 200) {
-        fprintf(stderr, "walnutgatectl: %s: no state (status %d)\n", address, response.status);
+        fprintf(stderr, "walnutgatectl: %s: cannot read the state (status %d)\n", address,
+                response.status);
         g_string_free(response.body, TRUE);
         return EXIT_NO_RESPONSE;
     }
@@ -323,7 +327,7 @@
             send_request(options->controls[c], options->key, "/debug/state", NULL);
         json_t* json = json_loads(response.body->str, 0, NULL);
         if (response.status != 200 || !json) {
-            printf("%-22s no answer\n", options->controls[c]);
+            printf("%-22s no response\n", options->controls[c]);
             result = EXIT_NO_RESPONSE;
         } else {
             json_t* log = json_object_get(json, "log");
@@ -416,7 +420,8 @@
     for (int c = 0; options->controls[c]; c++) {
         log_end_t end;
         if (!read_log_end(options, options->controls[c], &end)) {
-            fprintf(stderr, "walnutgatectl: %s: no state; list only controls that are up\n",
+            fprintf(stderr,
+                    "walnutgatectl: %s: cannot read the state; list only controls that are up\n",
                     options->controls[c]);
             return EXIT_NO_RESPONSE;
         }
@@ -489,7 +494,7 @@
            "  table put <kind> <file.csv>         send the changed rows of a CSV file\n"
            "  table set <kind> <name> col=value   change columns of one row, or create it\n"
            "  table delete <kind> <name>          delete one row\n"
-           "  services | targets                  the same as table get\n"
+           "  services | targets                  short for table get services | targets\n"
            "  status                              one line for each control\n"
            "  fairness                            usage of each workspace relative to its weight\n"
            "  dump <ip:port>                      state dump of a daemon, by its operator address\n"
@@ -505,12 +510,14 @@
 
 int main(int argc, char** argv) {
     struct arg_str* controls =
-        arg_str0("c", "controls", "<ip:port,...>", "operator addresses of the controls");
+        arg_str0("c", "controls", "<ip:port,...>",
+                 "operator addresses of the controls (default 127.0.0.1:7200)");
     struct arg_file* key = arg_file0("k", "key-file", "<file>", "file with the operator key");
-    struct arg_lit* csv = arg_lit0(NULL, "csv", "print tables as CSV");
-    struct arg_lit* help = arg_lit0("h", "help", "print this help");
-    struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
-    struct arg_str* args = arg_strn(NULL, NULL, "<command>", 0, 32, "see below");
+    struct arg_lit* csv = arg_lit0(NULL, "csv", "print tables as CSV instead of JSON");
+    struct arg_lit* help = arg_lit0("h", "help", "print this help and exit");
+    struct arg_lit* version = arg_lit0(NULL, "version", "print the version and exit");
+    struct arg_str* args =
+        arg_strn(NULL, NULL, "<command>", 0, 32, "command and its arguments, listed below");
     struct arg_end* end = arg_end(8);
     void* table[] = {controls, key, csv, help, version, args, end};
     int errors = arg_parse(argc, argv, table);
--- a/daemons/wg_daemon.c
+++ b/daemons/wg_daemon.c
@@ -22,7 +22,7 @@
     bool check;
     bool print;
     bool init;
-    int status; /* >= 0: exit status to exit with at once */
+    int status; /* >= 0: exit immediately with this status */
 } _wgd_options_t;
 
 static const char* _wgd_settings_path;
@@ -33,12 +33,13 @@
     struct arg_file* settings = arg_file0("s", "settings", "<file>", "settings file in INI format");
     struct arg_lit* check = arg_lit0(NULL, "check-settings", "check the settings and exit");
     struct arg_lit* print =
-        arg_lit0(NULL, "print-settings", "print the settings in force and exit");
-    struct arg_lit* keys = arg_lit0(NULL, "list-settings", "print all keys as a Markdown table");
+        arg_lit0(NULL, "print-settings", "print the effective settings and exit");
+    struct arg_lit* keys =
+        arg_lit0(NULL, "list-settings", "print all keys as a Markdown table and exit");
     struct arg_lit* init =
-        arg_lit0(NULL, "init", "initialise a new cluster in an empty data folder");
-    struct arg_lit* help = arg_lit0("h", "help", "print this help");
-    struct arg_lit* version = arg_lit0(NULL, "version", "print the version");
+        arg_lit0(NULL, "init", "initialise a new cluster in an empty data folder and exit");
+    struct arg_lit* help = arg_lit0("h", "help", "print this help and exit");
+    struct arg_lit* version = arg_lit0(NULL, "version", "print the version and exit");
     struct arg_end* end = arg_end(8);
     void* table[] = {settings, check, print, keys, help, version, init, end};
     if (!desc->can_init) {
@@ -159,8 +160,8 @@
 int wgd_main(const wgd_desc* desc, int argc, char** argv) {
     signal(SIGPIPE, SIG_IGN);
     signal(SIGHUP, SIG_IGN); /* until the event loop handles it */
-    signal(SIGXFSZ,
-           SIG_IGN); /* a write beyond a file size limit fails with an error, as on a full disk */
+    /* A write beyond a file size limit fails with an error, as on a full disk. */
+    signal(SIGXFSZ, SIG_IGN);
     _wgd_options_t options = _wgd_parse(desc, argc, argv);
     if (options.status >= 0) {
         return options.status;
