--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -349,9 +349,9 @@
 }
 
 void _wgco_routers_tick(wgco_control* c, wg_time now) {
-    const wgm_member* removed;
-    while ((removed = wgm_tick(c->members, now))) {
-        wg_log(WG_EVENT_MEMBER_GONE, "router=%s", removed->name);
+    const wgm_member* unreachable;
+    while ((unreachable = wgm_tick(c->members, now))) {
+        wg_log(WG_EVENT_MEMBER_GONE, "router=%s", unreachable->name);
     }
     /* Leases expire even without new reports. */
     if (now - c->planned_at >= _WGCO_PLAN_INTERVAL_MAX) {
