--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -132,8 +132,8 @@
     return print_response(&response);
 }
 
-/* Fetches the current rows, by name. On failure prints the reason, sets `result` and returns NULL.
- */
+/* Fetches the current rows, by name. On failure, prints the reason, sets `result` and returns
+   NULL. */
 static json_t* fetch_rows(const options_t* options, const char* kind, int* result) {
     char* path = g_strdup_printf("/v1/table/%s?format=json", kind);
     response_t response = send_to_leader(options, path, NULL);
--- a/lib/base/wg_base.h
+++ b/lib/base/wg_base.h
@@ -20,8 +20,8 @@
         4. wg_pool_free(&pool, h); wg_pool_shutdown(&pool);
 
     THE CALLER OWNS
-        all structs passed in; a pool owns only its slot arrays. Only wg_now() reads a clock, and
-        only daemons call it.
+        all structs passed in; a pool owns only its slot arrays. Only wg_now() reads a clock;
+        libraries that are called pure get the time from their caller.
 */
 #include <glib.h>
 #include <stdbool.h>
--- a/lib/claim/wg_claim.h
+++ b/lib/claim/wg_claim.h
@@ -62,7 +62,7 @@
 /* Applies a claim from the log. `*end` borrows the end of an earlier claim, or is NULL. */
 wgk_outcome wgk_claim(wgk_claims* claims, const Wgpb__Claim* claim, const Wgpb__ClaimEnd** end);
 /* Applies the end of a claimed request. WG_VERDICT_NOT_RUN removes the claim. Ignored if `end`
-   is of another attempt. */
+   is of another attempt or the claim has ended already. */
 void wgk_end(wgk_claims* claims, const Wgpb__ClaimEnd* end);
 /* Returns the end kept for the workspace and key of `like`, borrowed, or NULL. */
 const Wgpb__ClaimEnd* wgk_find_end(const wgk_claims* claims, const Wgpb__ClaimEnd* like);
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -37,13 +37,13 @@
     char name[WG_NAME_MAX];
     uint64_t incarnation;
     wgf_router share;
-    bool table_synced;
-    bool all_rows;
-    uint64_t seq;
-    uint64_t report_seq;
-    int64_t echo;
-    uint64_t table_version;
-    uint64_t member_version;
+    bool table_synced;   /* the router has received the complete table once */
+    bool all_rows;       /* the router keeps all rows; otherwise it fetches workspaces on demand */
+    uint64_t seq;        /* seq of the last reply */
+    uint64_t report_seq; /* seq of the last report; 0: none accepted yet */
+    int64_t echo;        /* send time of the last report, returned in replies */
+    uint64_t table_version;  /* table version that the router has */
+    uint64_t member_version; /* version of the member list that the router has */
 } _wgco_session_t;
 
 /* A client that waits for a log entry to be applied. */
@@ -140,7 +140,7 @@
     wg_registry* registry;
     wg_quarantine* quarantine; /* replicated (wg_control_quarantine.c) */
     wg_suspects* suspects;     /* crash evidence reported by entry hosts */
-    wg_time quarantine_at;     /* time of the last check for due quarantines */
+    wg_time quarantine_at;     /* time of the last periodic check for due quarantines */
     wg_roster* roster;
     GHashTable* entries; /* link id -> _wgco_entry_t* */
     uint64_t state_seq;  /* sequence number of the last state sent to any entry host */
--- a/lib/net/wg_net.h
+++ b/lib/net/wg_net.h
@@ -117,8 +117,8 @@
 void wgn_shutdown(wgn_net* net);
 /* Starts to accept links on "ip:port". */
 bool wgn_listen(wgn_net* net, const char* address, GError** error);
-/* Starts to connect to "ip:port". Returns id 0 if the address is malformed or all links are in use.
- */
+/* Starts to connect to "ip:port". Returns id 0 if the address is malformed or no link is
+   free. */
 wgn_link wgn_dial(wgn_net* net, const char* address);
 /* Queues one message. False if the link is closed or not up yet, or if it is about to be closed
    because the peer does not read fast enough. */
--- a/lib/quorum/wg_quorum.c
+++ b/lib/quorum/wg_quorum.c
@@ -398,8 +398,7 @@
     if (n->role == WGR_ROLE_LEADER) {
         _wgr_leader_tick(n, now);
     } else if (now >= n->election_at) {
-        /* The only voter of a set wins at once: there is no promise of another voter to wait for.
-         */
+        /* The only voter of a set wins at once; there are no promises of other voters. */
         _wgr_campaign(n, now, WGR_CAMPAIGN_PRE);
     } else {
         _wgr_start_tick(n, now);
--- a/lib/store/wg_store.c
+++ b/lib/store/wg_store.c
@@ -53,7 +53,7 @@
     return left < right ? -1 : left > right ? 1 : 0;
 }
 
-/* List the indexes in the names of files with a prefix, in ascending order. */
+/* Lists the indexes in the names of files with a prefix, in ascending order. */
 static GArray* _wgs_list_indexes(const char* folder, const char* prefix) {
     GArray* found = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GDir* dir = g_dir_open(folder, 0, NULL);
@@ -281,7 +281,7 @@
     return good;
 }
 
-/* Read one segment. Only the last segment may have a torn tail. */
+/* Reads one segment. Only the last segment may have a torn tail. */
 static bool _wgs_read_segment(wgs_store* s, uint64_t first, bool last, GError** error) {
     char name[_WGS_NAME_SIZE];
     _wgs_segment_name(first, name);
@@ -368,7 +368,7 @@
     return good || _wgs_corrupt(error, name, "truncated or corrupt");
 }
 
-/* Remove all segments read so far. */
+/* Removes all segments read so far. */
 static bool _wgs_remove_log(wgs_store* s, GError** error) {
     g_array_set_size(s->entries, 0);
     while (s->segments->len > 0) {
@@ -379,8 +379,8 @@
     return _wgs_sync_folder(s->folder_fd, error);
 }
 
-/* Remove a log that does not continue the snapshot: a crash may have left it behind when a snapshot
-   from the leader replaced it. */
+/* Removes a log that does not continue the snapshot: a crash may have left it behind when a
+   snapshot from the leader replaced it. */
 static bool _wgs_reconcile_log(wgs_store* s, GError** error) {
     const wgr_restored* r = &s->content.restored;
     if (s->entries->len == 0) {
@@ -593,8 +593,8 @@
     return true;
 }
 
-/* Remove log segments that the snapshot covers, except for entries retained for lagging replicas.
- */
+/* Removes log segments that the snapshot covers, except for those with entries that lagging
+   replicas may need. */
 static bool _wgs_compact_log(wgs_store* s, uint64_t index, bool reset, GError** error) {
     if (reset && !_wgs_write_marker(s, index, true, error)) {
         return false;
--- a/lib/store/wg_store.h
+++ b/lib/store/wg_store.h
@@ -61,30 +61,30 @@
 
 typedef struct wgs_store wgs_store;
 
-/* Open and lock a data folder and read its content. Returns NULL on error: WG_ERROR_INVALID,
+/* Opens and locks a data folder and reads its content. Returns NULL on error: WG_ERROR_INVALID,
    WG_ERROR_CORRUPT, WG_ERROR_IO or WG_ERROR_DISK. */
 wgs_store* wgs_open(const wgs_desc* desc, GError** error);
 void wgs_close(wgs_store* store);
 const wgs_content* wgs_query_content(const wgs_store* store);
-/* Release the entries and the snapshot that wgs_open() read. */
+/* Releases the entries and the snapshot that wgs_open() read. */
 void wgs_release_content(wgs_store* store);
 
-/* Save term and vote. The term must not decrease, and within one term a vote must not change. */
+/* Saves term and vote. The term must not decrease, and within one term a vote must not change. */
 bool wgs_save_hard_state(wgs_store* store, uint64_t term, uint64_t voted_for, GError** error);
-/* Save the cluster that this replica joins. It must have no cluster yet, or neither log nor
+/* Saves the cluster that this replica joins. It must have no cluster yet, or neither log nor
    snapshot. */
 bool wgs_save_cluster(wgs_store* store, uint64_t cluster, GError** error);
-/* Switch to another cluster, keeping log and snapshot. `term` must exceed the current term; the
+/* Switches to another cluster, keeping log and snapshot. `term` must exceed the current term; the
    vote is cleared. */
 bool wgs_switch_cluster(wgs_store* store, uint64_t cluster, uint64_t term, GError** error);
 /* Whether the store has neither a log nor a snapshot. */
 bool wgs_is_empty(const wgs_store* store);
-/* Append entries and sync them. Their indexes must continue the log. */
+/* Appends entries and syncs them. Their indexes must continue the log. */
 bool wgs_append(wgs_store* store, const wgr_entry* entries, int num, GError** error);
-/* Remove the entries at index `from` and later. */
+/* Removes the entries at index `from` and later. */
 bool wgs_truncate(wgs_store* store, uint64_t from, GError** error);
-/* Save a snapshot and remove the log segments and the snapshot that it replaces. `reset`: remove
-   the whole log, for a snapshot from the leader, which the local log may not match. */
+/* Saves a snapshot and removes the log segments and the snapshot that it replaces. `reset`: removes
+   the complete log, for a snapshot from the leader, which the local log may not match. */
 bool wgs_save_snapshot(wgs_store* store, uint64_t index, uint64_t term, const wgr_set* set,
                        GBytes* state, bool reset, GError** error);
 wgs_stats wgs_query_stats(const wgs_store* store);
--- a/lib/store/wg_store_file.h
+++ b/lib/store/wg_store_file.h
@@ -17,19 +17,19 @@
     _WGS_RECORD_STATUS_NUM
 } _wgs_record_status;
 
-/* Append a record (header and payload) to `out`. */
+/* Appends a record (header and payload) to `out`. */
 void _wgs_record_append(GByteArray* out, const uint8_t* payload, size_t size);
-/* Parse the record at the start of `bytes`. `*payload` points into `bytes` and is set only for
+/* Parses the record at the start of `bytes`. `*payload` points into `bytes` and is set only for
    _WGS_RECORD_COMPLETE. */
 _wgs_record_status _wgs_record_parse(const uint8_t* bytes, size_t size, const uint8_t** payload,
                                      size_t* payload_size);
-/* Replace a file atomically: after a crash it has either the old or the new content. */
+/* Replaces a file atomically: after a crash it has either the old or the new content. */
 bool _wgs_replace_file(int folder_fd, const char* name, const GByteArray* content, GError** error);
 /* Returns NULL with an error when reading fails, NULL without one when the file does not exist. */
 GByteArray* _wgs_read_file(int folder_fd, const char* name, GError** error);
 bool _wgs_sync_folder(int folder_fd, GError** error);
 bool _wgs_write_all(int fd, const uint8_t* data, size_t size, GError** error);
-/* Set an error from errno and return false: WG_ERROR_DISK when the disk may accept writes later,
+/* Sets an error from errno and returns false: WG_ERROR_DISK when the disk may accept writes later,
    else WG_ERROR_IO. */
 bool _wgs_fail(GError** error, const char* what, const char* name);
 
@@ -57,6 +57,6 @@
     _WGS_CHANGE_NUM
 } _wgs_change;
 
-/* For tests: set a function that is called before each change and returns 0, or the errno with
+/* For tests: sets a function that is called before each change and returns 0, or the errno with
    which the change fails. NULL disables fault injection. */
 void _wgs_set_fault(int (*fault)(_wgs_change change, void* user_data), void* user_data);
--- a/lib/table/wg_table.c
+++ b/lib/table/wg_table.c
@@ -88,7 +88,7 @@
     }
 }
 
-/* Insert a slot into the change order by its version. The search starts at the newest row, since
+/* Inserts a slot into the change order by its version. The search starts at the newest row, since
    most rows are inserted there. */
 static void _wgt_link_slot(wgt_table* t, int slot) {
     _wgt_slot_t* s = &t->slots[slot];
@@ -123,7 +123,7 @@
     return slot;
 }
 
-/* Decode 64 hex digits, which wgt_row_check() has validated. */
+/* Decodes 64 hex digits, which wgt_row_check() has validated. */
 static void _wgt_parse_key(const char* hex, uint8_t out[WG_KEY_HASH_SIZE]) {
     for (int i = 0; i < WG_KEY_HASH_SIZE; i++) {
         int high = g_ascii_xdigit_value(hex[2 * i]);
@@ -132,7 +132,7 @@
     }
 }
 
-/* Call `visit` with each key hash of a workspace row. */
+/* Calls `visit` with each key hash of a workspace row. */
 static void _wgt_for_each_key(const wgt_row* row, void (*visit)(wgt_table*, const uint8_t*, int),
                               wgt_table* t, int slot) {
     if (row->kind != WGT_KIND_WORKSPACE || row->deleted) {
@@ -190,7 +190,7 @@
     t->free_slot = slot;
 }
 
-/* Insert a row or replace the row of that name; false when the table is full. */
+/* Inserts a row or replaces the row of that name; false when the table is full. */
 static bool _wgt_store_row(wgt_table* t, const wgt_row* row) {
     int slot = _wgt_find_slot(t, row->kind, row->name);
     if (slot >= 0) {
@@ -210,7 +210,7 @@
     return true;
 }
 
-/* Remove the oldest deleted rows beyond the limit. */
+/* Removes the oldest deleted rows beyond the limit. */
 static void _wgt_trim_tombstones(wgt_table* t) {
     int slot = t->oldest;
     while (slot >= 0 && t->stats.deleted > t->desc.tombstones_max) {
@@ -245,7 +245,7 @@
     result->outcome = outcome;
 }
 
-/* Look up a row as it will be after the edit; NULL when it will not exist. */
+/* Looks up a row as it will be after the edit; NULL when it will not exist. */
 static const wgt_row* _wgt_row_after_edit(const wgt_table* t, const wgt_edit* edit, wgt_kind kind,
                                           const char* name) {
     for (int i = 0; i < edit->rows_num; i++) {
@@ -268,7 +268,7 @@
     return false;
 }
 
-/* Refuse the edit when a key of `row` would also belong to another workspace. */
+/* Refuses the edit when a key of `row` would also belong to another workspace. */
 static void _wgt_check_keys(wgt_table* t, const wgt_edit* edit, const wgt_row* row,
                             wgt_result* result) {
     char** keys = g_strsplit(row->workspace.keys, " ", -1);
--- a/lib/table/wg_table.h
+++ b/lib/table/wg_table.h
@@ -169,34 +169,35 @@
 const char* wgt_kind_name(wgt_kind kind);
 /* Accepts singular and plural ("target", "targets"); WGT_KIND_DEFAULT for an unknown name. */
 wgt_kind wgt_kind_parse(const char* name);
-/* Initialise a row with every column at its default. A name that is too long becomes empty and
+/* Initialises a row with every column at its default. A name that is too long becomes empty and
    fails wgt_row_check(). */
 void wgt_row_init(wgt_row* row, wgt_kind kind, const char* name);
-/* Check one row without its references: names, ranges, formats. The error (WG_ERROR_INVALID) names
+/* Checks one row without its references: names, ranges, formats. The error (WG_ERROR_INVALID) names
    the column. */
 bool wgt_row_check(const wgt_row* row, GError** error);
 
-/* Apply one edit at a log index: all rows or none. Deterministic. An edit with a known id is not
+/* Applies one edit at a log index: all rows or none. Deterministic. An edit with a known id is not
    applied again and gets its stored result. */
 void wgt_apply(wgt_table* table, const wgt_edit* edit, uint64_t index, wgt_result* result);
-/* Look up the stored result of an edit; false when there is none. */
+/* Looks up the stored result of an edit; false when there is none. */
 bool wgt_result_of(const wgt_table* table, const uint8_t* edit_id, wgt_result* result);
-/* Store a row in a copy. Returns false when the copy has this version of the row or a later one, or
-   when the table is full. */
+/* Stores a row in a copy. Returns false when the copy has this version of the row or a later one,
+   or when the table is full. */
 bool wgt_put(wgt_table* table, const wgt_row* row);
-/* Remove a row from a copy without retaining it as a deleted row. */
+/* Removes a row from a copy without retaining it as a deleted row. */
 void wgt_remove(wgt_table* table, wgt_kind kind, const char* name);
-/* Record that a copy has all changes up to this version, which must not decrease. */
+/* Records that a copy has all changes up to this version, which must not decrease. */
 void wgt_set_version(wgt_table* table, uint64_t version);
 
-/* Look up a row that is not deleted; NULL when there is none. */
+/* Looks up a row that is not deleted; NULL when there is none. */
 const wgt_row* wgt_find(const wgt_table* table, wgt_kind kind, const char* name);
 const wgt_row* wgt_find_id(const wgt_table* table, uint32_t id);
-/* Look up the workspace that has an API key; NULL when there is none. */
+/* Looks up the workspace that has an API key; NULL when there is none. */
 const wgt_row* wgt_find_key(const wgt_table* table, const uint8_t key_hash[WG_KEY_HASH_SIZE]);
-/* Iterate over the rows of a kind that are not deleted: start with `*at` at -1; NULL at the end. */
+/* Iterates over the rows of a kind that are not deleted. Start with `*at` at -1; NULL at the
+   end. */
 const wgt_row* wgt_next(const wgt_table* table, wgt_kind kind, int* at);
-/* List up to `max` rows changed after `version`, oldest first. The rows of one edit are not split,
+/* Lists up to `max` rows changed after `version`, oldest first. The rows of one edit are not split,
    so `max` must exceed WGT_EDIT_ROWS_MAX. `*more`: further rows follow. Returns the number of rows,
    or -1 when deleted rows since `version` are no longer retained and the copy must be rebuilt. */
 int wgt_changes(const wgt_table* table, uint64_t version, const wgt_row** rows, int max,
@@ -212,20 +213,20 @@
     int64_t numbers[8];
     char* texts[4];
 } wgt_row_scratch;
-/* Convert a row to its wire form. `out` points into `row` and `scratch`, which must outlive it. */
+/* Converts a row to its wire form. `out` points into `row` and `scratch`, which must outlive it. */
 void wgt_row_pack(const wgt_row* row, Wgpb__Row* out, wgt_row_scratch* scratch);
-/* Convert a row from its wire form; false when it fails wgt_row_check(). */
+/* Converts a row from its wire form; false when it fails wgt_row_check(). */
 bool wgt_row_unpack(const Wgpb__Row* in, wgt_row* row);
-/* Copy the table to its snapshot form; free it with wgpb__table_state__free_unpacked(). */
+/* Copies the table to its snapshot form; free it with wgpb__table_state__free_unpacked(). */
 Wgpb__TableState* wgt_dump(const wgt_table* table);
-/* Replace the content of the table with a snapshot. After false the content is incomplete. */
+/* Replaces the content of the table with a snapshot. After false the content is incomplete. */
 bool wgt_load(wgt_table* table, const Wgpb__TableState* state);
 
-/* Convert a row to JSON and from JSON. Errors (WG_ERROR_INVALID) name the column. */
+/* Converts a row to JSON and from JSON. Errors (WG_ERROR_INVALID) name the column. */
 json_t* wgt_row_to_json(const wgt_row* row);
 bool wgt_row_from_json(const json_t* json, wgt_kind kind, wgt_row* row, GError** error);
-/* Write the rows of a kind as CSV: name, version, then the columns of the kind; sorted by name. */
+/* Writes the rows of a kind as CSV: name, version, then the columns of the kind; sorted by name. */
 GString* wgt_csv_write(const wgt_table* table, wgt_kind kind);
-/* Read rows from CSV into a new GArray of wgt_row. The error (WG_ERROR_INVALID) names the line, and
-   the column of an invalid value. */
+/* Reads rows from CSV into a new GArray of wgt_row. The error (WG_ERROR_INVALID) names the line,
+   and the column of an invalid value. */
 bool wgt_csv_read(const char* text, size_t size, wgt_kind kind, GArray** rows, GError** error);
--- a/lib/table/wg_table_csv.c
+++ b/lib/table/wg_table_csv.c
@@ -57,7 +57,8 @@
     }
 }
 
-/* Convert a cell to JSON, so that wgt_row_from_json() checks its type. Numbers must be integers. */
+/* Converts a cell to JSON, so that wgt_row_from_json() checks its type. Numbers must be
+   integers. */
 static json_t* _wgt_csv_cell_to_json(wgt_kind kind, const char* column, const char* text) {
     if (strcmp(column, "deleted") == 0) {
         return json_boolean(strcmp(text, "1") == 0 || strcmp(text, "true") == 0);
