--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -13,8 +13,9 @@
 /* ---- types -------------------------------------------------------------------------------- */
 
 enum {
-    _WGF_FILL_ROUNDS = 40,       /* bisection steps for the fill level */
-    _WGF_REMOVE_AFTER_TERMS = 30 /* slot terms without a report until accounts are removed */
+    _WGF_FILL_ROUNDS = 40, /* bisection steps for the fill level */
+    _WGF_REMOVE_AFTER_TERMS =
+        30 /* slot lease durations without a report until a router is removed */
 };
 
 /* Bounds of the correction: up to 4 times the weight for a workspace below its fair share, down to
