--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -141,7 +141,7 @@
     reply->member_version = s->member_version;
 }
 
-static void _wgco_fill_fairs(wgco_control* c, _wgco_session_t* s, Wgpb__Reply* reply) {
+static void _wgco_fill_virtual_times(wgco_control* c, _wgco_session_t* s, Wgpb__Reply* reply) {
     _wgco_reply_t* scratch = _wgco_scratch();
     int num = wgf_take_virtual_times(c->share, s->share, scratch->fairs, _WGCO_VIRTUAL_TIMES_MAX);
     reply->fairs = scratch->fair_list;
@@ -208,7 +208,7 @@
         _wgco_fill_orders(c, s, &reply);
         reply.want_full = wgf_needs_full_report(c->share, s->share);
         if (with_virtual_times) {
-            _wgco_fill_fairs(c, s, &reply);
+            _wgco_fill_virtual_times(c, s, &reply);
         }
     }
     c->replies++;
