--- a/lib/base/wg_watch.h
+++ b/lib/base/wg_watch.h
@@ -22,8 +22,7 @@
 #include "wg_base.h"
 
 enum {
-    /* Minimum lag that is logged, microseconds. Lag becomes harmful when it approaches the
-       election timeout. */
+    /* Minimum lag that is logged, microseconds: well below an election timeout. */
     WG_LAG_LOG_MIN = 100 * WG_USEC_PER_MSEC,
     /* Outage until the first log line, microseconds. Longer than an election. */
     WG_OUTAGE_LOG_DELAY = WG_USEC_PER_SEC
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -128,8 +128,8 @@
     uint64_t commit;
     bool reject;
     uint64_t hint; /* rejected APPEND_REPLY: last index of the follower */
-    wg_time
-        echo; /* send time of a heartbeat, or number of a START_QUERY round; replies return it */
+    /* send time of a heartbeat, or number of a START_QUERY round; the reply returns it unchanged */
+    wg_time echo;
     /* START_REPLY: incarnation of the sender. VOTE: incarnation in which the receiver may grant the
        vote without waiting for a lease to end; 0: none. */
     uint64_t incarnation;
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -14,8 +14,8 @@
 
 enum {
     _WGF_FILL_ROUNDS = 40, /* bisection steps for the fill level */
-    _WGF_REMOVE_AFTER_LEASES =
-        30 /* slot lease durations without a report until a router is removed */
+    /* slot lease durations without a report until a router is removed */
+    _WGF_REMOVE_AFTER_LEASES = 30
 };
 
 /* Bounds of the correction: up to 4 times the weight for a workspace below its fair share, down to
