--- a/lib/base/wg_base.h
+++ b/lib/base/wg_base.h
@@ -20,8 +20,8 @@
         4. wg_pool_free(&pool, h); wg_pool_shutdown(&pool);
 
     THE CALLER OWNS
-        all structs passed in; a pool owns only its slot arrays. Only wg_now() reads a clock, and
-        only daemons call it.
+        all structs passed in; a pool owns only its slot arrays. Only wg_now() reads a clock;
+        libraries that are called pure get the time from their caller.
 */
 #include <glib.h>
 #include <stdbool.h>
@@ -59,12 +59,12 @@
     WG_VERDICT_DEFAULT = 0,  /* not decided yet */
     WG_VERDICT_NOT_RUN,      /* no byte reached a target that could run it, or the target reported
                                 that it did not run */
-    WG_VERDICT_RAN,          /* a complete response was received */
+    WG_VERDICT_RAN,          /* a complete answer was received */
     WG_VERDICT_MAY_HAVE_RUN, /* any other case */
     WG_VERDICT_NUM
 } wg_verdict;
 
-/* Name of a verdict in the header and the error body of a response. */
+/* Name of a verdict in the header and the error body of an answer. */
 const char* wg_verdict_name(wg_verdict verdict);
 
 /* GError domain of all libraries. */
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -11,7 +11,7 @@
     _WGCO_ROUTERS_MAX = 512,
     _WGCO_PEERS_MAX = 16,
     _WGCO_ROWS_PER_REPLY = WGT_EDIT_ROWS_MAX + 1,
-    _WGCO_FAIRS_MAX = 2048,
+    _WGCO_VIRTUAL_TIMES_MAX = 2048,
     _WGCO_DUMP_SHARES_MAX = 200,
     /* Longest planned stop: time for two elections, and below the shortest grace period before a
        supervisor kills the process. */
@@ -37,13 +37,13 @@
     char name[WG_NAME_MAX];
     uint64_t incarnation;
     wgf_router share;
-    bool table_synced;
-    bool all_rows;
-    uint64_t seq;
-    uint64_t report_seq;
-    int64_t echo;
-    uint64_t table_version;
-    uint64_t member_version;
+    bool table_synced;   /* the router has received the complete table once */
+    bool all_rows;       /* the router keeps all rows; otherwise it fetches workspaces on demand */
+    uint64_t seq;        /* seq of the last reply */
+    uint64_t report_seq; /* seq of the last report; 0: none accepted yet */
+    int64_t echo;        /* send time of the last report, returned in replies */
+    uint64_t table_version;  /* table version that the router has */
+    uint64_t member_version; /* version of the member list that the router has */
 } _wgco_session_t;
 
 /* A client that waits for a log entry to be applied. */
@@ -79,9 +79,9 @@
 
 /* Cumulative usage of a workspace as last reported by an entry host. */
 typedef struct {
-    uint64_t workspace;
-    uint64_t tokens;
-    uint64_t asked;
+    uint64_t workspace; /* hash of its name */
+    uint64_t tokens;    /* tokens served */
+    uint64_t asked;     /* demand: tokens of all its requests, including refused ones */
 } _wgco_reported_t;
 
 /* A previous configuration that hosts may still hold. */
@@ -102,9 +102,9 @@
 
 /* Recent usage of a workspace in the fleet, with a half-life of WG_USAGE_HALF_LIFE. */
 typedef struct {
-    uint64_t workspace;
-    double tokens;
-    double asked;
+    uint64_t workspace; /* hash of its name */
+    double tokens;      /* tokens served */
+    double asked;       /* demand, in tokens */
 } _wgco_usage_t;
 
 struct wgco_control {
@@ -140,7 +140,7 @@
     wg_registry* registry;
     wg_quarantine* quarantine; /* replicated (wg_control_quarantine.c) */
     wg_suspects* suspects;     /* crash evidence reported by entry hosts */
-    wg_time quarantine_at;     /* when due quarantines were last looked for */
+    wg_time quarantine_at;     /* time of the last periodic check for due quarantines */
     wg_roster* roster;
     GHashTable* entries; /* link id -> _wgco_entry_t* */
     uint64_t state_seq;  /* sequence number of the last state sent to any entry host */
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -1,6 +1,6 @@
 /* wg_control_quarantine.c -- quarantine of requests that crash targets
 
-   Entry hosts report the requests that were in flight at targets that ended. This evidence is
+   Entry hosts report the requests that were in progress at targets that crashed. This evidence is
    not replicated: each new leader collects it again from the hosts. A quarantine is committed in
    the replicated log, so it survives leader changes and restarts, and reaches all hosts with the
    next state. Hosts cannot contain such a request alone: each host that does not know it would
@@ -72,8 +72,8 @@
     _wgco_propose_quarantine(c, &change);
 }
 
-static bool _wgco_was_proposed(wg_time asked_at, wg_time now) {
-    return asked_at && now - asked_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
+static bool _wgco_was_proposed(wg_time proposed_at, wg_time now) {
+    return proposed_at && now - proposed_at < _WGCO_QUARANTINE_PROPOSE_INTERVAL;
 }
 
 /* Returns a suspect whose quarantine is due and not proposed recently, or NULL. */
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -29,7 +29,7 @@
         2. wgf_config_begin(s); wgf_config_service(); wgf_config_target(); wgf_config_end(s);
         3. r = wgf_router_up(s, now, "r1", incarnation, "plateau");  wgf_report(s, now, r, &report);
         4. wgf_plan(s, now);
-        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_virtual_times(s, r, fairs, max);
+        5. wgf_take_orders(s, r, seq, &orders); num = wgf_take_virtual_times(s, r, times, max);
         6. wgf_shutdown(s);
 
     THE CALLER OWNS
@@ -69,7 +69,7 @@
 typedef struct {
     uint32_t target;
     uint32_t slots;
-    bool ejected; /* ejected: the target failed for this router and gets no requests from it */
+    bool ejected; /* the target failed for this router and gets no requests from it */
 } wgf_held_slots;
 
 typedef struct {
@@ -78,8 +78,8 @@
     bool leaving;
     const wgf_account* accounts;
     int accounts_num;
-    const wgf_held_slots* held; /* targets whose slots changed or were granted since the last
-                             report; full reports: all */
+    /* targets whose slots changed or were granted since the last report; full reports: all */
+    const wgf_held_slots* held;
     int held_num;
 } wgf_report_desc;
 
@@ -135,7 +135,8 @@
 wgf_share* wgf_setup(const wgf_desc* desc, GError** error);
 void wgf_shutdown(wgf_share* share);
 
-/* Name all services and targets between begin and end; end removes those not named. */
+/* Sets the configuration: all services and targets are named between begin and end; end removes
+   those that were not named. */
 void wgf_config_begin(wgf_share* share);
 bool wgf_config_service(wgf_share* share, uint32_t service, int over_percent, int64_t first_cost);
 bool wgf_config_target(wgf_share* share, uint32_t target, uint32_t service, int slots,
@@ -159,7 +160,7 @@
 bool wgf_take_orders(wgf_share* share, wgf_router router, uint64_t seq, wgf_orders* orders);
 bool wgf_has_orders(const wgf_share* share, wgf_router router);
 /* Virtual times of the workspaces that have queued or running requests at this router. */
-int wgf_take_virtual_times(wgf_share* share, wgf_router router, wgf_virtual_time* fairs, int max);
+int wgf_take_virtual_times(wgf_share* share, wgf_router router, wgf_virtual_time* times, int max);
 /* Virtual time at which a workspace starts when it becomes active. */
 uint64_t wgf_query_fleet_time(const wgf_share* share, uint32_t service);
 /* Virtual time of one workspace; 0 when unknown. */
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -94,8 +94,8 @@
     for i in 1 2 3; do [[ $(version_at $i) -ge $1 ]] || return 1; done
 }
 
-# Loads all routers from all workspaces at once and prints the tokens that each got in 3 s, over its
-# weight.
+# Loads all routers from all workspaces at once and prints the tokens that each got in 3 s, divided by
+# its weight.
 fairness() {
     local name i load=()
     "${ctl[@]}" fairness | grep logbook-assistant >"$run/before.txt" || true
