--- a/lib/control/wg_control_routers.c
+++ b/lib/control/wg_control_routers.c
@@ -278,7 +278,7 @@
 void _wgco_lead_begin(wgco_control* c, wg_time now) {
     GError* error = NULL;
     c->share = wgf_setup(
-        &(wgf_desc){.now = now, .slot_term = c->settings->slot_lease_ms * WG_USEC_PER_MSEC},
+        &(wgf_desc){.now = now, .slot_lease = c->settings->slot_lease_ms * WG_USEC_PER_MSEC},
         &error);
     c->members = wgm_setup(
         &(wgm_desc){.gone_after = c->settings->router_gone_ms * WG_USEC_PER_MSEC}, &error);
--- a/lib/share/wg_share.c
+++ b/lib/share/wg_share.c
@@ -230,7 +230,7 @@
         {"wgf_desc.targets_max", desc->targets_max, 0},
         {"wgf_desc.flows_max", desc->flows_max, 0},
         {"wgf_desc.accounts_max", desc->accounts_max, 0},
-        {"wgf_desc.slot_term", desc->slot_term, 0},
+        {"wgf_desc.slot_lease", desc->slot_lease, 0},
     };
     if (!wg_desc_check(fields, G_N_ELEMENTS(fields), error)) {
         return NULL;
@@ -242,8 +242,8 @@
     d->targets_max = d->targets_max ? d->targets_max : WGF_TARGETS_DEFAULT;
     d->flows_max = d->flows_max ? d->flows_max : WGF_FLOWS_DEFAULT;
     d->accounts_max = d->accounts_max ? d->accounts_max : WGF_ACCOUNTS_DEFAULT;
-    d->slot_term = d->slot_term ? d->slot_term : WGF_SLOT_TERM_DEFAULT;
-    s->may_grant_at = d->now + d->slot_term;
+    d->slot_lease = d->slot_lease ? d->slot_lease : WGF_SLOT_LEASE_DEFAULT;
+    s->may_grant_at = d->now + d->slot_lease;
     wg_pool_setup(&s->routers_pool, &(wg_pool_desc){.capacity = d->routers_max});
     s->routers = g_new0(_wgf_router_t, d->routers_max);
     s->targets = g_new0(_wgf_target_t, d->targets_max);
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -43,7 +43,7 @@
     WGF_SERVICES_MAX = 32,
     WGF_FLOWS_DEFAULT = 32768,
     WGF_ACCOUNTS_DEFAULT = 262144,
-    WGF_SLOT_TERM_DEFAULT = 2 * WG_USEC_PER_SEC,
+    WGF_SLOT_LEASE_DEFAULT = 2 * WG_USEC_PER_SEC,
     WGF_UNUSED_RESERVE_PERCENT = 25, /* of unused slots: reserve that the leader doesn't grant */
     WGF_GRANTS_MAX = 256,            /* in one set of orders; the next one carries the rest */
     WGF_SCALE = 1000000              /* virtual time is cost * WGF_SCALE / weight */
@@ -114,7 +114,7 @@
     int targets_max;
     int flows_max;
     int accounts_max;
-    wg_time slot_term; /* leases expire this long after the report that renewed them */
+    wg_time slot_lease; /* leases expire this long after the report that renewed them */
 } wgf_desc;
 
 typedef struct {
--- a/lib/share/wg_share_plan.c
+++ b/lib/share/wg_share_plan.c
@@ -363,9 +363,9 @@
     for (int r = 0; r < s->desc.routers_max; r++) {
         _wgf_router_t* router = &s->routers[r];
         wg_time since_contact = router->live ? now - router->last_contact_at : 0;
-        if (since_contact > _WGF_REMOVE_AFTER_LEASES * s->desc.slot_term) {
+        if (since_contact > _WGF_REMOVE_AFTER_LEASES * s->desc.slot_lease) {
             wgf_remove_router(s, (wgf_router){wg_pool_handle_at(&s->routers_pool, r).id});
-        } else if (since_contact > s->desc.slot_term && !router->lapsed) {
+        } else if (since_contact > s->desc.slot_lease && !router->lapsed) {
             router->lapsed = true;
             s->stats.lapsed++;
             _wgf_clear_router_slots(s, r);
--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -128,7 +128,7 @@
                                      .targets_max = s->trace->targets,
                                      .flows_max = 256,
                                      .accounts_max = 65536,
-                                     .slot_term = SLOT_TERM},
+                                     .slot_lease = SLOT_TERM},
                          NULL);
     s->leader++;
     /* A new leader learns in its first term what is held. */
