--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -6,7 +6,8 @@
 /* ---- types and constants ------------------------------------------------------------------- */
 
 enum {
-    WG_ADMIT_FRESH_TIME = 1500 * WG_USEC_PER_MSEC, /* younger accounts may lack admissions */
+    /* An account newer than this may lack requests that the target already has. */
+    WG_ADMIT_FRESH_TIME = 1500 * WG_USEC_PER_MSEC,
     WG_ADMIT_FIRST_EVENT_MIN = 12 * WG_USEC_PER_MSEC,
     WG_ADMIT_RUNNING_COST_TOKENS = 20,     /* cost of each running request to the next */
     WG_ADMIT_SAMPLE_TOKENS_MIN = 1500,     /* smaller samples are too noisy to estimate the speed */
@@ -14,7 +15,7 @@
     WG_ADMIT_EJECTION_MIN = 300 * WG_USEC_PER_MSEC,
     WG_ADMIT_EJECTION_DOUBLINGS_MAX = 4,
     WG_ADMIT_PARTS_HELD_MAX = 8192,
-    WG_ADMIT_MEMORY_DEFAULT = 200000,
+    WG_ADMIT_MEMORY_DEFAULT = 200000,       /* capacity of a target's cache in tokens */
     WG_ADMIT_RATE_WINDOW = WG_USEC_PER_SEC, /* period over which a cold target's rate is enforced */
     WG_ADMIT_RATE_MAX = 4096                /* higher rates are not enforced */
 };
@@ -194,7 +195,7 @@
     g_hash_table_insert(a->admissions, &admission->key, admission);
 }
 
-/* Takes the tokens of an admission off the target's unprocessed tokens. */
+/* Subtracts the tokens of an admission from the target's unprocessed tokens. */
 static void wg_admit_settle_read(wg_admit* a, wg_admission* admission) {
     wg_admit_account* account = wg_admit_find(a, admission->target);
     WG_ASSERT(account && account->unread >= admission->unread);
--- a/lib/admit/wg_admit.h
+++ b/lib/admit/wg_admit.h
@@ -23,9 +23,9 @@
     USE
         1. wg_admit* a = wg_admit_setup(&(wg_admit_desc){0});
         2. wg_admit_answer answer = wg_admit_decide(a, now, &request);
-        3. wg_admit_first_event(a, now, holder, ticket); wg_admit_end(a, now, holder, ticket,
-   failed);
-        4. wg_admit_release_holder(a, holder);      // its link closed
+        3. wg_admit_first_event(a, now, holder, ticket);
+           wg_admit_end(a, now, holder, ticket, failed);
+        4. wg_admit_release_holder(a, holder);      // the holder's link closed
 
     THE CALLER OWNS
         links, tickets and the choice of coordinators. Requests and answers are plain values.
@@ -42,7 +42,7 @@
     wg_time total; /* limit for the complete wait until the first event */
     /* limit for the part of the wait caused by prompts of other requests; 0: never admitted */
     wg_time ahead;
-    /* replaces `ahead` when the request's own prompt alone takes longer than `whole` */
+    /* replaces `ahead` when the request's own prompt alone takes longer than `total` */
     wg_time ahead_large;
     bool spares_shared; /* shared parts that the target lacks count towards `ahead` */
 } wg_admit_limits;
--- a/lib/backoff/wg_backoff.c
+++ b/lib/backoff/wg_backoff.c
@@ -12,11 +12,11 @@
     wg_time until; /* end of the backoff period */
     wg_time updated_at;
     bool draining;
-    bool unreadable; /* its unreadable Retry-After was reported */
+    bool unreadable; /* an unreadable Retry-After was reported */
 } _wg_backoff_target;
 
 enum {
-    /* hosts return within the backoff period divided by this */
+    /* hosts return at random times within the backoff period divided by this, after its end */
     _WG_SPREAD_DIVISOR = 8,
     _WG_SPREAD_MAX = 1 * WG_USEC_PER_SEC /* upper limit of that spread */
 };
--- a/lib/backoff/wg_backoff.h
+++ b/lib/backoff/wg_backoff.h
@@ -14,7 +14,7 @@
         - a date is relative to the answer's own Date if it has one, so that clock skew does not
           matter
         - a backoff period is never shortened, and ends only by its expiry
-        - hosts that back off at the same time return one after the other
+        - hosts that back off at the same time return at different times
         - draining is final
         - bounded: expired entries are evicted first, then the least recently updated
 
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -12,7 +12,7 @@
     WG_CACHED_MAX = 8192,                      /* parts remembered per target */
     WG_EJECTION_MIN = 300 * WG_USEC_PER_MSEC,
     WG_EJECTION_MAX = 4 * WG_USEC_PER_SEC,
-    WG_FRESH_TIME = 25 * WG_USEC_PER_MSEC, /* how long a coordinator's report counts as fresh */
+    WG_FRESH_TIME = 25 * WG_USEC_PER_MSEC, /* how long a coordinator's report is fresh */
     WG_OVER_LIMIT_PENALTY = 10 * WG_USEC_PER_SEC,
     WG_SAMPLED_MIN = 3,
     WG_SAMPLED_HOSTS = 11, /* expected number of hosts that sample a given target */
@@ -44,18 +44,18 @@
    sample. */
 static const double WG_THIRD_HIT_RATE_DEFAULT = 0.7;
 static const double WG_THIRD_HIT_RATE_WEIGHT = 0.03;
-/* Fraction of the misses forgiven at each choice of another target, so that a third home is
-   tried again. */
+/* Fraction of the miss rate that is dropped at each choice of another target, so that a third home
+   is tried again. */
 static const double WG_THIRD_HIT_RATE_RECOVERY = 0.002;
 
-/* With this many hosts, each keeps 1/e of the others' load from one report to the next. */
+/* With this many hosts, 1/e of the load that other hosts reported remains after the next report. */
 static const double WG_DECAY_HOSTS = 24;
 
 struct wg_balance {
     wg_balance_desc desc;
     GHashTable* targets;   /* number -> wg_balance_target* */
     GHashTable* services;  /* name -> wg_balance_service* */
-    wg_time warm_at;       /* homes count as holding their prefixes from then on; 0: not set */
+    wg_time warm_at;       /* time from which homes count as holding their prefixes; 0: not set */
     int hosts;             /* number of hosts that decide on the same loads */
     double third_hit_rate; /* recent fraction of prompts whose third home held their prefix */
     GPtrArray* unsampled;  /* wg_balance_target* not yet sampled in the current choice */
@@ -118,13 +118,14 @@
     return false;
 }
 
-/* Where a new first home copies a prefix from: the draining previous home or the second one. */
+/* Returns the target that a new first home copies a prefix from: the draining previous home or the
+   second home. */
 static uint32_t wg_balance_previous_home(const wg_balance_homes* homes) {
     const wg_balance_target* previous = homes->draining_home ? homes->draining_home : homes->second;
     return previous ? previous->number : 0;
 }
 
-/* Where a target copies missing shared parts from: the first home. Set even for a target
+/* Returns the target to copy missing shared parts from: the first home. Set even for a target
    expected to hold everything, since only the target knows what it holds and copies only what it
    lacks. The home may have evicted the parts, so the estimate does not count on the copy. */
 static uint32_t wg_balance_source(const wg_balance_target* t, const wg_balance_homes* homes) {
@@ -156,7 +157,8 @@
     return c;
 }
 
-/* Returns the number of rounds in which a target works off `running` requests and one more. */
+/* Returns the number of rounds, of one request per slot, in which a target processes `running`
+   requests and one more. */
 static double wg_balance_rounds(const wg_balance_target* t, uint32_t running) {
     uint32_t slots = t->slots ? t->slots : 1;
     return MAX((running + 1.0) / slots, 1.0);
@@ -273,9 +275,9 @@
     }
 }
 
-/* True if the target's coordinator denied the request or the slots that it may use are taken.
-   Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free for
-   workspaces below their fair share. */
+/* True if the target is excluded from this selection, or the slots that the request may use are
+   taken. Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free
+   for workspaces below their fair share. */
 static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* need) {
     double slots = t->slots ? (double)t->slots : (double)need->slots;
     double share = need->slots_share > 0 ? need->slots_share : 1;
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -3,9 +3,10 @@
     wg_balance.h -- target selection for routed requests, as a pure state machine
 
     WHAT IT DOES
-        Estimates for each target of a service the time to the first event of a request: the prompt
-        tokens that all hosts have queued there, plus the tokens of this request that the target
-        does not have cached. Picks the target with the lowest estimated cost.
+        Considers the home targets of a request's prompt prefix, and some other targets of the
+        service at random. Estimates for each the time to the first event: the prompt tokens that
+        all hosts have queued there, plus the tokens of this request that the target does not have
+        cached. Picks the target with the lowest cost, that is the estimate plus penalties.
 
     FEATURES
         - prefix affinity: rendezvous hashing gives each shared prefix two home targets, the same on
@@ -27,15 +28,16 @@
           sampled, however little load it has
         - a request without a prompt may queue at a busy target if it would still be answered within
           its limit
-        - each request is accounted for by three calls: begin, read (first event), end
+        - each request is accounted for by three calls: begin, first event, end
 
     USE
         1. wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = dc, .seed = s});
-        2. wg_balance_sync(b, now, registry);            // after each change
+        2. wg_balance_sync(b, now, registry);            // after each change of the registry
         3. wg_balance_set_others_load(b, number, unread, running);
         4. wg_choice c = wg_balance_choose(b, now, &need);
-        5. wg_balance_begin(b, now, &c); wg_balance_first_event(b, now, &c); wg_balance_end(b, now,
-   &c, r);
+        5. wg_balance_begin(b, now, &c);                 // the request is sent
+           wg_balance_first_event(b, now, &c);
+           wg_balance_end(b, now, &c, result);
 
     THE CALLER OWNS
         the registry and the prompt. Choices are plain values.
@@ -58,24 +60,29 @@
     uint32_t answer; /* maximum number of answer tokens */
 } wg_prompt;
 
+/* What a request needs of a target: the input of wg_balance_choose(). */
 typedef struct {
     const char* service;
-    const wg_prompt* prompt; /* NULL for plain services */
+    const wg_prompt* prompt; /* NULL: the request has no prompt */
     int slots;               /* per target, for targets that report no slots of their own */
     bool copies;             /* targets can copy cached prompt parts from each other */
     double slots_share;      /* fraction of a target's slots that may be in use already; 0: all */
-    /* Targets with a longer wait are chosen last, or never if there is no prompt. 0 or
-       WG_TIME_NEVER: no limit. */
+    /* Longest estimated wait, microseconds; 0: no limit. Targets with a longer wait are chosen
+       last. Without a prompt, a target whose slots are all in use is chosen only within a limit
+       that is not 0. */
     wg_time limit;
-    uint32_t bytes; /* estimated size of the request and its answer; 0: not known */
-    uint32_t tried[WG_TRIED_MAX];
+    uint32_t bytes;               /* estimated size of the request and its answer; 0: not known */
+    uint32_t tried[WG_TRIED_MAX]; /* targets that the request was sent to before; not eligible */
     int tried_num;
-    uint32_t denied[WG_DENIED_MAX]; /* targets refused by their coordinator; they stay homes */
+    /* targets excluded from this selection, mostly by a denial of their coordinator; they still
+       count as homes */
+    uint32_t denied[WG_DENIED_MAX];
     int denied_num;
-    uint32_t source;        /* a target known to hold the start of the prompt; 0: none */
+    uint32_t source;        /* number of a target known to hold the start of the prompt; 0: none */
     uint32_t source_tokens; /* length of the start of the prompt that `source` holds */
 } wg_need;
 
+/* The target selected for a request, with the estimates that led to it. */
 typedef struct {
     uint32_t target;    /* number in the registry; 0: no target can take the request */
     uint32_t unread;    /* prompt tokens of this request that the target has to process */
@@ -84,12 +91,12 @@
     bool plain;         /* the request has no prompt */
     bool is_third_home; /* the target is the third home of the prefix, in this data centre */
     uint32_t running;   /* requests in progress at the target before this one */
-    bool is_fresh;      /* the target's load was reported recently by its coordinator */
-    uint32_t copied;    /* tokens at the start of the prompt that can be copied for certain */
-    wg_time wait;       /* estimated time to the first event */
+    bool is_fresh;      /* the estimate uses a recent report of the target's coordinator */
+    uint32_t copied;    /* tokens at the start of the prompt that `source` is known to hold */
+    wg_time wait;       /* estimated time to the first event, without a prompt to the answer */
     wg_time wait_ahead; /* the part of `wait` caused by prompts of other requests */
-    wg_time started_at;
-    uint64_t prefix; /* id of the last shared part of the prompt; 0: none */
+    wg_time started_at; /* set by wg_balance_begin() */
+    uint64_t prefix;    /* id of the last shared part of the prompt; 0: none */
 } wg_choice;
 
 typedef enum {
@@ -122,6 +129,7 @@
 
 wg_balance* wg_balance_setup(const wg_balance_desc* desc);
 void wg_balance_shutdown(wg_balance* balance);
+/* Takes over the targets of the registry; loads and estimates of known targets are kept. */
 void wg_balance_sync(wg_balance* balance, wg_time now, const wg_registry* registry);
 /* Resets the loads of other hosts. Targets not set again count as 0. */
 void wg_balance_clear_others_load(wg_balance* balance);
@@ -138,19 +146,21 @@
 void wg_balance_update_load(wg_balance* balance, wg_time now, uint32_t target, uint32_t unread,
                             uint32_t running);
 wg_choice wg_balance_choose(wg_balance* balance, wg_time now, const wg_need* need);
-/* Records that the prompt was sent to the target: its shared parts count as cached there
-   briefly. */
+/* Records that the prompt was sent to the target: its shared parts count as cached there for
+   WG_CACHED_TIME. */
 void wg_balance_record_prompt(wg_balance* balance, wg_time now, uint32_t target,
                               const wg_prompt* prompt);
 /* Records whether the third home of a prefix held the shared parts of a prompt. With a low hit
    rate, prompts go to the two fleet-wide homes instead. */
 void wg_balance_record_third_home(wg_balance* balance, bool held);
+/* Adds the request to the load of its target. */
 void wg_balance_begin(wg_balance* balance, wg_time now, wg_choice* choice);
 /* The first event was received: the target has processed the prompt. */
 void wg_balance_first_event(wg_balance* balance, wg_time now, wg_choice* choice);
+/* Removes the request from the load of its target, and updates the target's health. */
 void wg_balance_end(wg_balance* balance, wg_time now, wg_choice* choice, wg_result result);
 /* Writes the nonzero loads of this host to `loads`, at most `max`; returns their number. */
 int wg_balance_loads(const wg_balance* balance, wg_balance_load* loads, int max);
-/* Returns the earliest end of a backoff period if all eligible targets are in backoff. Returns 0
-   if one of them is not, or if there are no eligible targets. */
+/* Returns the earliest end of a backoff period if all eligible targets are in backoff; 0 if one
+   target is not, or if there are no eligible targets. */
 wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now, const wg_need* need);
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -27,8 +27,8 @@
     return t->ready && !t->replaced && !wg_need_tried(need, t->number);
 }
 
-/* A target that refuses everything has nothing in progress. Without this check of its backoff it
-   would look idle and attract every request. */
+/* Checks the backoff too: a target that refuses everything has nothing in progress, would look idle
+   and attract every request. */
 bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* need) {
     return wg_balance_is_eligible(t, need) &&
            (!t->backoff || wg_backoff_ends_at(t->backoff, now, t->key) == 0);
--- a/lib/call/wg_call.h
+++ b/lib/call/wg_call.h
@@ -10,8 +10,9 @@
     FEATURES
         - the verdict is not-run only if no byte of the request can have reached a target that could
           act on it, or if the target reported that it did not run it
-        - a request that must not be repeated is claimed by its idempotency key before its first
-          byte is sent, and is never sent again after a byte was sent
+        - a request that must not be repeated is claimed by its idempotency key, if it has one,
+          before its first byte is sent; after that it is sent again only if the target reported
+          that it did not run it
         - retries draw on a budget per service (a share of first attempts) and wait with jitter
         - a stream that its target aborted resumes at another target after the last complete token,
           where the service allows it
@@ -88,7 +89,7 @@
     WGC_ACTION_WAIT,        /* release the slot, send WGC_EVENT_WAITED after `wait` */
     WGC_ACTION_QUEUE,       /* queue again for a slot, at the head */
     WGC_ACTION_ANSWER,      /* answer the caller with the final error `code` */
-    WGC_ACTION_ABORT,       /* part of an answer was relayed: abort it with `code` */
+    WGC_ACTION_ABORT,       /* part of an answer was relayed: abort the answer with `code` */
     WGC_ACTION_REPLAY,      /* answer the caller with the stored answer of the earlier request */
     WGC_ACTION_CANCEL, /* the caller closed the connection: abort the attempt, send no answer */
     WGC_ACTION_NUM
--- a/lib/config/wg_config.h
+++ b/lib/config/wg_config.h
@@ -101,20 +101,20 @@
     GHashTable* keys;  /* key -> wg_workspace* */
 } wg_config;
 
-/* Parse a document. Returns NULL with WG_ERROR_INVALID when any part of it is invalid. The result
+/* Parses a document. Returns NULL with WG_ERROR_INVALID when any part of it is invalid. The result
    has one reference. */
 wg_config* wg_config_parse(const void* bytes, size_t size, GError** error);
 wg_config* wg_config_ref(wg_config* config);
 void wg_config_unref(wg_config* config);
-/* Find the route of a request, or NULL. A query in `target` and a port in `host` are ignored. */
+/* Finds the route of a request, or NULL. A query in `target` and a port in `host` are ignored. */
 const wg_route* wg_config_route(const wg_config* config, wg_text host, wg_text target);
-/* Find the workspace that has a key, or NULL. */
+/* Finds the workspace that has a key, or NULL. */
 const wg_workspace* wg_config_workspace(const wg_config* config, wg_text key);
-/* Find the index of a service by its name, or -1. */
+/* Returns the index of a service by its name, or -1. */
 int wg_config_service(const wg_config* config, const char* name);
-/* Maximum cold time of all services. */
+/* Returns the maximum cold time of all services. */
 wg_time wg_config_cold_time_max(const wg_config* config);
-/* Select the service of a request, by the weights of the route and a random number. */
+/* Selects the service of a request, by the weights of the route and a random number. */
 int wg_route_pick(const wg_route* route, uint64_t random);
 /* Whether a request on the route may be sent again although it may have run. */
 bool wg_route_is_repeatable(const wg_route* route);
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -1,15 +1,16 @@
 /* wg_entry_admit.c -- coordinators of targets: selection, admission requests and answers
 
-   All entry hosts select the same few of them as coordinators and assign each target to one by
-   rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet (lib/admit).
-   Its answers are advisory: without one in time, the host with the request decides alone. */
+   All entry hosts select the same few hosts as coordinators and assign each target to one of these
+   by rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet
+   (lib/admit). Its answers are advisory: without one in time, the host with the request decides
+   alone. */
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
 enum {
     WG_ADMIT_TIMEOUT = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
-    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive timeouts until it counts as unresponsive */
+    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive, until a coordinator counts as unresponsive */
     WG_COORDINATOR_UNRESPONSIVE_TIME = 500 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_DIAL_INTERVAL = 60 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_PING = 2 * WG_USEC_PER_SEC,
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -98,7 +98,8 @@
     return (double)after / WG_USEC_PER_SEC;
 }
 
-/* Queues the request, or refuses it at once if every target stays in backoff past its deadline. */
+/* Queues the request, or refuses it at once if every target stays in backoff for longer than it may
+   be queued. */
 static void wg_call_enqueue(wg_call* call, wg_time now) {
     wg_time wait_until = call->started + wg_policy_queue_time_max(call->route->objective);
     wg_time back_at = wg_balance_backoff_ends_at(call->entry->balance, now, &call->need);
@@ -198,7 +199,7 @@
 }
 
 /* Selects another target after a denial. A workspace above its fair share may only use one that can
-   copy the shared prompt parts instead of reading them again. */
+   copy at least half of the shared prompt tokens instead of computing them again. */
 static void wg_call_handle_denial(wg_call* call, const wg_admit_answer* answer, wg_time now) {
     wg_need* need = &call->need;
     call->entry->counters.cold_denials +=
@@ -265,7 +266,7 @@
     return (wg_choice){0};
 }
 
-/* Selects again without the latency limit, as no target meets it. */
+/* Selects again with wider wait limits, as no target meets the normal ones. */
 static void wg_call_relax(wg_call* call, wg_time now) {
     call->relaxed = true;
     call->admit_requests = 0;
@@ -350,7 +351,7 @@
     return true;
 }
 
-/* Returns the oldest request of the workspace with the least usage. */
+/* Returns the oldest queued request of the workspace with the least usage that may be tried now. */
 static wg_call* wg_call_queue_first(GQueue* queue) {
     wg_call* best = NULL;
     double best_usage = 0;
--- a/lib/entry/wg_entry_cache.c
+++ b/lib/entry/wg_entry_cache.c
@@ -2,8 +2,8 @@
 
    A coordinator tracks the cached prompt parts of a target from its own admissions. After a
    restart, or when it takes over a target from another coordinator, it knows none and would assume
-   that every prompt has to be read completely. So it queries the target once for its cached parts.
- */
+   that every prompt has to be processed completely. So it queries the target for its cached parts,
+   at most WG_CACHE_TRIES times. */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 
@@ -13,7 +13,7 @@
 #include "wg_entry_internal.h"
 
 enum {
-    WG_CACHE_QUERIES_MAX = 4, /* concurrent queries; a list may have tens of kilobytes */
+    WG_CACHE_QUERIES_MAX = 4, /* concurrent, since a list may have tens of kilobytes */
     WG_CACHE_TIMEOUT_S = 1,
     WG_CACHE_TRIES = 3,
     WG_CACHE_RETRY_INTERVAL = 500 * WG_USEC_PER_MSEC,
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -282,8 +282,8 @@
     wg_balance_first_event(call->entry->balance, wg_now(), &call->choice);
     wg_entry_admit_read(call);
     if (first) {
-        wg_call_queue_run(
-            call->entry); /* prompt was read: there may be capacity for another request */
+        /* The target has processed the prompt: it may have capacity for another request. */
+        wg_call_queue_run(call->entry);
     }
 }
 
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -13,9 +13,9 @@
 #include <string.h>
 
 enum {
-    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; same as for requests */
-    WG_CHECK_OPEN_TIME =
-        30 * WG_USEC_PER_MSEC, /* a connection open for this long counts as accepted */
+    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; equal to that of requests */
+    /* A connection that stays open for this long counts as accepted. */
+    WG_CHECK_OPEN_TIME = 30 * WG_USEC_PER_MSEC,
     WG_CHECK_RETRY_DELAY = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
     /* Limits the load of checks when many connections are reset at once. */
     WG_CHECKS_PER_SECOND = 4,
--- a/lib/entry/wg_entry_cold.c
+++ b/lib/entry/wg_entry_cold.c
@@ -15,7 +15,7 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* Rank of the host that coordinates `target`, by rendezvous hashing; 0 if there is none. */
+/* Returns the rank of the host that coordinates `target`, by rendezvous hashing; 0: none. */
 static uint64_t _wg_coordinating_rank(const uint64_t* ranks, int num, uint32_t target) {
     uint64_t best = 0;
     uint64_t best_weight = 0;
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -28,7 +28,8 @@
     WG_OUTPUT_HIGH_WATER = 256 * 1024,  /* unsent bytes at which reading from the target pauses */
     WG_EVENT_ID_MAX = 32,
     WG_COORDINATORS_MAX = 16,
-    WG_PREVIOUS_COORDINATORS_MAX = 16 /* lists; hosts that start together join one by one */
+    /* Lists kept; hosts that start together join one by one, each with a new list. */
+    WG_PREVIOUS_COORDINATORS_MAX = 16
 };
 
 typedef struct wg_call wg_call;
@@ -108,10 +109,10 @@
     wg_time sent_at;     /* time of the last attempt */
     int unsent;          /* attempts of which no byte left this host */
     wg_time next_try_at; /* earliest time of the next selection while queued */
-    bool relaxed;        /* latency limit waived, as no target meets it */
+    bool relaxed;        /* wait limits widened, as no target meets them */
     bool may_have_run;
     bool was_offered;
-    bool queued;
+    bool queued; /* waits in the service's queue for a target */
     wg_time queued_until;
     wg_time first_event_at;
     wg_time retry_at; /* time of the next attempt; 0: none scheduled */
@@ -219,7 +220,7 @@
     uint64_t backoff_refusals; /* requests refused because all targets are in backoff */
 } wg_entry_counters;
 
-/* Crash evidence in a report. The arrays are released by the function that sends the report. */
+/* Crash evidence in a report. The arrays are released by wg_entry_crashes_reported(). */
 typedef struct {
     Wgpb__Crash* items;
     Wgpb__Crash** list;
@@ -273,7 +274,7 @@
     char dial_address[WG_ADDRESS_MAX];
     wg_time dial_at;
     wg_time report_at;
-    wg_time state_at;      /* last contact with a leader */
+    wg_time state_at;      /* last state from a leader, or start of the link if later */
     wg_outage leaderless;  /* outage without a leader */
     wg_time leaderless_at; /* when the linked control first reported no leader; 0: it knows one */
     wg_time report_interval;
@@ -341,7 +342,7 @@
 
 /* wg_entry_orders.c */
 void wg_entry_order_begin(wg_entry* e, struct evhttp_request* request, const Wgpb__Order* order);
-/* Sends all pending orders; called when a leader becomes known. */
+/* Sends all pending orders to the leader; called when one becomes known. */
 void wg_entry_orders_send(wg_entry* e);
 void wg_entry_orders_apply_answer(wg_entry* e, const Wgpb__OrderAnswer* answer);
 /* Marks all pending orders to be sent again. */
@@ -361,10 +362,12 @@
 void wg_entry_admit_request(wg_call* call, const wg_admit_limits* limits, wg_time now);
 /* The pending admission request timed out. */
 void wg_entry_admit_unanswered(wg_call* call, wg_time now);
-/* Notify the coordinator that the prompt was read, and that the attempt ended. _forget also drops
-   a pending admission request. */
+/* Notifies the coordinator that the target has processed the prompt. */
 void wg_entry_admit_read(wg_call* call);
+/* Ends the call's admission, if it holds one, and notifies the coordinator. `failed`: the target
+   failed. */
 void wg_entry_admit_end(wg_call* call, bool failed);
+/* Drops a pending admission request and ends the admission. */
 void wg_entry_admit_cancel(wg_call* call);
 /* The functions that return bool return false if the link or frame does not concern admission. */
 bool wg_entry_admit_on_up(wg_entry* e, wgn_link link);
@@ -378,7 +381,7 @@
 /* wg_entry_cold.c */
 /* Requests per second that all hosts together may send to a cold target; 0 if it is not cold. */
 double wg_entry_cold_rate(const wg_entry* e, uint32_t target);
-/* Whether this host may send to cold targets. Not shortly after its start, when the roster is
+/* Whether this host may send to cold targets. False shortly after its start, when the roster is
    incomplete and several hosts could consider themselves coordinator of the same target. */
 bool wg_entry_may_use_cold(const wg_entry* e, wg_time now);
 /* Whether this host may admit requests to a cold target. */
@@ -403,7 +406,7 @@
 
 /* wg_entry_backoff.c */
 /* Applies the backoff hint of a target's answer. `id` is the request's id, for the log. Returns the
-   backoff period in microseconds; 0: none. */
+   requested backoff period in microseconds; 0: none. */
 wg_time wg_entry_record_answer(wg_entry* e, uint32_t target, const wg_backoff_hint* hint,
                                const char* id);
 /* Whether the target accepts requests now. Checked before every request to a target: first
@@ -445,7 +448,7 @@
 uint32_t wg_call_tokens(const wg_call* call);
 /* Recent tokens of the call's workspace in the fleet. */
 double wg_call_usage(const wg_call* call);
-/* Is the request charged to a workspace? */
+/* Whether the request is charged to a workspace. */
 bool wg_call_is_charged(const wg_call* call);
 void wg_call_admit_answered(wg_call* call, const wg_admit_answer* answer);
 void wg_call_admit_unanswered(wg_call* call, wg_time now);
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -11,8 +11,8 @@
 enum {
     /* Minimum interval between attempts to reach a control. */
     WG_DIAL_INTERVAL = 30 * WG_USEC_PER_MSEC,
-    WG_PROOF_TIMEOUT =
-        350 * WG_USEC_PER_MSEC, /* handshake with a control; initial report interval */
+    /* Timeout of the handshake with a control, and initial report interval. */
+    WG_PROOF_TIMEOUT = 350 * WG_USEC_PER_MSEC,
     /* Wait for a control without a leader to find one, before another control is dialled. Shorter
        than an election timeout, as the control may be partitioned from the others. */
     WG_LEADERLESS_TIMEOUT = 300 * WG_USEC_PER_MSEC,
@@ -415,7 +415,8 @@
 
 /* ---- links ----------------------------------------------------------------------------------- */
 
-/* Sends the known controls to a connected process. A control's own address is added to them. */
+/* Sends the known controls to a connected process. If the process is a control, its own address is
+   one of them from then on. */
 static void wg_entry_send_controls(wg_entry* e, wgn_link link, const wgn_peer* peer) {
     Wgpb__EntryState state = WGPB__ENTRY_STATE__INIT;
     char* controls[WG_CONTROLS_MAX];
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_pages.c
@@ -43,8 +43,7 @@
     }
 }
 
-/* ---- ready, metrics, state --------------------------------------------------------------------
- */
+/* ---- ready, metrics, state ------------------------------------------------------------------- */
 
 json_t* wg_entry_dump(wg_entry* e) {
     wg_time now = wg_now();
@@ -123,8 +122,7 @@
     g_string_free(out, TRUE);
 }
 
-/* ---- entry answers ----------------------------------------------------------------------------
- */
+/* ---- entry answers --------------------------------------------------------------------------- */
 
 /* Identifies the caller by its IP address. */
 static uint64_t wg_endpoint_caller_hash(struct evhttp_request* request) {
@@ -166,8 +164,7 @@
     wgh_reply_json(request, 200, json);
 }
 
-/* ---- orders ------------------------------------------------------------------------------------
- */
+/* ---- orders ---------------------------------------------------------------------------------- */
 
 static void wg_endpoint_put_configuration(wg_entry* e, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
@@ -286,8 +283,7 @@
     free(name);
 }
 
-/* ---- quarantine --------------------------------------------------------------------------------
- */
+/* ---- quarantine ------------------------------------------------------------------------------ */
 
 static void wg_endpoint_get_quarantine(wg_entry* e, struct evhttp_request* request) {
     json_t* list = json_array();
@@ -319,8 +315,7 @@
     wg_entry_order_begin(e, request, &order);
 }
 
-/* ---- set-up ------------------------------------------------------------------------------------
- */
+/* ---- set-up ---------------------------------------------------------------------------------- */
 
 static void wg_endpoint_on_request(struct evhttp_request* request, void* user_data) {
     static const char targets[] = "/v1/targets/";
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -7,7 +7,7 @@
 
 enum {
     WG_CRASHES_REPORTED_MAX = 256, /* per report; the remainder follows in the next one */
-    WG_COMPLETIONS_MAX = 256,      /* maximum length of the quarantine list */
+    WG_COMPLETIONS_MAX = 256,      /* between two reports; as many as a quarantine list may have */
     WG_SUSPECTS_INTERVAL = WG_USEC_PER_SEC
 };
 
--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -97,7 +97,7 @@
 
 /* ---- margin --------------------------------------------------------------------------------- */
 
-/* The margin settles where about one first event in eleven is late. */
+/* Near 1, the margin is stable while about one first event in eleven is late. */
 static const double WG_MARGIN_LOSS = 0.06; /* fraction lost per late event */
 static const double WG_MARGIN_GAIN = 0.006;
 static const double WG_MARGIN_MIN = 0.12;
--- a/lib/fair/wg_fair.h
+++ b/lib/fair/wg_fair.h
@@ -16,14 +16,15 @@
           capacity that was really served
 
     USE
-        1. wg_fair_level(asked, num, served) once per report, for both levels
+        1. wg_fair_level(demand, num, served) once per report, for both levels
         2. wg_fair_wait_tolerance(used_by_one, &levels) for each request
 */
 #include "wg_base.h"
 
-/* Returns the level at which the sum of min(asked, level) is `served`; the largest demand if all
+/* Returns the level at which the sum of min(demand, level) is `served`; the largest demand if all
    demand is served. */
 double wg_fair_level(const double* asked, int num, double served);
+
 typedef struct {
     double fair_share; /* fair share of the configured capacity; 0: not known */
     double served;     /* fair share of the capacity that was served; 0: not known */
--- a/lib/fair/wg_usage.h
+++ b/lib/fair/wg_usage.h
@@ -8,18 +8,17 @@
         would, and this host's own usage is used as an estimate of that of every other host. Pure.
 
     FEATURES
-        - a workspace that had the highest usage when the leader was lost recovers
+        - a workspace that had the highest usage when the leader was lost is not limited by that for
+          good, since usage decays
         - own totals only grow, so that any leader can compute the difference between two reports
 
     USE
-        1. wg_usage_ledger* b = wg_usage_setup();
-        2. wg_usage_record_demand(b, workspace, tokens); wg_usage_record_served(b, workspace,
-   tokens);
-        3. wg_usage_apply_report(b, now, list, num, total_share);                       // a
-   leader's report
-        4. wg_usage_decay(b, now, hosts, total_share);                           // each tick
-   without one
-        5. wg_usage_of(b, workspace); wg_usage_levels(b);
+        1. wg_usage_ledger* l = wg_usage_setup();
+        2. wg_usage_record_demand(l, workspace, tokens);
+           wg_usage_record_served(l, workspace, tokens);
+        3. wg_usage_apply_report(l, now, list, num, total_share);  // a report of the leader
+        4. wg_usage_decay(l, now, hosts, total_share);             // each tick
+        5. wg_usage_of(l, workspace); wg_usage_levels(l);
 
     THE CALLER OWNS
         everything passed in; returned lists stay owned by the ledger.
@@ -33,8 +32,8 @@
        the interval between reports in a large fleet. */
     WG_USAGE_STALE_AFTER = WG_USEC_PER_SEC,
     /* Microseconds since the last report until the leader's part of a copy is dropped. Decay
-       alone keeps the proportions of the copy, which would hold workspaces back where little else
-       is served. */
+       alone keeps the proportions between workspaces, so the highest usage would go on to limit its
+       workspace even where little else is served. */
     WG_USAGE_DROPPED_AFTER = 4 * WG_USAGE_HALF_LIFE
 };
 
@@ -49,8 +48,9 @@
 
 wg_usage_ledger* wg_usage_setup(void);
 void wg_usage_shutdown(wg_usage_ledger* book);
-/* Records a request that was received, or was sent to a target, by this host. */
+/* Records a request that this host received. */
 void wg_usage_record_demand(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
+/* Records a request that this host sent to a target. */
 void wg_usage_record_served(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
 /* Replaces the copy with the leader's report. `total_share`: tokens of the configured capacity in
    the time that usage covers; 0: not known. */
--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -11,8 +11,8 @@
     bool live;
     bool seen;
     bool row_draining;
-    bool reported_draining;       /* by an answer of the target, or by a host list */
-    uint64_t draining_at_version; /* version of the last host list that reported it; 0: none */
+    bool reported_draining;       /* an answer of the target or a host list reported it */
+    uint64_t draining_at_version; /* last host list that reported draining; 0: none */
     uint64_t row_version;
     int sent_since_report;
     int in_reserve; /* running requests beyond the leased slots */
@@ -66,7 +66,8 @@
     return t->row_draining || t->reported_draining;
 }
 
-/* Includes the address: a target that an edit moved elsewhere does not inherit a backoff period. */
+/* Includes the address: a target that a table edit moved to another address does not inherit a
+   backoff period. */
 static uint64_t _wgp_backoff_key(const _wgp_target_t* t) {
     return wg_hash(t->info.address, strlen(t->info.address), t->info.id);
 }
@@ -484,8 +485,8 @@
         return WGP_EVENT_DEFAULT;
     }
     wg_backoff_hint backoff_only = *hint;
-    backoff_only.draining =
-        false; /* see wgp_record_draining(): rows and host lists can revoke draining */
+    /* Recorded by wgp_record_draining() instead, since rows and host lists can revoke draining. */
+    backoff_only.draining = false;
     wg_backoff_update outcome =
         wg_backoff_record(p->backoff, now, _wgp_backoff_key(t), &backoff_only, unix_time);
     if (!outcome.backoff_started) {
--- a/lib/place/wg_place.h
+++ b/lib/place/wg_place.h
@@ -118,8 +118,8 @@
 
 /* Begins a new list of targets; targets not configured before wgp_config_end() are removed. */
 void wgp_config_begin(wgp_place* place);
-/* `version`: version of the table row; a newer row may end draining. False when all places for
-   targets are in use. */
+/* `version`: version of the table row; a newer row may end draining. False when
+   `targets_max` targets are in use. */
 bool wgp_config_target(wgp_place* place, uint32_t id, uint32_t service, const char* name,
                        const char* address, const char* data_centre, int slots, bool draining,
                        uint64_t version);
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -9,7 +9,7 @@
     /* Callers honour a Retry-After of up to their remaining time divided by this. */
     _WG_POLICY_HONOURED_DIVISOR = 3,
     _WG_POLICY_ADMISSIONS_MAX = 3,
-    _WG_POLICY_ADMISSIONS_MAX_LIMITED = 2 /* used when the wait tolerance is below 1 */
+    _WG_POLICY_ADMISSIONS_MAX_LIMITED = 2 /* for a wait tolerance below 1 */
 };
 
 /* Fraction of the objective that the expected first event may take. */
@@ -55,7 +55,7 @@
 }
 
 wg_time wg_policy_plain_limit(const wg_policy_terms* t, wg_time now) {
-    /* A late answer is still useful. */
+    /* At least half of the objective, since a late answer is still useful. */
     wg_time left = MAX(t->started + t->objective - now, t->objective / 2);
     return (wg_time)(_WG_POLICY_PLAIN_LIMIT * (double)left);
 }
--- a/lib/policy/wg_policy.h
+++ b/lib/policy/wg_policy.h
@@ -29,7 +29,7 @@
     const wg_fair_levels* levels;
     const wg_fair_margin* margin;
     bool has_prompt;
-    /* an earlier attempt was sent; wait tolerance no longer limits coordinators */
+    /* an earlier attempt was sent; the wait tolerance no longer limits admission requests */
     bool sent_before;
     /* no target would answer in time, and the request is sent late rather than refused */
     bool relaxed;
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -53,8 +53,7 @@
     int ends; /* number of targets that crashed while they had the request */
     wg_time until;
     bool ended_well; /* for use by the caller: a copy of the request ended well, not agreed yet */
-    wg_time
-        proposed_at; /* for use by the caller: when it last proposed the end of the quarantine */
+    wg_time proposed_at; /* for use by the caller: last proposal to end the quarantine */
 } wg_quarantined;
 
 typedef struct {
--- a/lib/quarantine/wg_suspects.c
+++ b/lib/quarantine/wg_suspects.c
@@ -8,7 +8,7 @@
     WG_SUSPECT_WEIGHT_EARLY = 3,
     WG_SUSPECT_WEIGHT = 2,
     WG_SUSPECT_WEIGHT_DUE = 6,
-    /* Recent requests that ended well, one per slot of the fingerprint modulo this number. */
+    /* Slots for recent requests that ended well, indexed by fingerprint modulo this number. */
     WG_CLEARED_SLOTS = 4096
 };
 
--- a/lib/quarantine/wg_suspects.h
+++ b/lib/quarantine/wg_suspects.h
@@ -12,15 +12,16 @@
         - a target counts once for a request, however many copies of the request it had
         - a crash before the first event of the answer has more weight: two such crashes make a
           request due, otherwise three
-        - a request that ended well is not a suspect, and cannot become one for some time, since a
-          request that crashes targets never ends well; this clears requests that were
-          merely running on many targets when they crashed
+        - a request that ended well (with a complete answer) is not a suspect, and cannot become
+          one for some time, since a request that crashes targets never ends well; this clears
+          requests that were merely running on many targets when these crashed
         - bounded: beyond the limit the oldest suspect of the workspace with the most suspects is
           evicted
 
     USE
         1. wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){0});
-        2. if (wg_suspects_add(s, now, &crash) != NULL && wg_suspect_is_due(suspect)) { quarantine }
+        2. wg_suspect* suspect = wg_suspects_add(s, now, &crash);
+           if (suspect && wg_suspect_is_due(suspect)) { quarantine the request }
         3. wg_suspects_clear(s, now, fingerprint);       // a copy of it ended well
         4. wg_suspects_crashes(s);                       // all evidence, to send to the leader
 
@@ -34,8 +35,7 @@
     /* Seconds until a suspect expires. Requests repeated less often than this are not caught. */
     WG_SUSPECT_LIFETIME_DEFAULT_S = 600,
     /* Seconds for which a request that ended well is no suspect. Covers the time in which callers
-       repeat a request; longer would protect a request that crashes a new release of its targets.
-     */
+       repeat a request. Longer would protect one that crashes a new release of its targets. */
     WG_SUSPECT_CLEARED_DEFAULT_S = 30,
     WG_SUSPECT_PATH_MAX = 96, /* bytes including the terminating zero; longer paths are truncated */
     WG_SUSPECT_TARGETS_MAX = 3
@@ -58,8 +58,8 @@
     bool early[WG_SUSPECT_TARGETS_MAX];
     int targets_num;
     int weight;
-    wg_time last_crash_at; /* time of the last crash */
-    wg_time proposed_at;   /* for use by the caller: when it last proposed a quarantine */
+    wg_time last_crash_at;
+    wg_time proposed_at; /* for use by the caller: when it last proposed a quarantine */
 } wg_suspect;
 
 typedef struct {
--- a/lib/queue/wg_queue.c
+++ b/lib/queue/wg_queue.c
@@ -219,7 +219,7 @@
         return f->average_cost;
     }
     /* No history: the average of other workspaces. The caller's estimate is ignored until it can be
-       corrected, because a wrong one would let the workspace gain or lose a round of slots. */
+       corrected, because a wrong one could give the workspace a round of slots more or less. */
     return q->average_cost > 0 ? q->average_cost : q->desc.first_cost;
 }
 
--- a/lib/queue/wg_queue.h
+++ b/lib/queue/wg_queue.h
@@ -127,7 +127,8 @@
 void wgq_raise_estimates(wgq_queue* queue, wg_time now);
 /* Ends a running request with its final cost. */
 void wgq_finish(wgq_queue* queue, wg_time now, wgq_handle handle, int64_t cost);
-/* A waiting request whose time is over; false when there is none. It stays until wgq_drop(). */
+/* Sets `expired` to a waiting request that has expired; false when there is none. The request stays
+   queued until wgq_drop(). */
 bool wgq_expire(wgq_queue* queue, wg_time now, wgq_handle* expired);
 /* Removes a waiting request. */
 void wgq_drop(wgq_queue* queue, wgq_handle handle);
--- a/lib/registry/wg_registry.h
+++ b/lib/registry/wg_registry.h
@@ -95,7 +95,7 @@
 
 wg_registry* wg_registry_setup(const wg_registry_desc* desc);
 void wg_registry_shutdown(wg_registry* registry);
-/* Classifies a heartbeat or a leave message, and updates the target's last contact. */
+/* Classifies a heartbeat or a deregistration, and updates the target's last contact. */
 wg_heartbeat_result wg_registry_receive(wg_registry* registry, wg_time now,
                                         const wg_target* received);
 /* Applies an agreed change; deterministic on every replica. */
--- a/lib/router/wg_router.h
+++ b/lib/router/wg_router.h
@@ -4,8 +4,8 @@
 
     WHAT IT DOES
         Accepts callers' HTTP requests, queues them fairly, picks targets, relays answers, and
-        tells callers which entry hosts to use. Works under two leases from the leader: one on the
-        table, one on target slots.
+        answers callers' requests for the list of entry hosts. Works under two leases from
+        the leader: one on the table, one on target slots.
 
     FEATURES
         - one wgc_call per request; one wgq_queue and one retry budget per service
--- a/lib/router/wg_router_link.c
+++ b/lib/router/wg_router_link.c
@@ -120,8 +120,8 @@
 
 static void _wgro_apply_rows(wgro_router* r, const Wgpb__Reply* reply) {
     if (reply->reset) {
-        /* The leader no longer has the deletions since our version and sends the complete table: a
-           row that is not in it was deleted. */
+        /* The leader no longer knows the deletions since this router's version and sends the
+           complete table: a row that is not in it was deleted. */
         for (int kind = WGT_KIND_WORKSPACE; kind < WGT_KIND_NUM; kind++) {
             int at = -1;
             for (const wgt_row* row; (row = wgt_next(r->table, (wgt_kind)kind, &at));) {
@@ -193,8 +193,8 @@
     wgn_close(r->net, r->link);
 }
 
-/* Applies granted slots and quotas. The caller skips orders that the leader sent before it received
-   our last full report, because that report reset its count of our slots. */
+/* Applies granted slots and quotas. Not called for orders that the leader sent before it received
+   this router's last full report, which reset its count of this router's slots. */
 static void _wgro_apply_slot_orders(wgro_router* r, const Wgpb__Reply* reply) {
     for (size_t i = 0; i < reply->n_quotas; i++) {
         wgp_set_quota(r->place, reply->quotas[i]->service, reply->quotas[i]->most);
@@ -228,7 +228,7 @@
     if (new_leader || reply->seq == 0) {
         bool leader_has_report = reply->seq > 0 && reply->report_seq > 0;
         if (!leader_has_report) {
-            /* The leader has not received a full report from us in this term. */
+            /* The leader has not received a full report of this router in this term. */
             r->report_full = true;
             _wgro_report_soon(r);
             return;
