--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -25,12 +25,12 @@
     return first < second ? -1 : first > second;
 }
 
-double wg_fair_level(const double* asked, int num, double served) {
+double wg_fair_level(const double* demand, int num, double served) {
     if (num == 0) {
         return 0;
     }
     double* sorted = g_new(double, num);
-    memcpy(sorted, asked, sizeof *sorted * (size_t)num);
+    memcpy(sorted, demand, sizeof *sorted * (size_t)num);
     qsort(sorted, (size_t)num, sizeof *sorted, wg_fair_compare);
     double left = served;
     double level = sorted[num - 1];
--- a/lib/fair/wg_fair.h
+++ b/lib/fair/wg_fair.h
@@ -23,7 +23,7 @@
 
 /* Returns the level at which the sum of min(demand, level) is `served`; the largest demand if all
    demand is served. */
-double wg_fair_level(const double* asked, int num, double served);
+double wg_fair_level(const double* demand, int num, double served);
 
 typedef struct {
     double fair_share; /* fair share of the configured capacity; 0: not known */
--- a/lib/fair/wg_usage.c
+++ b/lib/fair/wg_usage.c
@@ -38,42 +38,42 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static wg_usage_total* wg_usage_own_of(wg_usage_ledger* b, uint64_t workspace) {
-    wg_usage_total* own = g_hash_table_lookup(b->own, &workspace);
+static wg_usage_total* wg_usage_own_of(wg_usage_ledger* ledger, uint64_t workspace) {
+    wg_usage_total* own = g_hash_table_lookup(ledger->own, &workspace);
     if (!own) {
         own = g_new0(wg_usage_total, 1);
         own->total.workspace = workspace;
-        g_hash_table_insert(b->own, &own->total.workspace, own);
+        g_hash_table_insert(ledger->own, &own->total.workspace, own);
     }
     return own;
 }
 
-static wg_usage_copy* wg_usage_copy_of(wg_usage_ledger* b, uint64_t workspace) {
-    wg_usage_copy* copy = g_hash_table_lookup(b->fleet, &workspace);
+static wg_usage_copy* wg_usage_copy_of(wg_usage_ledger* ledger, uint64_t workspace) {
+    wg_usage_copy* copy = g_hash_table_lookup(ledger->fleet, &workspace);
     if (!copy) {
         copy = g_new0(wg_usage_copy, 1);
         copy->workspace = workspace;
-        g_hash_table_insert(b->fleet, &copy->workspace, copy);
+        g_hash_table_insert(ledger->fleet, &copy->workspace, copy);
     }
     return copy;
 }
 
-static void wg_usage_set_levels(wg_usage_ledger* b, double total_share) {
-    guint num = g_hash_table_size(b->fleet);
+static void wg_usage_set_levels(wg_usage_ledger* ledger, double total_share) {
+    guint num = g_hash_table_size(ledger->fleet);
     double* asked = g_new(double, num + 1);
     double served = 0;
     int filled = 0;
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->fleet);
+    g_hash_table_iter_init(&iter, ledger->fleet);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wg_usage_copy* copy = value;
         double tokens = copy->reported.tokens + copy->estimated.tokens;
         asked[filled++] = MAX(copy->reported.asked + copy->estimated.asked, tokens);
         served += tokens;
     }
-    b->levels.served = wg_fair_level(asked, filled, served);
-    b->levels.fair_share = total_share > 0 ? wg_fair_level(asked, filled, total_share) : 0;
+    ledger->levels.served = wg_fair_level(asked, filled, served);
+    ledger->levels.fair_share = total_share > 0 ? wg_fair_level(asked, filled, total_share) : 0;
     g_free(asked);
 }
 
@@ -81,10 +81,10 @@
     return (wg_usage_amount){amount.tokens * factor, amount.asked * factor};
 }
 
-static void wg_usage_decay_copy(wg_usage_ledger* b, double keep, bool drop) {
+static void wg_usage_decay_copy(wg_usage_ledger* ledger, double keep, bool drop) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->fleet);
+    g_hash_table_iter_init(&iter, ledger->fleet);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_usage_copy* copy = value;
         copy->reported = wg_usage_scale(copy->reported, drop ? 0 : keep);
@@ -96,10 +96,10 @@
 }
 
 /* Adds this host's usage since the last update to the copy, multiplied by `factor`. */
-static void wg_usage_count_own(wg_usage_ledger* b, double factor) {
+static void wg_usage_count_own(wg_usage_ledger* ledger, double factor) {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->own);
+    g_hash_table_iter_init(&iter, ledger->own);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_usage_total* own = value;
         uint64_t tokens = own->total.tokens - own->tokens_counted;
@@ -107,7 +107,7 @@
         own->tokens_counted = own->total.tokens;
         own->asked_counted = own->total.asked;
         if (factor > 0 && (tokens > 0 || asked > 0)) {
-            wg_usage_copy* copy = wg_usage_copy_of(b, own->total.workspace);
+            wg_usage_copy* copy = wg_usage_copy_of(ledger, own->total.workspace);
             copy->estimated.tokens += factor * (double)tokens;
             copy->estimated.asked += factor * (double)asked;
         }
@@ -117,65 +117,65 @@
 /* ---- public functions ------------------------------------------------------------------------ */
 
 wg_usage_ledger* wg_usage_setup(void) {
-    wg_usage_ledger* b = g_new0(wg_usage_ledger, 1);
-    b->fleet = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    b->own = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    return b;
+    wg_usage_ledger* ledger = g_new0(wg_usage_ledger, 1);
+    ledger->fleet = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    ledger->own = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    return ledger;
 }
 
-void wg_usage_shutdown(wg_usage_ledger* b) {
-    g_hash_table_unref(b->fleet);
-    g_hash_table_unref(b->own);
-    g_free(b);
+void wg_usage_shutdown(wg_usage_ledger* ledger) {
+    g_hash_table_unref(ledger->fleet);
+    g_hash_table_unref(ledger->own);
+    g_free(ledger);
 }
 
-void wg_usage_record_demand(wg_usage_ledger* b, uint64_t workspace, uint64_t tokens) {
-    wg_usage_own_of(b, workspace)->total.asked += tokens;
+void wg_usage_record_demand(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens) {
+    wg_usage_own_of(ledger, workspace)->total.asked += tokens;
 }
 
-void wg_usage_record_served(wg_usage_ledger* b, uint64_t workspace, uint64_t tokens) {
-    wg_usage_own_of(b, workspace)->total.tokens += tokens;
+void wg_usage_record_served(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens) {
+    wg_usage_own_of(ledger, workspace)->total.tokens += tokens;
 }
 
-void wg_usage_apply_report(wg_usage_ledger* b, wg_time now, const wg_usage* list, size_t num,
+void wg_usage_apply_report(wg_usage_ledger* ledger, wg_time now, const wg_usage* list, size_t num,
                            double total_share) {
-    g_hash_table_remove_all(b->fleet);
+    g_hash_table_remove_all(ledger->fleet);
     for (size_t i = 0; i < num; i++) {
-        wg_usage_copy* copy = wg_usage_copy_of(b, list[i].workspace);
+        wg_usage_copy* copy = wg_usage_copy_of(ledger, list[i].workspace);
         copy->reported = (wg_usage_amount){(double)list[i].tokens, (double)list[i].asked};
     }
-    wg_usage_count_own(b, 0);
-    b->reported_at = now;
-    b->decayed_at = now;
-    wg_usage_set_levels(b, total_share);
+    wg_usage_count_own(ledger, 0);
+    ledger->reported_at = now;
+    ledger->decayed_at = now;
+    wg_usage_set_levels(ledger, total_share);
 }
 
-void wg_usage_decay(wg_usage_ledger* b, wg_time now, int hosts, double total_share) {
-    bool fresh = b->reported_at == 0 || now - b->reported_at < WG_USAGE_STALE_AFTER;
-    if (fresh || now - b->decayed_at < WG_USAGE_DECAY_STEP) {
+void wg_usage_decay(wg_usage_ledger* ledger, wg_time now, int hosts, double total_share) {
+    bool fresh = ledger->reported_at == 0 || now - ledger->reported_at < WG_USAGE_STALE_AFTER;
+    if (fresh || now - ledger->decayed_at < WG_USAGE_DECAY_STEP) {
         return;
     }
-    double keep = exp2(-(double)(now - b->decayed_at) / WG_USAGE_HALF_LIFE);
-    wg_usage_decay_copy(b, keep, now - b->reported_at > WG_USAGE_DROPPED_AFTER);
-    wg_usage_count_own(b, MAX(hosts, 1));
-    b->decayed_at = now;
-    wg_usage_set_levels(b, total_share);
+    double keep = exp2(-(double)(now - ledger->decayed_at) / WG_USAGE_HALF_LIFE);
+    wg_usage_decay_copy(ledger, keep, now - ledger->reported_at > WG_USAGE_DROPPED_AFTER);
+    wg_usage_count_own(ledger, MAX(hosts, 1));
+    ledger->decayed_at = now;
+    wg_usage_set_levels(ledger, total_share);
 }
 
-double wg_usage_of(const wg_usage_ledger* b, uint64_t workspace) {
-    const wg_usage_copy* copy = g_hash_table_lookup(b->fleet, &workspace);
+double wg_usage_of(const wg_usage_ledger* ledger, uint64_t workspace) {
+    const wg_usage_copy* copy = g_hash_table_lookup(ledger->fleet, &workspace);
     return copy ? copy->reported.tokens + copy->estimated.tokens : 0;
 }
 
-const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* b) {
-    return &b->levels;
+const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* ledger) {
+    return &ledger->levels;
 }
 
-GPtrArray* wg_usage_own(const wg_usage_ledger* b) {
+GPtrArray* wg_usage_own(const wg_usage_ledger* ledger) {
     GPtrArray* list = g_ptr_array_new();
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->own);
+    g_hash_table_iter_init(&iter, ledger->own);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         g_ptr_array_add(list, &((wg_usage_total*)value)->total);
     }
--- a/lib/fair/wg_usage.h
+++ b/lib/fair/wg_usage.h
@@ -47,21 +47,21 @@
 typedef struct wg_usage_ledger wg_usage_ledger;
 
 wg_usage_ledger* wg_usage_setup(void);
-void wg_usage_shutdown(wg_usage_ledger* book);
+void wg_usage_shutdown(wg_usage_ledger* ledger);
 /* Records a request that this host received. */
-void wg_usage_record_demand(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
+void wg_usage_record_demand(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens);
 /* Records a request that this host sent to a target. */
-void wg_usage_record_served(wg_usage_ledger* book, uint64_t workspace, uint64_t tokens);
+void wg_usage_record_served(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens);
 /* Replaces the copy with the leader's report. `total_share`: tokens of the configured capacity in
    the time that usage covers; 0: not known. */
-void wg_usage_apply_report(wg_usage_ledger* book, wg_time now, const wg_usage* list, size_t num,
+void wg_usage_apply_report(wg_usage_ledger* ledger, wg_time now, const wg_usage* list, size_t num,
                            double total_share);
 /* Decays the copy; does nothing while the last report is fresh. `hosts`: number of entry hosts
    that share the load. */
-void wg_usage_decay(wg_usage_ledger* book, wg_time now, int hosts, double total_share);
+void wg_usage_decay(wg_usage_ledger* ledger, wg_time now, int hosts, double total_share);
 /* Returns the recent usage of the workspace in the whole fleet, tokens. */
-double wg_usage_of(const wg_usage_ledger* book, uint64_t workspace);
-const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* book);
+double wg_usage_of(const wg_usage_ledger* ledger, uint64_t workspace);
+const wg_fair_levels* wg_usage_levels(const wg_usage_ledger* ledger);
 /* Returns this host's own totals, wg_usage*, in no particular order; the caller frees the list
    only. */
-GPtrArray* wg_usage_own(const wg_usage_ledger* book);
+GPtrArray* wg_usage_own(const wg_usage_ledger* ledger);
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -105,9 +105,10 @@
 /* Callers that return before the end of the backoff period would be refused again. All of them
    wait for the same moment, so each gets a random offset, limited so that the caller can still be
    served. */
-wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
+wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time backoff_time,
+                                      wg_time left) {
     wg_time max_wait = MAX(left, 0) / _WG_POLICY_HONOURED_DIVISOR;
     wg_time jitter = wg_policy_retry_after(seed, counter);
     wg_time spread = wg_jitter_range(seed, counter, max_wait * 4 / 5, max_wait);
-    return rest + jitter <= max_wait ? rest + jitter : spread;
+    return backoff_time + jitter <= max_wait ? backoff_time + jitter : spread;
 }
--- a/lib/policy/wg_policy.h
+++ b/lib/policy/wg_policy.h
@@ -57,6 +57,7 @@
 wg_time wg_policy_try_gap(const wg_policy_terms* terms);
 /* Returns a random time in microseconds after which a refused caller may retry. */
 wg_time wg_policy_retry_after(uint64_t seed, uint64_t counter);
-/* Like wg_policy_retry_after() while all targets are in backoff for `rest` microseconds, for a
-   caller that has `left` microseconds until its deadline. */
-wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time rest, wg_time left);
+/* Like wg_policy_retry_after() while all targets are in backoff for `backoff_time` microseconds,
+   for a caller that has `left` microseconds until its deadline. */
+wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time backoff_time,
+                                      wg_time left);
