--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -109,9 +109,9 @@
     return MIN(cached, prompt->tokens);
 }
 
-static bool wg_need_denied(const wg_need* need, uint32_t number) {
-    for (int i = 0; i < need->denied_num; i++) {
-        if (need->denied[i] == number) {
+static bool wg_balance_is_denied(const wg_need* request, uint32_t number) {
+    for (int i = 0; i < request->denied_num; i++) {
+        if (request->denied[i] == number) {
             return true;
         }
     }
@@ -136,20 +136,20 @@
 }
 
 static wg_choice wg_balance_estimate_prompt(const wg_balance* b, const wg_balance_target* t,
-                                            wg_time now, const wg_need* need,
+                                            wg_time now, const wg_need* request,
                                             const wg_balance_homes* homes) {
     bool home = t == homes->first || t == homes->second || t == homes->local;
     uint32_t running = t->own_running + t->other_running;
-    uint32_t cached = wg_balance_cached(b, t, now, need->prompt, home);
+    uint32_t cached = wg_balance_cached(b, t, now, request->prompt, home);
     wg_choice c = {.target = t->number};
     c.is_fresh = t->reported_at > 0 && now - t->reported_at < WG_FRESH_TIME;
-    if (need->copies && need->source_tokens > cached && need->source != t->number) {
-        c.source = need->source;
-        c.copied = MIN(need->source_tokens, need->prompt->tokens);
-    } else if (need->copies) {
+    if (request->copies && request->source_tokens > cached && request->source != t->number) {
+        c.source = request->source;
+        c.copied = MIN(request->source_tokens, request->prompt->tokens);
+    } else if (request->copies) {
         c.source = wg_balance_source(t, homes);
     }
-    c.unread = need->prompt->tokens - MAX(cached, c.copied);
+    c.unread = request->prompt->tokens - MAX(cached, c.copied);
     c.ahead = t->own_unread + MAX(t->other_unread, t->recent_unread);
     uint32_t tokens = c.unread + c.ahead + running * WG_RUNNING_COST_TOKENS;
     c.wait = WG_FIRST_EVENT_MIN + (wg_time)(tokens / t->speed);
@@ -172,9 +172,9 @@
 }
 
 static wg_choice wg_balance_estimate(const wg_balance* b, const wg_balance_target* t, wg_time now,
-                                     const wg_need* need, const wg_balance_homes* homes) {
-    if (need->prompt) {
-        return wg_balance_estimate_prompt(b, t, now, need, homes);
+                                     const wg_need* request, const wg_balance_homes* homes) {
+    if (request->prompt) {
+        return wg_balance_estimate_prompt(b, t, now, request, homes);
     }
     return wg_balance_estimate_plain(t, t->own_running + t->other_running);
 }
@@ -278,15 +278,15 @@
 /* True if the target is excluded from this selection, or the slots that the request may use are
    taken. Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free
    for workspaces below their fair share. */
-static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* need) {
-    double slots = t->slots ? (double)t->slots : (double)need->slots;
-    double share = need->slots_share > 0 ? need->slots_share : 1;
-    if (wg_need_denied(need, t->number)) {
+static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* request) {
+    double slots = t->slots ? (double)t->slots : (double)request->slots;
+    double share = request->slots_share > 0 ? request->slots_share : 1;
+    if (wg_balance_is_denied(request, t->number)) {
         return true;
     }
     uint32_t running = t->own_running + t->other_running;
-    if (!need->prompt && need->limit > 0) {
-        bool in_time = wg_balance_estimate_plain(t, running).wait <= need->limit;
+    if (!request->prompt && request->limit > 0) {
+        bool in_time = wg_balance_estimate_plain(t, running).wait <= request->limit;
         return slots > 0 && running >= slots && !in_time;
     }
     return slots > 0 && running >= slots * share;
@@ -294,7 +294,7 @@
 
 /* Penalty of sending a prompt to the target, in tokens, in addition to the wait. */
 static uint32_t wg_balance_penalty_tokens(const wg_balance_target* t, const wg_balance_homes* homes,
-                                          const wg_choice* choice, const wg_need* need) {
+                                          const wg_choice* choice, const wg_need* request) {
     uint32_t remote_penalty =
         homes->local ? WG_REMOTE_PENALTY_LOCAL_HOME_TOKENS : WG_REMOTE_PENALTY_TOKENS;
     uint32_t penalty = t->local ? 0 : remote_penalty;
@@ -307,7 +307,7 @@
     if (t == homes->second) {
         return penalty + WG_SECOND_HOME_PENALTY_TOKENS;
     }
-    uint32_t own = need->prompt->sizes[need->prompt->num - 1];
+    uint32_t own = request->prompt->sizes[request->prompt->num - 1];
     uint32_t recompute_tokens = choice->unread > own ? choice->unread - own : 0;
     return penalty + (t == homes->first ? 0 : WG_RECOMPUTE_PENALTY_FACTOR * recompute_tokens);
 }
@@ -315,9 +315,9 @@
 /* Penalty of sending any request to the target, in microseconds. Without a prompt, a remote data
    centre costs as much as one more queued request. */
 static double wg_balance_penalty_time(const wg_balance_target* t, const wg_balance_homes* homes,
-                                      const wg_choice* choice, const wg_need* need) {
-    if (need->prompt) {
-        return wg_balance_penalty_tokens(t, homes, choice, need) / t->speed;
+                                      const wg_choice* choice, const wg_need* request) {
+    if (request->prompt) {
+        return wg_balance_penalty_tokens(t, homes, choice, request) / t->speed;
     }
     return t->local ? 0 : t->service_time;
 }
@@ -329,15 +329,15 @@
 } wg_candidate;
 
 static void wg_balance_consider(wg_balance* b, const wg_balance_target* t, wg_time now,
-                                const wg_need* need, const wg_balance_homes* homes,
+                                const wg_need* request, const wg_balance_homes* homes,
                                 wg_candidate* best) {
     WG_ASSERT(t != NULL);
-    wg_choice c = wg_balance_estimate(b, t, now, need, homes);
-    int64_t cost = c.wait + (int64_t)wg_balance_penalty_time(t, homes, &c, need);
+    wg_choice c = wg_balance_estimate(b, t, now, request, homes);
+    int64_t cost = c.wait + (int64_t)wg_balance_penalty_time(t, homes, &c, request);
     if (now < t->ejected_until) {
         cost += WG_EJECTION_MAX; /* last resort */
     }
-    if (need->limit && c.wait > need->limit) {
+    if (request->limit && c.wait > request->limit) {
         cost += WG_OVER_LIMIT_PENALTY;
     }
     if (best->choice.target == 0 || cost < best->cost) {
@@ -348,7 +348,7 @@
 /* Considers a few targets at random beside the homes. If many hosts all picked the least loaded
    target of the same outdated report, they would overload it at once. */
 static void wg_balance_sample(wg_balance* b, const wg_balance_service* service, wg_time now,
-                              const wg_need* need, const wg_balance_homes* homes,
+                              const wg_need* request, const wg_balance_homes* homes,
                               wg_candidate* best) {
     int left = MAX(WG_SAMPLED_MIN, service->ready * WG_SAMPLED_HOSTS / b->hosts);
     g_ptr_array_set_size(b->unsampled, 0);
@@ -357,37 +357,37 @@
         guint at = (guint)(wg_jitter(b->desc.seed, ++b->counter) % b->unsampled->len);
         const wg_balance_target* t = b->unsampled->pdata[at];
         g_ptr_array_remove_index_fast(b->unsampled, at);
-        if (wg_balance_accepts(t, now, need) && !wg_balance_is_full(t, need)) {
-            wg_balance_consider(b, t, now, need, homes, best);
+        if (wg_balance_accepts(t, now, request) && !wg_balance_is_full(t, request)) {
+            wg_balance_consider(b, t, now, request, homes, best);
             left--;
         }
     }
 }
 
-wg_choice wg_balance_choose(wg_balance* b, wg_time now, const wg_need* need) {
-    const wg_prompt* prompt = need->prompt;
+wg_choice wg_balance_choose(wg_balance* b, wg_time now, const wg_need* request) {
+    const wg_prompt* prompt = request->prompt;
     uint64_t part = prompt && prompt->num > 1 ? prompt->parts[prompt->num - 2] : 0;
-    wg_balance_service* service = g_hash_table_lookup(b->services, need->service);
+    wg_balance_service* service = g_hash_table_lookup(b->services, request->service);
     wg_candidate best = {0};
     if (!service) {
         return best.choice;
     }
-    wg_balance_homes homes = wg_balance_find_homes(service, now, need, part);
+    wg_balance_homes homes = wg_balance_find_homes(service, now, request, part);
     bool has_third = homes.local && homes.local != homes.first && homes.local != homes.second;
     if (has_third) {
         double recompute_penalty = WG_RECOMPUTE_PENALTY_FACTOR * (double)wg_prompt_shared(prompt);
         homes.local_penalty = (uint32_t)((1 - b->third_hit_rate) * recompute_penalty);
     }
-    if (homes.first && !wg_balance_is_full(homes.first, need)) {
-        wg_balance_consider(b, homes.first, now, need, &homes, &best);
+    if (homes.first && !wg_balance_is_full(homes.first, request)) {
+        wg_balance_consider(b, homes.first, now, request, &homes, &best);
     }
-    if (homes.second && !wg_balance_is_full(homes.second, need)) {
-        wg_balance_consider(b, homes.second, now, need, &homes, &best);
+    if (homes.second && !wg_balance_is_full(homes.second, request)) {
+        wg_balance_consider(b, homes.second, now, request, &homes, &best);
     }
-    if (has_third && !wg_balance_is_full(homes.local, need)) {
-        wg_balance_consider(b, homes.local, now, need, &homes, &best);
+    if (has_third && !wg_balance_is_full(homes.local, request)) {
+        wg_balance_consider(b, homes.local, now, request, &homes, &best);
     }
-    wg_balance_sample(b, service, now, need, &homes, &best);
+    wg_balance_sample(b, service, now, request, &homes, &best);
     best.choice.prefix = part;
     best.choice.is_third_home = has_third && best.choice.target == homes.local->number;
     if (has_third && !best.choice.is_third_home) {
@@ -507,19 +507,19 @@
     return num;
 }
 
-wg_time wg_balance_backoff_ends_at(const wg_balance* b, wg_time now, const wg_need* need) {
-    const wg_balance_service* service = g_hash_table_lookup(b->services, need->service);
-    wg_time back_at = WG_TIME_NEVER;
+wg_time wg_balance_backoff_ends_at(const wg_balance* b, wg_time now, const wg_need* request) {
+    const wg_balance_service* service = g_hash_table_lookup(b->services, request->service);
+    wg_time backoff_end = WG_TIME_NEVER;
     for (guint i = 0; service && b->desc.backoff && i < service->targets->len; i++) {
         const wg_balance_target* t = service->targets->pdata[i];
-        if (!wg_balance_is_eligible(t, need)) {
+        if (!wg_balance_is_eligible(t, request)) {
             continue;
         }
-        wg_time free_at = wg_backoff_ends_at(b->desc.backoff, now, t->key);
-        back_at = MIN(back_at, free_at);
-        if (free_at == 0) {
+        wg_time ends_at = wg_backoff_ends_at(b->desc.backoff, now, t->key);
+        backoff_end = MIN(backoff_end, ends_at);
+        if (ends_at == 0) {
             return 0;
         }
     }
-    return back_at == WG_TIME_NEVER ? 0 : back_at;
+    return backoff_end == WG_TIME_NEVER ? 0 : backoff_end;
 }
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -34,7 +34,7 @@
         1. wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = dc, .seed = s});
         2. wg_balance_sync(b, now, registry);            // after each change of the registry
         3. wg_balance_set_others_load(b, number, unread, running);
-        4. wg_choice c = wg_balance_choose(b, now, &need);
+        4. wg_choice c = wg_balance_choose(b, now, &request);
         5. wg_balance_begin(b, now, &c);                 // the request is sent
            wg_balance_first_event(b, now, &c);
            wg_balance_end(b, now, &c, result);
@@ -145,7 +145,7 @@
    one. */
 void wg_balance_update_load(wg_balance* balance, wg_time now, uint32_t target, uint32_t unread,
                             uint32_t running);
-wg_choice wg_balance_choose(wg_balance* balance, wg_time now, const wg_need* need);
+wg_choice wg_balance_choose(wg_balance* balance, wg_time now, const wg_need* request);
 /* Records that the prompt was sent to the target: its shared parts count as cached there for
    WG_CACHED_TIME. */
 void wg_balance_record_prompt(wg_balance* balance, wg_time now, uint32_t target,
@@ -163,4 +163,4 @@
 int wg_balance_loads(const wg_balance* balance, wg_balance_load* loads, int max);
 /* Returns the earliest end of a backoff period if all eligible targets are in backoff; 0 if one
    target is not, or if there are no eligible targets. */
-wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now, const wg_need* need);
+wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now, const wg_need* request);
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -14,23 +14,23 @@
     return wg_hash(&part, sizeof part, t->id_hash);
 }
 
-static bool wg_need_tried(const wg_need* need, uint32_t number) {
-    for (int i = 0; i < need->tried_num; i++) {
-        if (need->tried[i] == number) {
+static bool wg_balance_is_tried(const wg_need* request, uint32_t number) {
+    for (int i = 0; i < request->tried_num; i++) {
+        if (request->tried[i] == number) {
             return true;
         }
     }
     return false;
 }
 
-bool wg_balance_is_eligible(const wg_balance_target* t, const wg_need* need) {
-    return t->ready && !t->replaced && !wg_need_tried(need, t->number);
+bool wg_balance_is_eligible(const wg_balance_target* t, const wg_need* request) {
+    return t->ready && !t->replaced && !wg_balance_is_tried(request, t->number);
 }
 
 /* Checks the backoff too: a target that refuses everything has nothing in progress, would look idle
    and attract every request. */
-bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* need) {
-    return wg_balance_is_eligible(t, need) &&
+bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* request) {
+    return wg_balance_is_eligible(t, request) &&
            (!t->backoff || wg_backoff_ends_at(t->backoff, now, t->key) == 0);
 }
 
@@ -78,19 +78,19 @@
 }
 
 /* True if sending the request to a remote data centre costs more than copying shared parts. */
-static bool wg_need_prefers_local_home(const wg_need* need) {
-    const wg_prompt* prompt = need->prompt;
-    if (!need->copies || !prompt || prompt->num < 2) {
+static bool wg_balance_prefers_local_home(const wg_need* request) {
+    const wg_prompt* prompt = request->prompt;
+    if (!request->copies || !prompt || prompt->num < 2) {
         return false;
     }
-    return wg_prompt_shared(prompt) * WG_COPIED_TOKEN_BYTES <= need->bytes;
+    return wg_prompt_shared(prompt) * WG_COPIED_TOKEN_BYTES <= request->bytes;
 }
 
 static const wg_balance_target* wg_balance_find_local(const wg_balance_ranking* ranking,
-                                                      wg_time now, const wg_need* need) {
+                                                      wg_time now, const wg_need* request) {
     for (int i = 0; i < WG_RANKED_MAX && ranking->local[i]; i++) {
         const wg_balance_target* t = ranking->local[i];
-        if (wg_balance_accepts(t, now, need) && now >= t->ejected_until) {
+        if (wg_balance_accepts(t, now, request) && now >= t->ejected_until) {
             return t;
         }
     }
@@ -98,12 +98,12 @@
 }
 
 wg_balance_homes wg_balance_find_homes(wg_balance_service* service, wg_time now,
-                                       const wg_need* need, uint64_t part) {
+                                       const wg_need* request, uint64_t part) {
     wg_balance_homes homes = {0};
     const wg_balance_ranking* ranking = part ? wg_balance_ranking_of(service, part) : NULL;
     for (int i = 0; ranking && i < WG_RANKED_MAX && ranking->best[i] && !homes.second; i++) {
         const wg_balance_target* t = ranking->best[i];
-        bool accepts = wg_balance_accepts(t, now, need) && now >= t->ejected_until;
+        bool accepts = wg_balance_accepts(t, now, request) && now >= t->ejected_until;
         if (accepts && !homes.first) {
             homes.first = t;
         } else if (accepts) {
@@ -112,8 +112,8 @@
             homes.draining_home = t; /* it was the first home before it drained */
         }
     }
-    if (ranking && wg_need_prefers_local_home(need)) {
-        homes.local = wg_balance_find_local(ranking, now, need);
+    if (ranking && wg_balance_prefers_local_home(request)) {
+        homes.local = wg_balance_find_local(ranking, now, request);
     }
     return homes;
 }
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -142,7 +142,7 @@
                                               uint64_t ticket) {
     const wg_prompt* prompt = &call->prompt;
     const wg_service* service = &call->config->services[call->service];
-    const wg_need* need = &call->need;
+    const wg_need* selection = &call->selection;
     wg_admit_request r = {.ticket = ticket,
                           .target = call->proposed.target,
                           .tokens = prompt->tokens,
@@ -151,8 +151,8 @@
                           .memory = service->memory_tokens,
                           .limits = *limits};
     const wg_target* target = wg_registry_find(call->entry->registry, r.target);
-    uint32_t slots = target && target->slots ? target->slots : (uint32_t)MAX(need->slots, 0);
-    double share = need->slots_share > 0 ? need->slots_share : 1;
+    uint32_t slots = target && target->slots ? target->slots : (uint32_t)MAX(selection->slots, 0);
+    double share = selection->slots_share > 0 ? selection->slots_share : 1;
     r.running_most = slots ? MAX((uint32_t)(slots * share), 1) : 0;
     r.parts_num = CLAMP(prompt->num - 1, 0, WG_ADMIT_PARTS_MAX);
     r.rate_max = wg_entry_cold_rate(call->entry, r.target);
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -88,13 +88,13 @@
 double wg_call_retry_after(const wg_call* call) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
-    wg_need again = call->need;
+    wg_need again = call->selection;
     again.tried_num = 0;
-    wg_time back_at = wg_balance_backoff_ends_at(e->balance, now, &again);
+    wg_time backoff_end = wg_balance_backoff_ends_at(e->balance, now, &again);
     wg_time left = (call->deadline == WG_TIME_NEVER ? call->expires_at : call->deadline) - now;
-    wg_time after = back_at
-                        ? wg_policy_retry_after_backoff(e->seed, ++e->counter, back_at - now, left)
-                        : wg_policy_retry_after(e->seed, ++e->counter);
+    wg_time after =
+        backoff_end ? wg_policy_retry_after_backoff(e->seed, ++e->counter, backoff_end - now, left)
+                    : wg_policy_retry_after(e->seed, ++e->counter);
     return (double)after / WG_USEC_PER_SEC;
 }
 
@@ -102,8 +102,8 @@
    be queued. */
 static void wg_call_enqueue(wg_call* call, wg_time now) {
     wg_time wait_until = call->started + wg_policy_queue_time_max(call->route->objective);
-    wg_time back_at = wg_balance_backoff_ends_at(call->entry->balance, now, &call->need);
-    if (back_at > wait_until) {
+    wg_time backoff_end = wg_balance_backoff_ends_at(call->entry->balance, now, &call->selection);
+    if (backoff_end > wait_until) {
         call->entry->counters.backoff_refusals++;
         wg_call_refuse(call, call->may_have_run ? 502 : 503, "targets_rest",
                        wg_call_retry_after(call));
@@ -138,8 +138,8 @@
     }
     call->attempts++;
     call->sent_at = now;
-    if (call->need.tried_num < WG_TRIED_MAX) {
-        call->need.tried[call->need.tried_num++] = target->number;
+    if (call->selection.tried_num < WG_TRIED_MAX) {
+        call->selection.tried[call->selection.tried_num++] = target->number;
     }
     wg_balance_begin(e->balance, now, &call->choice);
     if (call->has_prompt) {
@@ -155,11 +155,11 @@
     wg_upstream_send(up, call);
 }
 
-/* Excludes the proposed target for the rest of this selection. */
+/* Excludes the proposed target for the remainder of this selection. */
 static void wg_call_exclude_proposed(wg_call* call) {
-    wg_need* need = &call->need;
-    if (need->denied_num < WG_DENIED_MAX) {
-        need->denied[need->denied_num++] = call->proposed.target;
+    wg_need* selection = &call->selection;
+    if (selection->denied_num < WG_DENIED_MAX) {
+        selection->denied[selection->denied_num++] = call->proposed.target;
     }
 }
 
@@ -201,17 +201,17 @@
 /* Selects another target after a denial. A workspace above its fair share may only use one that can
    copy at least half of the shared prompt tokens instead of computing them again. */
 static void wg_call_handle_denial(wg_call* call, const wg_admit_answer* answer, wg_time now) {
-    wg_need* need = &call->need;
+    wg_need* selection = &call->selection;
     call->entry->counters.cold_denials +=
         wg_entry_cold_rate(call->entry, call->proposed.target) > 0;
-    if (answer->held > need->source_tokens) {
-        need->source = call->proposed.target;
-        need->source_tokens = answer->held;
+    if (answer->held > selection->source_tokens) {
+        selection->source = call->proposed.target;
+        selection->source_tokens = answer->held;
     }
     wg_call_exclude_proposed(call);
     wg_policy_terms terms = wg_call_terms(call);
     if (!wg_policy_may_spill_over(&terms) &&
-        need->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
+        selection->source_tokens < wg_prompt_shared(&call->prompt) / 2) {
         wg_call_enqueue(call, now);
         return;
     }
@@ -253,15 +253,15 @@
 
 /* Skips targets that were recently reported as too busy to meet the limits. */
 static wg_choice wg_call_next_choice(wg_call* call, wg_time now) {
-    wg_need* need = &call->need;
-    while (need->denied_num < WG_CANDIDATES_MAX) {
-        wg_choice choice = wg_balance_choose(call->entry->balance, now, need);
+    wg_need* selection = &call->selection;
+    while (selection->denied_num < WG_CANDIDATES_MAX) {
+        wg_choice choice = wg_balance_choose(call->entry->balance, now, selection);
         if (!choice.target || !choice.is_fresh || call->attempts > 0 ||
             wg_call_fits(call, &choice, now)) {
             return choice;
         }
         call->expected = choice.wait;
-        need->denied[need->denied_num++] = choice.target;
+        selection->denied[selection->denied_num++] = choice.target;
     }
     return (wg_choice){0};
 }
@@ -270,7 +270,7 @@
 static void wg_call_relax(wg_call* call, wg_time now) {
     call->relaxed = true;
     call->admit_requests = 0;
-    call->need.denied_num = 0;
+    call->selection.denied_num = 0;
     wg_call_choose(call, now);
 }
 
@@ -313,16 +313,16 @@
     call->next_try_at = now + wg_policy_try_gap(&terms);
     call->limit = wg_policy_limit(&terms, now);
     if (!call->has_prompt) {
-        call->need.limit = wg_policy_plain_limit(&terms, now);
+        call->selection.limit = wg_policy_plain_limit(&terms, now);
     } else {
-        call->need.limit = wg_policy_may_spill_over(&terms) ? call->limit : WG_TIME_NEVER;
+        call->selection.limit = wg_policy_may_spill_over(&terms) ? call->limit : WG_TIME_NEVER;
     }
-    call->need.slots_share = wg_policy_slots_share(&terms);
+    call->selection.slots_share = wg_policy_slots_share(&terms);
     call->admit_requests = 0;
     call->relaxed = false;
-    call->need.denied_num = 0;
-    call->need.source = 0;
-    call->need.source_tokens = 0;
+    call->selection.denied_num = 0;
+    call->selection.source = 0;
+    call->selection.source_tokens = 0;
     wg_call_choose(call, now);
 }
 
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -36,7 +36,8 @@
            " state_age_ms=%" G_GINT64_FORMAT,
            call->id, end->status, wg_verdict_name(end->verdict), end->reason, call->route->name,
            call->config->version, call->workspace ? call->workspace->name : "-",
-           call->need.tried_num ? call->need.tried[call->need.tried_num - 1] : 0, call->attempts,
+           call->selection.tried_num ? call->selection.tried[call->selection.tried_num - 1] : 0,
+           call->attempts,
            call->first_event_at ? (call->first_event_at - call->started) / WG_USEC_PER_MSEC : -1,
            (now - call->started) / WG_USEC_PER_MSEC, call->events,
            call->has_prompt ? wg_call_tokens(call) : 0, call->expected / WG_USEC_PER_MSEC,
@@ -545,12 +546,12 @@
     call->has_prompt =
         service->engine && parts.text &&
         wg_parse_prompt(parts, wg_message_field(&head, e->names->prompt_tokens), &call->prompt);
-    call->need = (wg_need){.service = service->name,
-                           .prompt = call->has_prompt ? &call->prompt : NULL,
-                           .copies = service->copies,
-                           .bytes = (uint32_t)evbuffer_get_length(body) +
-                                    WG_ANSWER_TOKEN_BYTES * call->prompt.answer,
-                           .slots = service->slots};
+    call->selection = (wg_need){.service = service->name,
+                                .prompt = call->has_prompt ? &call->prompt : NULL,
+                                .copies = service->copies,
+                                .bytes = (uint32_t)evbuffer_get_length(body) +
+                                         WG_ANSWER_TOKEN_BYTES * call->prompt.answer,
+                                .slots = service->slots};
     wg_call_read_times(call);
     if (wg_call_is_charged(call)) {
         wg_usage_record_demand(e->usage, call->workspace->hash, wg_call_tokens(call));
--- a/lib/router/wg_router_call.c
+++ b/lib/router/wg_router_call.c
@@ -312,7 +312,7 @@
     } else if (call->request && action->type == WGC_ACTION_ABORT) {
         _wgro_abort_answer(call, action);
     } else if (action->type == WGC_ACTION_CANCEL) {
-        r->counters.callers_left++;
+        r->counters.caller_disconnects++;
         wg_log(WG_EVENT_CALLER_LEFT, "%s", "");
     }
     _wgro_abort_attempt(call);
--- a/lib/router/wg_router_internal.h
+++ b/lib/router/wg_router_internal.h
@@ -109,7 +109,7 @@
     uint64_t answers_aborted;
     uint64_t retries;
     uint64_t resumes;
-    uint64_t callers_left;
+    uint64_t caller_disconnects;
     uint64_t unknown_keys;
     uint64_t lease_refusals;
     uint64_t reports;
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_pages.c
@@ -65,7 +65,7 @@
                   "whole", (json_int_t)c->complete, "refused", (json_int_t)c->refused, "failed",
                   (json_int_t)c->failed, "cut", (json_int_t)c->answers_aborted, "retries",
                   (json_int_t)c->retries, "resumes", (json_int_t)c->resumes, "callers_left",
-                  (json_int_t)c->callers_left, "at_work", r->calls_pool.used));
+                  (json_int_t)c->caller_disconnects, "at_work", r->calls_pool.used));
     json_object_set_new(json, "services", _wgro_dump_services(r));
     json_object_set_new(json, "targets", _wgro_dump_targets(r));
     return json;
@@ -86,7 +86,7 @@
                     {"walnutgate_cut_total", c->answers_aborted},
                     {"walnutgate_retries_total", c->retries},
                     {"walnutgate_resumes_total", c->resumes},
-                    {"walnutgate_callers_left_total", c->callers_left},
+                    {"walnutgate_callers_left_total", c->caller_disconnects},
                     {"walnutgate_target_rests_total", c->backoffs},
                     {"walnutgate_lease_refusals_total", c->lease_refusals},
                     {"walnutgate_reports_total", c->reports},
