--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -12,46 +12,53 @@
     WGI_TEXT(wg_entry_settings, kind, group, field, def, help)
 
 const wgi_key wg_entry_keys[] = {
-    WG_TEXT(TEXT, "entry", name, NULL, "name of this entry host, one in the fleet"),
-    WG_TEXT(TEXT, "entry", data_centre, "", "data centre it stands in"),
-    WG_TEXT(ADDRESS, "entry", callers_listen, NULL, "where callers connect"),
-    WG_TEXT(ADDRESS, "entry", ready_listen, NULL, "where it says whether it is ready, and metrics"),
-    WG_TEXT(ADDRESS, "entry", entry_listen, NULL, "where callers ask which entry hosts to use"),
-    WG_TEXT(ADDRESS, "entry", orders_listen, NULL, "where operators and targets send their orders"),
-    WG_TEXT(LIST, "entry", seeds, NULL, "ip:port of some controls; only the ip counts"),
+    WG_TEXT(TEXT, "entry", name, NULL, "name of this entry host, unique in the fleet"),
+    WG_TEXT(TEXT, "entry", data_centre, "", "data centre of this entry host"),
+    WG_TEXT(ADDRESS, "entry", callers_listen, NULL, "address that callers connect to"),
+    WG_TEXT(ADDRESS, "entry", ready_listen, NULL, "address for readiness checks and metrics"),
+    WG_TEXT(ADDRESS, "entry", entry_listen, NULL,
+            "address at which callers request the list of entry hosts"),
+    WG_TEXT(ADDRESS, "entry", orders_listen, NULL,
+            "address that operators and targets send orders to"),
+    WG_TEXT(LIST, "entry", seeds, NULL, "ip:port of some controls; the port is ignored"),
     WG_NUMBER("entry", fleet_port, "7100", 1, 65535, "", "port of fleet_listen on all controls"),
-    WG_TEXT(
-        ADDRESS, "entry", fleet_listen, NULL,
-        "where other fleet processes ask for controls; the port is the same on all entry hosts"),
+    WG_TEXT(ADDRESS, "entry", fleet_listen, NULL,
+            "address that other fleet processes connect to; the port must be the same on all entry "
+            "hosts"),
     WG_TEXT(SECRET, "keys", fleet_key, NULL, "file with the key that all fleet processes share"),
     WG_TEXT(TEXT, "log", log_level, "info", "debug, info, warn or error"),
     WG_TEXT(TEXT, "log", log_target, "stderr", "stderr, stdout or a file"),
-    WG_NUMBER("timing", entry_keep_s, "1", 1, 3600, "s", "how long callers keep an entry answer"),
+    WG_NUMBER("timing", entry_keep_s, "1", 1, 3600, "s",
+              "how long callers may cache an answer about entry hosts"),
     WG_NUMBER("timing", grace_s, "8", 1, 3600, "s",
-              "longest planned stop: what still runs shortly before is cut off"),
+              "longest planned stop; requests still running shortly before its end are aborted"),
     WG_NUMBER("timing", link_silence_ms, "1200", 300, 60000, "ms",
-              "silence after which the link to a control is closed"),
+              "time without contact after which the link to a control is closed"),
     WG_NUMBER("timing", order_ms, "900", 50, 60000, "ms",
-              "wait for the leader's answer to an order"),
+              "longest wait for the leader's answer to an order"),
     /* Covers an election and the time until a new leader has updated all hosts. */
-    WG_NUMBER("timing", cold_settle_ms, "3000", 0, 60000, "ms",
-              "after the start, before cold targets are sent anything or granted to others"),
+    WG_NUMBER(
+        "timing", cold_settle_ms, "3000", 0, 60000, "ms",
+        "time after the start during which this host neither sends requests to cold targets nor "
+        "grants them to others"),
     /* Longer than the fleet needs to recover from a fault by itself. */
     WG_NUMBER("timing", standby_ms, "15000", 0, 3600000, "ms",
-              "wait for a leader before a host serves by what a replica without one holds; 0: it "
-              "never does"),
+              "wait for a leader before this host uses the state of a replica that has no leader "
+              "either; 0: never"),
     WG_NUMBER("retry", retry_percent, "20", 0, 100, "%",
-              "of first sends that the fleet may send again"),
-    WG_NUMBER("retry", retry_slack, "20", 0, 1000000, "sends", "beyond, of the fleet in a window"),
+              "retries of the whole fleet, relative to first sends"),
+    WG_NUMBER("retry", retry_slack, "20", 0, 1000000, "sends",
+              "additional retries of the whole fleet per window"),
     WG_NUMBER("retry", retry_window_ms, "10000", 100, 600000, "ms", "window of the retry budget"),
-    WG_NUMBER("limits", callers_max, "3000", 1, 1000000, "",
-              "connections of callers at once; the longest idle one gives way to a new one"),
+    WG_NUMBER(
+        "limits", callers_max, "3000", 1, 1000000, "",
+        "maximum number of callers' connections; the longest idle one is closed for a new one"),
     WG_NUMBER("limits", target_rest_max_s, "3600", 1, 86400, "s",
-              "longest rest that a target may ask for by Retry-After; a longer one counts as this"),
+              "longest backoff that a target may request by Retry-After; longer ones are clamped"),
     WG_NUMBER("limits", descriptors, "0", 0, 1000000, "",
-              "that the process may have open; bounds callers_max; 0: not told"),
+              "descriptor limit of the process; bounds callers_max; 0: unknown"),
     WG_NUMBER("limits", memory_mb, "0", 0, 1000000, "MB",
-              "that the process may take; bounds what waits on links; 0: not told"),
+              "memory limit of the process; bounds data queued on links; 0: unknown"),
 };
 const int wg_entry_keys_num = G_N_ELEMENTS(wg_entry_keys);
 
--- a/lib/place/wg_place.c
+++ b/lib/place/wg_place.c
@@ -254,7 +254,7 @@
         {"wgp_desc.prefixes_max", desc->prefixes_max, 0},
         {"wgp_desc.ejection_min", desc->ejection_min, 0},
         {"wgp_desc.ejection_max", desc->ejection_max, 0},
-        {"wgp_desc.rest_max", desc->backoff_max, 0},
+        {"wgp_desc.backoff_max", desc->backoff_max, 0},
         {"wgp_desc.failures", desc->failures, 0},
         {"wgp_desc.reserve", desc->reserve, 0},
     };
