--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -62,19 +62,19 @@
 };
 const int wg_entry_keys_num = G_N_ELEMENTS(wg_entry_keys);
 
-static const wg_entry_names wg_own_names = {.request_id = "Walnutgate-Request",
-                                            .key = "Walnutgate-Key",
-                                            .deadline = "Walnutgate-Deadline-Ms",
-                                            .prompt_parts = "Walnutgate-Prompt-Parts",
-                                            .prompt_tokens = "Walnutgate-Prompt-Tokens",
-                                            .last_event = "Last-Event-ID",
-                                            .workspace = "Walnutgate-Workspace",
-                                            .expected_target = "Walnutgate-Expect-Target",
-                                            .copy_from = "Walnutgate-Copy-From",
-                                            .not_run = "Target-Not-Run",
-                                            .draining = "Target-Leaving",
-                                            .cache_list = "/v1/cache",
-                                            .query_data_centre = "data_centre"};
+static const wg_entry_names wg_default_names = {.request_id = "Walnutgate-Request",
+                                                .key = "Walnutgate-Key",
+                                                .deadline = "Walnutgate-Deadline-Ms",
+                                                .prompt_parts = "Walnutgate-Prompt-Parts",
+                                                .prompt_tokens = "Walnutgate-Prompt-Tokens",
+                                                .last_event = "Last-Event-ID",
+                                                .workspace = "Walnutgate-Workspace",
+                                                .expected_target = "Walnutgate-Expect-Target",
+                                                .copy_from = "Walnutgate-Copy-From",
+                                                .not_run = "Target-Not-Run",
+                                                .draining = "Target-Leaving",
+                                                .cache_list = "/v1/cache",
+                                                .query_data_centre = "data_centre"};
 
 enum {
     WG_TICK = 50 * WG_USEC_PER_MSEC,
@@ -213,7 +213,7 @@
     wg_entry* e = g_new0(wg_entry, 1);
     e->settings = desc->settings;
     e->base = desc->base;
-    e->names = desc->names ? desc->names : &wg_own_names;
+    e->names = desc->names ? desc->names : &wg_default_names;
     e->seed = wg_entry_random();
     e->fingerprint_seed = wg_fingerprint_seed(e->settings->fleet_key);
     e->started_at = wg_now();
--- a/lib/registry/wg_registry.h
+++ b/lib/registry/wg_registry.h
@@ -50,7 +50,7 @@
     WG_TARGET_DEFAULT = 0,
     WG_TARGET_READY,
     WG_TARGET_DRAINING,
-    /* unresponsive: no recent heartbeat; a newer heartbeat makes it ready again */
+    /* no recent heartbeat; a newer one ends this state */
     WG_TARGET_UNRESPONSIVE,
     WG_TARGET_REMOVED
 } wg_target_state;
