--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -17,7 +17,8 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* A call may be stopped until its target starts to answer. */
+/* A call may be stopped until its target starts to answer: a target drops a request that is still
+   in its queue when the connection closes. */
 static bool _wg_call_may_stop(const wg_call* call) {
     return !call->upstream || call->upstream->state == WG_UPSTREAM_CONNECTING ||
            call->upstream->state == WG_UPSTREAM_HEAD;
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -31,7 +31,7 @@
 #include "walnutgate.pb-c.h"
 
 enum {
-    WG_QUARANTINE_MAX_DEFAULT = 256,
+    WG_QUARANTINE_MAX_DEFAULT = 256, /* bounds the list that copies receive */
     /* An eighth of the entries, so that one workspace cannot fill the quarantine. */
     WG_QUARANTINE_PER_WORKSPACE_DEFAULT = 32,
     /* Upper limit of the duration in a message, one week. Seconds. */
--- a/lib/router/wg_router_attempt.c
+++ b/lib/router/wg_router_attempt.c
@@ -245,6 +245,7 @@
             return result == WGX_SSE_INCOMPLETE;
         }
         bool token = event.data && !event.done;
+        /* An event with data but without an id counts as the next token. */
         int64_t id = event.id >= 0 ? event.id : call->tokens + 1;
         bool repeated = token && id <= call->tokens;
         bool gap = token && id > call->tokens + 1;
