--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -1,15 +1,16 @@
 /* wg_entry_admit.c -- coordinators of targets: selection, admission requests and answers
 
-   All entry hosts select the same few of them as coordinators and assign each target to one by
-   rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet (lib/admit).
-   Its answers are advisory: without one in time, the host with the request decides alone. */
+   All entry hosts select the same few hosts as coordinators and assign each target to one of these
+   by rendezvous hashing. A coordinator admits prompts to its targets for the whole fleet
+   (lib/admit). Its answers are advisory: without one in time, the host with the request decides
+   alone. */
 #include "wg_entry_internal.h"
 
 #include <string.h>
 
 enum {
     WG_ADMIT_TIMEOUT = 30 * WG_USEC_PER_MSEC, /* wait for a coordinator's answer */
-    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive timeouts until it counts as unresponsive */
+    WG_ADMIT_TIMEOUTS_MAX = 2, /* consecutive, until a coordinator counts as unresponsive */
     WG_COORDINATOR_UNRESPONSIVE_TIME = 500 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_DIAL_INTERVAL = 60 * WG_USEC_PER_MSEC,
     WG_COORDINATOR_PING = 2 * WG_USEC_PER_SEC,
@@ -141,7 +142,7 @@
                                               uint64_t ticket) {
     const wg_prompt* prompt = &call->prompt;
     const wg_service* service = &call->config->services[call->service];
-    const wg_need* need = &call->need;
+    const wg_need* selection = &call->selection;
     wg_admit_request r = {.ticket = ticket,
                           .target = call->proposed.target,
                           .tokens = prompt->tokens,
@@ -150,8 +151,8 @@
                           .memory = service->memory_tokens,
                           .limits = *limits};
     const wg_target* target = wg_registry_find(call->entry->registry, r.target);
-    uint32_t slots = target && target->slots ? target->slots : (uint32_t)MAX(need->slots, 0);
-    double share = need->slots_share > 0 ? need->slots_share : 1;
+    uint32_t slots = target && target->slots ? target->slots : (uint32_t)MAX(selection->slots, 0);
+    double share = selection->slots_share > 0 ? selection->slots_share : 1;
     r.running_most = slots ? MAX((uint32_t)(slots * share), 1) : 0;
     r.parts_num = CLAMP(prompt->num - 1, 0, WG_ADMIT_PARTS_MAX);
     r.rate_max = wg_entry_cold_rate(call->entry, r.target);
--- a/lib/entry/wg_entry_quarantine.c
+++ b/lib/entry/wg_entry_quarantine.c
@@ -7,7 +7,7 @@
 
 enum {
     WG_CRASHES_REPORTED_MAX = 256, /* per report; the remainder follows in the next one */
-    WG_COMPLETIONS_MAX = 256,      /* maximum length of the quarantine list */
+    WG_COMPLETIONS_MAX = 256,      /* between two reports; as many as a quarantine list may have */
     WG_SUSPECTS_INTERVAL = WG_USEC_PER_SEC
 };
 
@@ -17,7 +17,8 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-/* A call may be stopped until its target starts to answer. */
+/* A call may be stopped until its target starts to answer: a target drops a request that is still
+   in its queue when the connection closes. */
 static bool _wg_call_may_stop(const wg_call* call) {
     return !call->upstream || call->upstream->state == WG_UPSTREAM_CONNECTING ||
            call->upstream->state == WG_UPSTREAM_HEAD;
--- a/lib/fair/wg_fair.c
+++ b/lib/fair/wg_fair.c
@@ -25,12 +25,12 @@
     return first < second ? -1 : first > second;
 }
 
-double wg_fair_level(const double* asked, int num, double served) {
+double wg_fair_level(const double* demand, int num, double served) {
     if (num == 0) {
         return 0;
     }
     double* sorted = g_new(double, num);
-    memcpy(sorted, asked, sizeof *sorted * (size_t)num);
+    memcpy(sorted, demand, sizeof *sorted * (size_t)num);
     qsort(sorted, (size_t)num, sizeof *sorted, wg_fair_compare);
     double left = served;
     double level = sorted[num - 1];
@@ -97,7 +97,7 @@
 
 /* ---- margin --------------------------------------------------------------------------------- */
 
-/* The margin settles where about one first event in eleven is late. */
+/* Near 1, the margin is stable while about one first event in eleven is late. */
 static const double WG_MARGIN_LOSS = 0.06; /* fraction lost per late event */
 static const double WG_MARGIN_GAIN = 0.006;
 static const double WG_MARGIN_MIN = 0.12;
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -9,7 +9,7 @@
     /* Callers honour a Retry-After of up to their remaining time divided by this. */
     _WG_POLICY_HONOURED_DIVISOR = 3,
     _WG_POLICY_ADMISSIONS_MAX = 3,
-    _WG_POLICY_ADMISSIONS_MAX_LIMITED = 2 /* used when the wait tolerance is below 1 */
+    _WG_POLICY_ADMISSIONS_MAX_LIMITED = 2 /* for a wait tolerance below 1 */
 };
 
 /* Fraction of the objective that the expected first event may take. */
@@ -55,7 +55,7 @@
 }
 
 wg_time wg_policy_plain_limit(const wg_policy_terms* t, wg_time now) {
-    /* A late answer is still useful. */
+    /* At least half of the objective, since a late answer is still useful. */
     wg_time left = MAX(t->started + t->objective - now, t->objective / 2);
     return (wg_time)(_WG_POLICY_PLAIN_LIMIT * (double)left);
 }
@@ -105,9 +105,10 @@
 /* Callers that return before the end of the backoff period would be refused again. All of them
    wait for the same moment, so each gets a random offset, limited so that the caller can still be
    served. */
-wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time rest, wg_time left) {
+wg_time wg_policy_retry_after_backoff(uint64_t seed, uint64_t counter, wg_time backoff_time,
+                                      wg_time left) {
     wg_time max_wait = MAX(left, 0) / _WG_POLICY_HONOURED_DIVISOR;
     wg_time jitter = wg_policy_retry_after(seed, counter);
     wg_time spread = wg_jitter_range(seed, counter, max_wait * 4 / 5, max_wait);
-    return rest + jitter <= max_wait ? rest + jitter : spread;
+    return backoff_time + jitter <= max_wait ? backoff_time + jitter : spread;
 }
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -31,7 +31,7 @@
 #include "walnutgate.pb-c.h"
 
 enum {
-    WG_QUARANTINE_MAX_DEFAULT = 256,
+    WG_QUARANTINE_MAX_DEFAULT = 256, /* bounds the list that copies receive */
     /* An eighth of the entries, so that one workspace cannot fill the quarantine. */
     WG_QUARANTINE_PER_WORKSPACE_DEFAULT = 32,
     /* Upper limit of the duration in a message, one week. Seconds. */
@@ -53,8 +53,7 @@
     int ends; /* number of targets that crashed while they had the request */
     wg_time until;
     bool ended_well; /* for use by the caller: a copy of the request ended well, not agreed yet */
-    wg_time
-        proposed_at; /* for use by the caller: when it last proposed the end of the quarantine */
+    wg_time proposed_at; /* for use by the caller: last proposal to end the quarantine */
 } wg_quarantined;
 
 typedef struct {
