--- a/bench/bench_balance.c
+++ b/bench/bench_balance.c
@@ -37,9 +37,9 @@
                             .num = 2,
                             .tokens = 12000,
                             .answer = 300};
-        wg_need need = {
+        wg_balance_request need = {
             .service = "an-engine-service", .prompt = &prompt, .slots = 16, .copies = true};
-        wg_choice choice = wg_balance_choose(b, i, &need);
+        wg_balance_choice choice = wg_balance_choose(b, i, &need);
         wg_balance_begin(b, i, &choice);
         wg_balance_end(b, i, &choice, WG_RESULT_SUCCESS);
     }
--- a/lib/admit/wg_admit.c
+++ b/lib/admit/wg_admit.c
@@ -173,7 +173,7 @@
     uint32_t tokens = answer.ahead + answer.unread + answer.running * WG_ADMIT_RUNNING_COST_TOKENS;
     answer.wait = WG_ADMIT_FIRST_EVENT_MIN + (wg_time)(tokens / account->speed);
     uint32_t before = answer.ahead;
-    if (request->limits.spares_shared) {
+    if (request->limits.counts_missing) {
         before += wg_admit_missing(request, available);
     }
     answer.wait_ahead = (wg_time)(before / account->speed);
@@ -301,7 +301,7 @@
 wg_admit_answer wg_admit_decide(wg_admit* a, wg_time now, const wg_admit_request* request) {
     wg_admit_account* account = wg_admit_account_of(a, now, request->target);
     wg_admit_answer answer = wg_admit_estimate(account, now, request);
-    bool full = request->running_most > 0 && answer.running >= request->running_most;
+    bool full = request->running_max > 0 && answer.running >= request->running_max;
     bool known = wg_admit_admission(a, request->holder, request->ticket) != NULL;
     bool ejected = wg_admit_is_ejected(a, account, now);
     bool cold = wg_admit_is_over_rate(account, now, request->rate_max);
--- a/lib/admit/wg_admit.h
+++ b/lib/admit/wg_admit.h
@@ -44,7 +44,7 @@
     wg_time ahead;
     /* replaces `ahead` when the request's own prompt alone takes longer than `total` */
     wg_time ahead_large;
-    bool spares_shared; /* shared parts that the target lacks count towards `ahead` */
+    bool counts_missing; /* shared parts that the target lacks count towards `ahead` */
 } wg_admit_limits;
 
 typedef struct {
@@ -59,7 +59,7 @@
     /* tokens at the start of the prompt that are copied from another target */
     uint32_t copied;
     /* requests that the target may have in progress before this one; 0: any */
-    uint32_t running_most;
+    uint32_t running_max;
     int64_t memory;  /* capacity of the target's cache in tokens; 0: not known */
     double rate_max; /* admissions per second, for a cold target; 0: any */
     wg_admit_limits limits;
--- a/lib/balance/wg_balance.c
+++ b/lib/balance/wg_balance.c
@@ -109,7 +109,7 @@
     return MIN(cached, prompt->tokens);
 }
 
-static bool wg_balance_is_denied(const wg_need* request, uint32_t number) {
+static bool wg_balance_is_denied(const wg_balance_request* request, uint32_t number) {
     for (int i = 0; i < request->denied_num; i++) {
         if (request->denied[i] == number) {
             return true;
@@ -135,13 +135,13 @@
     return homes->first ? homes->first->number : 0;
 }
 
-static wg_choice wg_balance_estimate_prompt(const wg_balance* b, const wg_balance_target* t,
-                                            wg_time now, const wg_need* request,
-                                            const wg_balance_homes* homes) {
+static wg_balance_choice wg_balance_estimate_prompt(const wg_balance* b, const wg_balance_target* t,
+                                                    wg_time now, const wg_balance_request* request,
+                                                    const wg_balance_homes* homes) {
     bool home = t == homes->first || t == homes->second || t == homes->local;
     uint32_t running = t->own_running + t->other_running;
     uint32_t cached = wg_balance_cached(b, t, now, request->prompt, home);
-    wg_choice c = {.target = t->number};
+    wg_balance_choice c = {.target = t->number};
     c.is_fresh = t->reported_at > 0 && now - t->reported_at < WG_FRESH_TIME;
     if (request->copies && request->source_tokens > cached && request->source != t->number) {
         c.source = request->source;
@@ -164,15 +164,16 @@
     return MAX((running + 1.0) / slots, 1.0);
 }
 
-static wg_choice wg_balance_estimate_plain(const wg_balance_target* t, uint32_t running) {
-    return (wg_choice){.target = t->number,
-                       .plain = true,
-                       .running = running,
-                       .wait = (wg_time)(t->service_time * wg_balance_rounds(t, running))};
+static wg_balance_choice wg_balance_estimate_plain(const wg_balance_target* t, uint32_t running) {
+    return (wg_balance_choice){.target = t->number,
+                               .plain = true,
+                               .running = running,
+                               .wait = (wg_time)(t->service_time * wg_balance_rounds(t, running))};
 }
 
-static wg_choice wg_balance_estimate(const wg_balance* b, const wg_balance_target* t, wg_time now,
-                                     const wg_need* request, const wg_balance_homes* homes) {
+static wg_balance_choice wg_balance_estimate(const wg_balance* b, const wg_balance_target* t,
+                                             wg_time now, const wg_balance_request* request,
+                                             const wg_balance_homes* homes) {
     if (request->prompt) {
         return wg_balance_estimate_prompt(b, t, now, request, homes);
     }
@@ -278,15 +279,15 @@
 /* True if the target is excluded from this selection, or the slots that the request may use are
    taken. Requests that other hosts are sending are not known yet, so `slots_share` keeps slots free
    for workspaces below their fair share. */
-static bool wg_balance_is_full(const wg_balance_target* t, const wg_need* request) {
+static bool wg_balance_is_full(const wg_balance_target* t, const wg_balance_request* request) {
     double slots = t->slots ? (double)t->slots : (double)request->slots;
     double share = request->slots_share > 0 ? request->slots_share : 1;
     if (wg_balance_is_denied(request, t->number)) {
         return true;
     }
     uint32_t running = t->own_running + t->other_running;
-    if (!request->prompt && request->limit > 0) {
-        bool in_time = wg_balance_estimate_plain(t, running).wait <= request->limit;
+    if (!request->prompt && request->wait_max > 0) {
+        bool in_time = wg_balance_estimate_plain(t, running).wait <= request->wait_max;
         return slots > 0 && running >= slots && !in_time;
     }
     return slots > 0 && running >= slots * share;
@@ -294,7 +295,8 @@
 
 /* Penalty of sending a prompt to the target, in tokens, in addition to the wait. */
 static uint32_t wg_balance_penalty_tokens(const wg_balance_target* t, const wg_balance_homes* homes,
-                                          const wg_choice* choice, const wg_need* request) {
+                                          const wg_balance_choice* choice,
+                                          const wg_balance_request* request) {
     uint32_t remote_penalty =
         homes->local ? WG_REMOTE_PENALTY_LOCAL_HOME_TOKENS : WG_REMOTE_PENALTY_TOKENS;
     uint32_t penalty = t->local ? 0 : remote_penalty;
@@ -315,7 +317,8 @@
 /* Penalty of sending any request to the target, in microseconds. Without a prompt, a remote data
    centre costs as much as one more queued request. */
 static double wg_balance_penalty_time(const wg_balance_target* t, const wg_balance_homes* homes,
-                                      const wg_choice* choice, const wg_need* request) {
+                                      const wg_balance_choice* choice,
+                                      const wg_balance_request* request) {
     if (request->prompt) {
         return wg_balance_penalty_tokens(t, homes, choice, request) / t->speed;
     }
@@ -324,20 +327,20 @@
 
 /* A choice and its cost in microseconds; lower is better. */
 typedef struct {
-    wg_choice choice;
+    wg_balance_choice choice;
     int64_t cost;
 } wg_candidate;
 
 static void wg_balance_consider(wg_balance* b, const wg_balance_target* t, wg_time now,
-                                const wg_need* request, const wg_balance_homes* homes,
+                                const wg_balance_request* request, const wg_balance_homes* homes,
                                 wg_candidate* best) {
     WG_ASSERT(t != NULL);
-    wg_choice c = wg_balance_estimate(b, t, now, request, homes);
+    wg_balance_choice c = wg_balance_estimate(b, t, now, request, homes);
     int64_t cost = c.wait + (int64_t)wg_balance_penalty_time(t, homes, &c, request);
     if (now < t->ejected_until) {
         cost += WG_EJECTION_MAX; /* last resort */
     }
-    if (request->limit && c.wait > request->limit) {
+    if (request->wait_max && c.wait > request->wait_max) {
         cost += WG_OVER_LIMIT_PENALTY;
     }
     if (best->choice.target == 0 || cost < best->cost) {
@@ -348,7 +351,7 @@
 /* Considers a few targets at random beside the homes. If many hosts all picked the least loaded
    target of the same outdated report, they would overload it at once. */
 static void wg_balance_sample(wg_balance* b, const wg_balance_service* service, wg_time now,
-                              const wg_need* request, const wg_balance_homes* homes,
+                              const wg_balance_request* request, const wg_balance_homes* homes,
                               wg_candidate* best) {
     int left = MAX(WG_SAMPLED_MIN, service->ready * WG_SAMPLED_HOSTS / b->hosts);
     g_ptr_array_set_size(b->unsampled, 0);
@@ -364,7 +367,7 @@
     }
 }
 
-wg_choice wg_balance_choose(wg_balance* b, wg_time now, const wg_need* request) {
+wg_balance_choice wg_balance_choose(wg_balance* b, wg_time now, const wg_balance_request* request) {
     const wg_prompt* prompt = request->prompt;
     uint64_t part = prompt && prompt->num > 1 ? prompt->parts[prompt->num - 2] : 0;
     wg_balance_service* service = g_hash_table_lookup(b->services, request->service);
@@ -400,7 +403,7 @@
     b->third_hit_rate += WG_THIRD_HIT_RATE_WEIGHT * ((held ? 1 : 0) - b->third_hit_rate);
 }
 
-void wg_balance_begin(wg_balance* b, wg_time now, wg_choice* choice) {
+void wg_balance_begin(wg_balance* b, wg_time now, wg_balance_choice* choice) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
     choice->started_at = now;
     if (t) {
@@ -409,7 +412,7 @@
     }
 }
 
-static void wg_balance_settle_unread(wg_balance_target* t, wg_choice* choice) {
+static void wg_balance_settle_unread(wg_balance_target* t, wg_balance_choice* choice) {
     WG_ASSERT(t->own_unread >= choice->unread);
     t->own_unread -= choice->unread;
     choice->unread = 0;
@@ -426,7 +429,7 @@
     }
 }
 
-void wg_balance_first_event(wg_balance* b, wg_time now, wg_choice* choice) {
+void wg_balance_first_event(wg_balance* b, wg_time now, wg_balance_choice* choice) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
     wg_time took = now - choice->started_at;
     if (!t) {
@@ -446,7 +449,7 @@
 
 /* Updates the service time from a complete answer, without the expected time in the queue. */
 static void wg_balance_update_service_time(wg_balance_target* t, wg_time now,
-                                           const wg_choice* choice) {
+                                           const wg_balance_choice* choice) {
     if (!choice->plain) {
         return;
     }
@@ -455,7 +458,7 @@
     t->service_time += WG_SERVICE_TIME_WEIGHT * (sample - t->service_time);
 }
 
-void wg_balance_end(wg_balance* b, wg_time now, wg_choice* choice, wg_result result) {
+void wg_balance_end(wg_balance* b, wg_time now, wg_balance_choice* choice, wg_result result) {
     wg_balance_target* t = wg_balance_find(b, choice->target);
     if (!t) {
         return;
@@ -507,7 +510,8 @@
     return num;
 }
 
-wg_time wg_balance_backoff_ends_at(const wg_balance* b, wg_time now, const wg_need* request) {
+wg_time wg_balance_backoff_ends_at(const wg_balance* b, wg_time now,
+                                   const wg_balance_request* request) {
     const wg_balance_service* service = g_hash_table_lookup(b->services, request->service);
     wg_time backoff_end = WG_TIME_NEVER;
     for (guint i = 0; service && b->desc.backoff && i < service->targets->len; i++) {
--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -34,7 +34,7 @@
         1. wg_balance* b = wg_balance_setup(&(wg_balance_desc){.data_centre = dc, .seed = s});
         2. wg_balance_sync(b, now, registry);            // after each change of the registry
         3. wg_balance_set_others_load(b, number, unread, running);
-        4. wg_choice c = wg_balance_choose(b, now, &request);
+        4. wg_balance_choice c = wg_balance_choose(b, now, &request);
         5. wg_balance_begin(b, now, &c);                 // the request is sent
            wg_balance_first_event(b, now, &c);
            wg_balance_end(b, now, &c, result);
@@ -70,7 +70,7 @@
     /* Longest estimated wait, microseconds; 0: no limit. Targets with a longer wait are chosen
        last. Without a prompt, a target whose slots are all in use is chosen only within a limit
        that is not 0. */
-    wg_time limit;
+    wg_time wait_max;
     uint32_t bytes;               /* estimated size of the request and its answer; 0: not known */
     uint32_t tried[WG_TRIED_MAX]; /* targets that the request was sent to before; not eligible */
     int tried_num;
@@ -80,7 +80,7 @@
     int denied_num;
     uint32_t source;        /* number of a target known to hold the start of the prompt; 0: none */
     uint32_t source_tokens; /* length of the start of the prompt that `source` holds */
-} wg_need;
+} wg_balance_request;
 
 /* The target selected for a request, with the estimates that led to it. */
 typedef struct {
@@ -97,7 +97,7 @@
     wg_time wait_ahead; /* the part of `wait` caused by prompts of other requests */
     wg_time started_at; /* set by wg_balance_begin() */
     uint64_t prefix;    /* id of the last shared part of the prompt; 0: none */
-} wg_choice;
+} wg_balance_choice;
 
 typedef enum {
     WG_RESULT_DEFAULT = 0,
@@ -145,7 +145,8 @@
    one. */
 void wg_balance_update_load(wg_balance* balance, wg_time now, uint32_t target, uint32_t unread,
                             uint32_t running);
-wg_choice wg_balance_choose(wg_balance* balance, wg_time now, const wg_need* request);
+wg_balance_choice wg_balance_choose(wg_balance* balance, wg_time now,
+                                    const wg_balance_request* request);
 /* Records that the prompt was sent to the target: its shared parts count as cached there for
    WG_CACHED_TIME. */
 void wg_balance_record_prompt(wg_balance* balance, wg_time now, uint32_t target,
@@ -154,13 +155,14 @@
    rate, prompts go to the two fleet-wide homes instead. */
 void wg_balance_record_third_home(wg_balance* balance, bool held);
 /* Adds the request to the load of its target. */
-void wg_balance_begin(wg_balance* balance, wg_time now, wg_choice* choice);
+void wg_balance_begin(wg_balance* balance, wg_time now, wg_balance_choice* choice);
 /* The first event was received: the target has processed the prompt. */
-void wg_balance_first_event(wg_balance* balance, wg_time now, wg_choice* choice);
+void wg_balance_first_event(wg_balance* balance, wg_time now, wg_balance_choice* choice);
 /* Removes the request from the load of its target, and updates the target's health. */
-void wg_balance_end(wg_balance* balance, wg_time now, wg_choice* choice, wg_result result);
+void wg_balance_end(wg_balance* balance, wg_time now, wg_balance_choice* choice, wg_result result);
 /* Writes the nonzero loads of this host to `loads`, at most `max`; returns their number. */
 int wg_balance_loads(const wg_balance* balance, wg_balance_load* loads, int max);
 /* Returns the earliest end of a backoff period if all eligible targets are in backoff; 0 if one
    target is not, or if there are no eligible targets. */
-wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now, const wg_need* request);
+wg_time wg_balance_backoff_ends_at(const wg_balance* balance, wg_time now,
+                                   const wg_balance_request* request);
--- a/lib/balance/wg_balance_homes.c
+++ b/lib/balance/wg_balance_homes.c
@@ -14,7 +14,7 @@
     return wg_hash(&part, sizeof part, t->id_hash);
 }
 
-static bool wg_balance_is_tried(const wg_need* request, uint32_t number) {
+static bool wg_balance_is_tried(const wg_balance_request* request, uint32_t number) {
     for (int i = 0; i < request->tried_num; i++) {
         if (request->tried[i] == number) {
             return true;
@@ -23,13 +23,14 @@
     return false;
 }
 
-bool wg_balance_is_eligible(const wg_balance_target* t, const wg_need* request) {
+bool wg_balance_is_eligible(const wg_balance_target* t, const wg_balance_request* request) {
     return t->ready && !t->replaced && !wg_balance_is_tried(request, t->number);
 }
 
 /* Checks the backoff too: a target that refuses everything has nothing in progress, would look idle
    and attract every request. */
-bool wg_balance_accepts(const wg_balance_target* t, wg_time now, const wg_need* request) {
+bool wg_balance_accepts(const wg_balance_target* t, wg_time now,
+                        const wg_balance_request* request) {
     return wg_balance_is_eligible(t, request) &&
            (!t->backoff || wg_backoff_ends_at(t->backoff, now, t->key) == 0);
 }
@@ -78,7 +79,7 @@
 }
 
 /* True if sending the request to a remote data centre costs more than copying shared parts. */
-static bool wg_balance_prefers_local_home(const wg_need* request) {
+static bool wg_balance_prefers_local_home(const wg_balance_request* request) {
     const wg_prompt* prompt = request->prompt;
     if (!request->copies || !prompt || prompt->num < 2) {
         return false;
@@ -87,7 +88,8 @@
 }
 
 static const wg_balance_target* wg_balance_find_local(const wg_balance_ranking* ranking,
-                                                      wg_time now, const wg_need* request) {
+                                                      wg_time now,
+                                                      const wg_balance_request* request) {
     for (int i = 0; i < WG_RANKED_MAX && ranking->local[i]; i++) {
         const wg_balance_target* t = ranking->local[i];
         if (wg_balance_accepts(t, now, request) && now >= t->ejected_until) {
@@ -98,7 +100,7 @@
 }
 
 wg_balance_homes wg_balance_find_homes(wg_balance_service* service, wg_time now,
-                                       const wg_need* request, uint64_t part) {
+                                       const wg_balance_request* request, uint64_t part) {
     wg_balance_homes homes = {0};
     const wg_balance_ranking* ranking = part ? wg_balance_ranking_of(service, part) : NULL;
     for (int i = 0; ranking && i < WG_RANKED_MAX && ranking->best[i] && !homes.second; i++) {
--- a/lib/balance/wg_balance_internal.h
+++ b/lib/balance/wg_balance_internal.h
@@ -58,10 +58,11 @@
 } wg_balance_homes;
 
 /* True if the target could be sent the request, disregarding backoff. */
-bool wg_balance_is_eligible(const wg_balance_target* target, const wg_need* request);
+bool wg_balance_is_eligible(const wg_balance_target* target, const wg_balance_request* request);
 /* True if the target may be sent the request now. */
-bool wg_balance_accepts(const wg_balance_target* target, wg_time now, const wg_need* request);
+bool wg_balance_accepts(const wg_balance_target* target, wg_time now,
+                        const wg_balance_request* request);
 void wg_balance_service_free(void* service);
 /* Finds the homes of the prefix that ends with `part`; none if `part` is 0. */
 wg_balance_homes wg_balance_find_homes(wg_balance_service* service, wg_time now,
-                                       const wg_need* request, uint64_t part);
+                                       const wg_balance_request* request, uint64_t part);
--- a/lib/control/wg_control_internal.h
+++ b/lib/control/wg_control_internal.h
@@ -190,7 +190,7 @@
 /* Handles a failed write to the data folder; takes ownership of `error`. */
 void _wgco_storage_failed(wgco_control* c, GError* error);
 
-/* forced recovery (wg_control_form.c) */
+/* forced recovery (wg_control_recovery.c) */
 /* Recovers the replica set with this replica as its only member. `lost` names the voters that
    will not come back, NULL-terminated. The data folder is reopened shortly afterwards. False
    with an error if a majority may still come back. */
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -63,7 +63,7 @@
 
 static void _wgco_begin_quarantine(wgco_control* c, const wg_suspect* suspect, wg_time now) {
     wg_quarantined entry = {.fingerprint = suspect->fingerprint,
-                            .ends = suspect->targets_num,
+                            .crashes_num = suspect->targets_num,
                             .until = now + c->settings->quarantine_s * WG_USEC_PER_SEC};
     Wgpb__Quarantine change;
     wg_copy_name(entry.workspace, sizeof entry.workspace, suspect->workspace);
@@ -199,8 +199,8 @@
                    entry->fingerprint);
         json_array_append_new(
             list, json_pack("{s:s,s:s,s:s,s:i,s:I}", "fingerprint", fingerprint, "workspace",
-                            entry->workspace, "path", entry->path, "ends", entry->ends, "left_s",
-                            (json_int_t)(MAX(entry->until - now, 0) / WG_USEC_PER_SEC)));
+                            entry->workspace, "path", entry->path, "ends", entry->crashes_num,
+                            "left_s", (json_int_t)(MAX(entry->until - now, 0) / WG_USEC_PER_SEC)));
     }
     return list;
 }
--- a/lib/control/wg_control_form.c
+++ b/lib/control/wg_control_recovery.c
@@ -1,4 +1,4 @@
-/* wg_control_form.c -- forced recovery of the replica set by an operator
+/* wg_control_recovery.c -- forced recovery of the replica set by an operator
 
    After more disks are lost than the set tolerates, no leader can be elected. The operator names
    the replicas that will not come back; the replica with the newest log then continues alone as a
--- a/lib/entry/wg_entry_admit.c
+++ b/lib/entry/wg_entry_admit.c
@@ -142,7 +142,7 @@
                                               uint64_t ticket) {
     const wg_prompt* prompt = &call->prompt;
     const wg_service* service = &call->config->services[call->service];
-    const wg_need* selection = &call->selection;
+    const wg_balance_request* selection = &call->selection;
     wg_admit_request r = {.ticket = ticket,
                           .target = call->proposed.target,
                           .tokens = prompt->tokens,
@@ -153,7 +153,7 @@
     const wg_target* target = wg_registry_find(call->entry->registry, r.target);
     uint32_t slots = target && target->slots ? target->slots : (uint32_t)MAX(selection->slots, 0);
     double share = selection->slots_share > 0 ? selection->slots_share : 1;
-    r.running_most = slots ? MAX((uint32_t)(slots * share), 1) : 0;
+    r.running_max = slots ? MAX((uint32_t)(slots * share), 1) : 0;
     r.parts_num = CLAMP(prompt->num - 1, 0, WG_ADMIT_PARTS_MAX);
     r.rate_max = wg_entry_cold_rate(call->entry, r.target);
     for (int i = 0; i < r.parts_num; i++) {
@@ -185,11 +185,11 @@
     ask.tokens = request->tokens;
     ask.answer = request->answer;
     ask.copied = request->copied;
-    ask.running_most = request->running_most;
+    ask.running_most = request->running_max;
     ask.whole_us = (uint64_t)request->limits.total;
     ask.ahead_us = (uint64_t)request->limits.ahead;
     ask.ahead_large_us = (uint64_t)request->limits.ahead_large;
-    ask.spares_shared = request->limits.spares_shared;
+    ask.spares_shared = request->limits.counts_missing;
     ask.cold_rate = request->rate_max;
     return wgn_send(e->net, c->link, WGW_TYPE_ADMIT_ASK, &ask.base);
 }
@@ -357,7 +357,7 @@
                           .tokens = in->tokens,
                           .answer = in->answer,
                           .copied = in->copied,
-                          .running_most = in->running_most,
+                          .running_max = in->running_most,
                           .memory = service ? service->memory_tokens : 0,
                           .rate_max = wg_coordinator_cold_rate(e, in),
                           .limits = {(wg_time)in->whole_us, (wg_time)in->ahead_us,
--- a/lib/entry/wg_entry_attempt.c
+++ b/lib/entry/wg_entry_attempt.c
@@ -88,7 +88,7 @@
 double wg_call_retry_after(const wg_call* call) {
     wg_entry* e = call->entry;
     wg_time now = wg_now();
-    wg_need again = call->selection;
+    wg_balance_request again = call->selection;
     again.tried_num = 0;
     wg_time backoff_end = wg_balance_backoff_ends_at(e->balance, now, &again);
     wg_time left = (call->deadline == WG_TIME_NEVER ? call->expires_at : call->deadline) - now;
@@ -118,7 +118,7 @@
     wg_call_set_timer(call, now);
 }
 
-static bool wg_call_fits(const wg_call* call, const wg_choice* choice, wg_time now) {
+static bool wg_call_fits(const wg_call* call, const wg_balance_choice* choice, wg_time now) {
     if (!call->has_prompt) {
         return true;
     }
@@ -157,7 +157,7 @@
 
 /* Excludes the proposed target for the remainder of this selection. */
 static void wg_call_exclude_proposed(wg_call* call) {
-    wg_need* selection = &call->selection;
+    wg_balance_request* selection = &call->selection;
     if (selection->denied_num < WG_DENIED_MAX) {
         selection->denied[selection->denied_num++] = call->proposed.target;
     }
@@ -184,7 +184,7 @@
 
 /* The coordinator's figures replace this host's estimate. */
 static void wg_call_apply_admit_answer(wg_call* call, const wg_admit_answer* answer) {
-    wg_choice* choice = &call->proposed;
+    wg_balance_choice* choice = &call->proposed;
     wg_balance_update_load(call->entry->balance, wg_now(), choice->target, answer->ahead,
                            answer->running);
     choice->unread = answer->unread;
@@ -201,7 +201,7 @@
 /* Selects another target after a denial. A workspace above its fair share may only use one that can
    copy at least half of the shared prompt tokens instead of computing them again. */
 static void wg_call_handle_denial(wg_call* call, const wg_admit_answer* answer, wg_time now) {
-    wg_need* selection = &call->selection;
+    wg_balance_request* selection = &call->selection;
     call->entry->counters.cold_denials +=
         wg_entry_cold_rate(call->entry, call->proposed.target) > 0;
     if (answer->held > selection->source_tokens) {
@@ -252,10 +252,10 @@
 }
 
 /* Skips targets that were recently reported as too busy to meet the limits. */
-static wg_choice wg_call_next_choice(wg_call* call, wg_time now) {
-    wg_need* selection = &call->selection;
+static wg_balance_choice wg_call_next_choice(wg_call* call, wg_time now) {
+    wg_balance_request* selection = &call->selection;
     while (selection->denied_num < WG_CANDIDATES_MAX) {
-        wg_choice choice = wg_balance_choose(call->entry->balance, now, selection);
+        wg_balance_choice choice = wg_balance_choose(call->entry->balance, now, selection);
         if (!choice.target || !choice.is_fresh || call->attempts > 0 ||
             wg_call_fits(call, &choice, now)) {
             return choice;
@@ -263,7 +263,7 @@
         call->expected = choice.wait;
         selection->denied[selection->denied_num++] = choice.target;
     }
-    return (wg_choice){0};
+    return (wg_balance_choice){0};
 }
 
 /* Selects again with wider wait limits, as no target meets the normal ones. */
@@ -276,7 +276,7 @@
 
 /* Selects a target, then sends, requests an admission from its coordinator, or queues. */
 static void wg_call_choose(wg_call* call, wg_time now) {
-    wg_choice choice = {0};
+    wg_balance_choice choice = {0};
     wg_policy_terms terms = wg_call_terms(call);
     if (call->admit_requests < wg_policy_admission_requests_max(&terms)) {
         choice = wg_call_next_choice(call, now);
@@ -313,9 +313,9 @@
     call->next_try_at = now + wg_policy_try_gap(&terms);
     call->limit = wg_policy_limit(&terms, now);
     if (!call->has_prompt) {
-        call->selection.limit = wg_policy_plain_limit(&terms, now);
+        call->selection.wait_max = wg_policy_plain_limit(&terms, now);
     } else {
-        call->selection.limit = wg_policy_may_spill_over(&terms) ? call->limit : WG_TIME_NEVER;
+        call->selection.wait_max = wg_policy_may_spill_over(&terms) ? call->limit : WG_TIME_NEVER;
     }
     call->selection.slots_share = wg_policy_slots_share(&terms);
     call->admit_requests = 0;
--- a/lib/entry/wg_entry_call.c
+++ b/lib/entry/wg_entry_call.c
@@ -18,7 +18,7 @@
 static void wg_call_release_target(wg_call* call, wg_result result) {
     if (call->choice.target) {
         wg_balance_end(call->entry->balance, wg_now(), &call->choice, result);
-        call->choice = (wg_choice){0};
+        call->choice = (wg_balance_choice){0};
     }
     wg_entry_admit_end(call, result == WG_RESULT_FAILED);
 }
@@ -546,12 +546,12 @@
     call->has_prompt =
         service->engine && parts.text &&
         wg_parse_prompt(parts, wg_message_field(&head, e->names->prompt_tokens), &call->prompt);
-    call->selection = (wg_need){.service = service->name,
-                                .prompt = call->has_prompt ? &call->prompt : NULL,
-                                .copies = service->copies,
-                                .bytes = (uint32_t)evbuffer_get_length(body) +
-                                         WG_ANSWER_TOKEN_BYTES * call->prompt.answer,
-                                .slots = service->slots};
+    call->selection = (wg_balance_request){.service = service->name,
+                                           .prompt = call->has_prompt ? &call->prompt : NULL,
+                                           .copies = service->copies,
+                                           .bytes = (uint32_t)evbuffer_get_length(body) +
+                                                    WG_ANSWER_TOKEN_BYTES * call->prompt.answer,
+                                           .slots = service->slots};
     wg_call_read_times(call);
     if (wg_call_is_charged(call)) {
         wg_usage_record_demand(e->usage, call->workspace->hash, wg_call_tokens(call));
--- a/lib/entry/wg_entry_pages.c
+++ b/lib/entry/wg_entry_endpoints.c
@@ -1,5 +1,5 @@
-/* wg_entry_pages.c -- HTTP endpoints of an entry host: readiness, entry answers, orders, metrics,
-   state */
+/* wg_entry_endpoints.c -- HTTP endpoints of an entry host: readiness, entry answers, orders,
+   metrics, state */
 #include "wg_document.h"
 
 #include "wg_entry_internal.h"
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -91,13 +91,14 @@
     wg_time deadline;   /* deadline set by the caller, or WG_TIME_NEVER */
     wg_prompt prompt;
     bool has_prompt;
-    wg_need selection;         /* what the request needs of a target, and targets excluded so far */
-    wg_choice choice;          /* target of the current attempt, with the load accounted to it */
-    wg_choice proposed;        /* selected, but not sent yet */
-    uint64_t admit_ticket;     /* ticket of the pending admission request; 0: none */
-    wg_time admit_expires_at;  /* without an answer until then, this host decides alone */
-    uint64_t admission_ticket; /* ticket of the admission held; 0: none */
-    bool admission_read;       /* the coordinator was notified that the prompt was processed */
+    wg_balance_request
+        selection;            /* what the request needs of a target, and targets excluded so far */
+    wg_balance_choice choice; /* target of the current attempt, with the load accounted to it */
+    wg_balance_choice proposed; /* selected, but not sent yet */
+    uint64_t admit_ticket;      /* ticket of the pending admission request; 0: none */
+    wg_time admit_expires_at;   /* without an answer until then, this host decides alone */
+    uint64_t admission_ticket;  /* ticket of the admission held; 0: none */
+    bool admission_read;        /* the coordinator was notified that the prompt was processed */
     uint64_t coordinator_rank; /* rank of the coordinator of the pending request or the admission */
     int admit_requests;        /* admission requests of the current selection */
     int admit_requests_total;  /* admission requests of all selections */
@@ -453,7 +454,7 @@
 void wg_call_admit_answered(wg_call* call, const wg_admit_answer* answer);
 void wg_call_admit_unanswered(wg_call* call, wg_time now);
 
-/* wg_entry_pages.c */
+/* wg_entry_endpoints.c */
 bool wg_entry_endpoints_setup(wg_entry* e, GError** error);
 
 /* wg_entry_client.c */
--- a/lib/entry/wg_entry_link.c
+++ b/lib/entry/wg_entry_link.c
@@ -208,7 +208,7 @@
     for (size_t i = 0; i < in->n_usage; i++) {
         list[i] = (wg_usage){.workspace = in->usage[i]->workspace,
                              .tokens = in->usage[i]->tokens,
-                             .asked = in->usage[i]->asked};
+                             .demand = in->usage[i]->asked};
     }
     wg_usage_apply_report(e->usage, wg_now(), list, in->n_usage, wg_entry_total_share(e));
     g_free(list);
@@ -398,7 +398,7 @@
         wgpb__workspace_usage__init(item);
         item->workspace = usage->workspace;
         item->tokens = usage->tokens;
-        item->asked = usage->asked;
+        item->asked = usage->demand;
         report.usage[report.n_usage++] = item;
     }
     wg_crash_report crashes = wg_entry_fill_crashes(e, &report);
--- a/lib/fair/wg_usage.c
+++ b/lib/fair/wg_usage.c
@@ -11,7 +11,7 @@
 /* In doubles, as usage decays in small steps. */
 typedef struct {
     double tokens;
-    double asked;
+    double demand;
 } wg_usage_amount;
 
 /* Usage of one workspace in the whole fleet. */
@@ -25,7 +25,7 @@
 typedef struct {
     wg_usage total;
     uint64_t tokens_counted;
-    uint64_t asked_counted;
+    uint64_t demand_counted;
 } wg_usage_total;
 
 struct wg_usage_ledger {
@@ -60,7 +60,7 @@
 
 static void wg_usage_set_levels(wg_usage_ledger* ledger, double total_share) {
     guint num = g_hash_table_size(ledger->fleet);
-    double* asked = g_new(double, num + 1);
+    double* demand = g_new(double, num + 1);
     double served = 0;
     int filled = 0;
     GHashTableIter iter;
@@ -69,16 +69,16 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const wg_usage_copy* copy = value;
         double tokens = copy->reported.tokens + copy->estimated.tokens;
-        asked[filled++] = MAX(copy->reported.asked + copy->estimated.asked, tokens);
+        demand[filled++] = MAX(copy->reported.demand + copy->estimated.demand, tokens);
         served += tokens;
     }
-    ledger->levels.served = wg_fair_level(asked, filled, served);
-    ledger->levels.fair_share = total_share > 0 ? wg_fair_level(asked, filled, total_share) : 0;
-    g_free(asked);
+    ledger->levels.served = wg_fair_level(demand, filled, served);
+    ledger->levels.fair_share = total_share > 0 ? wg_fair_level(demand, filled, total_share) : 0;
+    g_free(demand);
 }
 
 static wg_usage_amount wg_usage_scale(wg_usage_amount amount, double factor) {
-    return (wg_usage_amount){amount.tokens * factor, amount.asked * factor};
+    return (wg_usage_amount){amount.tokens * factor, amount.demand * factor};
 }
 
 static void wg_usage_decay_copy(wg_usage_ledger* ledger, double keep, bool drop) {
@@ -89,7 +89,7 @@
         wg_usage_copy* copy = value;
         copy->reported = wg_usage_scale(copy->reported, drop ? 0 : keep);
         copy->estimated = wg_usage_scale(copy->estimated, keep);
-        if (copy->reported.asked + copy->estimated.asked < 1) {
+        if (copy->reported.demand + copy->estimated.demand < 1) {
             g_hash_table_iter_remove(&iter);
         }
     }
@@ -103,13 +103,13 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         wg_usage_total* own = value;
         uint64_t tokens = own->total.tokens - own->tokens_counted;
-        uint64_t asked = own->total.asked - own->asked_counted;
+        uint64_t demand = own->total.demand - own->demand_counted;
         own->tokens_counted = own->total.tokens;
-        own->asked_counted = own->total.asked;
-        if (factor > 0 && (tokens > 0 || asked > 0)) {
+        own->demand_counted = own->total.demand;
+        if (factor > 0 && (tokens > 0 || demand > 0)) {
             wg_usage_copy* copy = wg_usage_copy_of(ledger, own->total.workspace);
             copy->estimated.tokens += factor * (double)tokens;
-            copy->estimated.asked += factor * (double)asked;
+            copy->estimated.demand += factor * (double)demand;
         }
     }
 }
@@ -130,7 +130,7 @@
 }
 
 void wg_usage_record_demand(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens) {
-    wg_usage_own_of(ledger, workspace)->total.asked += tokens;
+    wg_usage_own_of(ledger, workspace)->total.demand += tokens;
 }
 
 void wg_usage_record_served(wg_usage_ledger* ledger, uint64_t workspace, uint64_t tokens) {
@@ -142,7 +142,7 @@
     g_hash_table_remove_all(ledger->fleet);
     for (size_t i = 0; i < num; i++) {
         wg_usage_copy* copy = wg_usage_copy_of(ledger, list[i].workspace);
-        copy->reported = (wg_usage_amount){(double)list[i].tokens, (double)list[i].asked};
+        copy->reported = (wg_usage_amount){(double)list[i].tokens, (double)list[i].demand};
     }
     wg_usage_count_own(ledger, 0);
     ledger->reported_at = now;
--- a/lib/fair/wg_usage.h
+++ b/lib/fair/wg_usage.h
@@ -41,7 +41,7 @@
 typedef struct {
     uint64_t workspace; /* hash of its name */
     uint64_t tokens;    /* served */
-    uint64_t asked;     /* demand: all tokens requested, refused or not */
+    uint64_t demand;    /* demand: all tokens requested, refused or not */
 } wg_usage;
 
 typedef struct wg_usage_ledger wg_usage_ledger;
--- a/lib/policy/wg_policy.c
+++ b/lib/policy/wg_policy.c
@@ -69,7 +69,7 @@
     return (wg_admit_limits){.total = (wg_time)(factor * total),
                              .ahead = (wg_time)(factor * tolerance * total),
                              .ahead_large = (wg_time)(factor * tolerance * large),
-                             .spares_shared = tolerance < 1 && !behind};
+                             .counts_missing = tolerance < 1 && !behind};
 }
 
 double wg_policy_slots_share(const wg_policy_terms* t) {
--- a/lib/quarantine/wg_quarantine.c
+++ b/lib/quarantine/wg_quarantine.c
@@ -73,7 +73,7 @@
 static wg_quarantined _wg_quarantined_unpack(const Wgpb__Quarantine* in, wg_time now) {
     uint64_t max_life_us = WG_QUARANTINE_DURATION_MAX_S * (uint64_t)WG_USEC_PER_SEC;
     wg_quarantined entry = {.fingerprint = in->fingerprint,
-                            .ends = (int)MIN(in->ends, (uint32_t)G_MAXINT),
+                            .crashes_num = (int)MIN(in->ends, (uint32_t)G_MAXINT),
                             .until = now + (wg_time)MIN(in->life_us, max_life_us)};
     g_strlcpy(entry.workspace, in->workspace, sizeof entry.workspace);
     g_strlcpy(entry.path, in->path, sizeof entry.path);
@@ -182,7 +182,7 @@
     out->begins = true;
     out->workspace = (char*)entry->workspace;
     out->path = (char*)entry->path;
-    out->ends = (uint32_t)entry->ends;
+    out->ends = (uint32_t)entry->crashes_num;
     out->life_us = (uint64_t)MAX(entry->until - now, 0);
 }
 
--- a/lib/quarantine/wg_quarantine.h
+++ b/lib/quarantine/wg_quarantine.h
@@ -50,7 +50,7 @@
     uint64_t fingerprint;
     char workspace[WG_NAME_MAX];
     char path[WG_SUSPECT_PATH_MAX];
-    int ends; /* number of targets that crashed while they had the request */
+    int crashes_num; /* number of targets that crashed while they had the request */
     wg_time until;
     bool ended_well; /* for use by the caller: a copy of the request ended well, not agreed yet */
     wg_time proposed_at; /* for use by the caller: last proposal to end the quarantine */
--- a/lib/quorum/wg_quorum.h
+++ b/lib/quorum/wg_quorum.h
@@ -17,7 +17,7 @@
           caught up to replace it, or when enough other voters respond. In a full set a voter and
           its replacement never count at the same time, so a replacement doesn't reduce the number
           of failures the set tolerates. The time since last contact survives a change of leader
-          (wg_quorum_silence.c).
+          (wg_quorum_unresponsive.c).
         - a voter that stops, permanently or not, can leave the set first (wgr_leave)
         - wgr_leads(): true only while a majority has recently confirmed this leader. The lease
           starts when the heartbeat is sent and is shorter than the minimum election timeout, so a
--- a/lib/quorum/wg_quorum_internal.h
+++ b/lib/quorum/wg_quorum_internal.h
@@ -115,7 +115,7 @@
     uint64_t replaced_ids[4 * WGR_REPLICAS_MAX]; /* ids whose data folder is lost */
     int replaced_ids_num;
 
-    /* wg_quorum_silence.c; empty while this replica leads */
+    /* wg_quorum_unresponsive.c; empty while this replica leads */
     _wgr_unresponsive_t unresponsive[WGR_REPLICAS_MAX];
     int unresponsive_num;
 
--- a/lib/quorum/wg_quorum_silence.c
+++ b/lib/quorum/wg_quorum_unresponsive.c
@@ -1,4 +1,4 @@
-/* wg_quorum_silence.c -- tracks unresponsive replicas across changes of leader
+/* wg_quorum_unresponsive.c -- tracks unresponsive replicas across changes of leader
 
    Only a leader receives replies from all replicas. Each heartbeat reports to the followers which
    replicas don't respond, and for how long, so that the next leader continues from there. If the
--- a/lib/router/wg_router_pages.c
+++ b/lib/router/wg_router_endpoints.c
@@ -1,4 +1,5 @@
-/* wg_router_pages.c -- operator endpoints of a router, and polling of the platform's host list */
+/* wg_router_endpoints.c -- operator endpoints of a router, and polling of the platform's host list
+ */
 #include "wg_router_internal.h"
 
 #include <event2/http.h>
--- a/lib/router/wg_router_internal.h
+++ b/lib/router/wg_router_internal.h
@@ -230,6 +230,6 @@
 void _wgro_relay(_wgro_call_t* call);
 bool _wgro_is_hop_header(const char* name);
 
-/* wg_router_pages.c */
+/* wg_router_endpoints.c */
 bool _wgro_operators_setup(wgro_router* r, GError** error);
 void _wgro_hosts_tick(wgro_router* r, wg_time now);
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -166,7 +166,7 @@
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.limits.ahead = 30 * MSEC;
-    r.limits.spares_shared = true;
+    r.limits.counts_missing = true;
     ck_assert(!wg_admit_decide(admit, 0, &r)
                    .granted); /* the 6300 shared tokens take longer than the limit */
     r.copied = 6300;
@@ -234,7 +234,7 @@
 START_TEST(slots_limit_running_requests) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 10);
-    r.running_most = 1;
+    r.running_max = 1;
     ck_assert(wg_admit_decide(admit, 0, &r).granted);
     r.ticket = 2;
     ck_assert(!wg_admit_decide(admit, 0, &r).granted);
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -35,8 +35,8 @@
                        .answer = 50};
 }
 
-static wg_choice choose(const wg_prompt* p, wg_time now) {
-    wg_need need = {.service = "m", .prompt = p, .slots = 64};
+static wg_balance_choice choose(const wg_prompt* p, wg_time now) {
+    wg_balance_request need = {.service = "m", .prompt = p, .slots = 64};
     return wg_balance_choose(balance, now, &need);
 }
 
@@ -48,9 +48,9 @@
     int used[19] = {0};
     for (uint64_t part = 1000; part < 1300; part++) {
         wg_prompt p = prompt(part, part + 5000);
-        wg_need need = {.service = "m", .prompt = &p, .slots = 64};
-        wg_choice a = wg_balance_choose(balance, 0, &need);
-        wg_choice b = wg_balance_choose(other, 0, &need);
+        wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64};
+        wg_balance_choice a = wg_balance_choose(balance, 0, &need);
+        wg_balance_choice b = wg_balance_choose(other, 0, &need);
         ck_assert_uint_eq(a.target, b.target);
         ck_assert_uint_eq(a.unread, 9200); /* no target has read the prefix yet */
         used[a.target]++;
@@ -70,7 +70,7 @@
     uint32_t first = choose(&p, 0).target;
     uint32_t second = 0;
     for (int i = 0; i < 4; i++) {
-        wg_choice c = choose(&p, 0);
+        wg_balance_choice c = choose(&p, 0);
         wg_balance_begin(balance, 0, &c);
         if (c.target != first) {
             ck_assert(second == 0 || second == c.target);
@@ -86,15 +86,15 @@
 START_TEST(missing_parts_are_copied_from_a_home) {
     begin(18);
     wg_prompt p = prompt(77, 78);
-    wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
+    wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     uint32_t home = wg_balance_choose(balance, 0, &need).target;
     wg_balance_record_prompt(balance, 0, home, &p);
-    wg_choice again = wg_balance_choose(balance, 1, &need);
+    wg_balance_choice again = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_eq(again.target, home);
     ck_assert_uint_ne(again.source, 0); /* the second home, for parts that were evicted here */
     ck_assert_uint_ne(again.source, home);
     wg_balance_set_others_load(balance, home, 500000, 3);
-    wg_choice elsewhere = wg_balance_choose(balance, 1, &need);
+    wg_balance_choice elsewhere = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_ne(elsewhere.target, home);
     ck_assert_uint_eq(elsewhere.source, home);
     ck_assert_uint_eq(elsewhere.unread, 9200);
@@ -109,11 +109,11 @@
 START_TEST(second_home_copies_missing_parts) {
     begin(18);
     wg_prompt p = prompt(77, 78);
-    wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
+    wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     uint32_t home = wg_balance_choose(balance, 0, &need).target;
     wg_balance_record_prompt(balance, 0, home, &p);
     wg_balance_set_others_load(balance, home, 500000, 3);
-    wg_choice second = wg_balance_choose(balance, 5 * SECOND, &need);
+    wg_balance_choice second = wg_balance_choose(balance, 5 * SECOND, &need);
     ck_assert_uint_ne(second.target, home);
     ck_assert_uint_eq(second.unread, 2900);
     ck_assert_uint_eq(second.source, home);
@@ -125,22 +125,22 @@
 START_TEST(new_home_copies_from_the_previous) {
     begin(18);
     wg_prompt p = prompt(77, 78);
-    wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
-    wg_choice first = wg_balance_choose(balance, 0, &need);
+    wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
+    wg_balance_choice first = wg_balance_choose(balance, 0, &need);
     ck_assert_uint_ne(first.source, first.target);
     wg_target draining = *wg_registry_find(registry, first.target);
     draining.state = WG_TARGET_DRAINING;
     draining.sequence++;
     wg_registry_apply(registry, 1, &draining);
     wg_balance_sync(balance, 1, registry);
-    wg_choice after = wg_balance_choose(balance, 1, &need);
+    wg_balance_choice after = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_ne(after.target, first.target);
     ck_assert_uint_eq(after.source, first.target);
     draining.state = WG_TARGET_REMOVED;
     draining.sequence++;
     wg_registry_apply(registry, 2, &draining);
     wg_balance_sync(balance, 2, registry);
-    wg_choice removed = wg_balance_choose(balance, 2, &need);
+    wg_balance_choice removed = wg_balance_choose(balance, 2, &need);
     ck_assert_uint_eq(removed.target, after.target);
     ck_assert_uint_ne(removed.source, first.target);
     end();
@@ -151,12 +151,12 @@
 START_TEST(denied_home_is_a_copy_source) {
     begin(18);
     wg_prompt p = prompt(77, 78);
-    wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
+    wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64, .copies = true};
     uint32_t home = wg_balance_choose(balance, 0, &need).target;
     need.denied[need.denied_num++] = home;
     need.source = home;
     need.source_tokens = 6300;
-    wg_choice c = wg_balance_choose(balance, 0, &need);
+    wg_balance_choice c = wg_balance_choose(balance, 0, &need);
     ck_assert_uint_ne(c.target, home);
     ck_assert_uint_ne(c.target, 0);
     ck_assert_uint_eq(c.source, home);
@@ -178,7 +178,7 @@
     wg_balance_load_of(balance, 1, &unread, &running);
     ck_assert_uint_eq(unread, 1000);
     ck_assert_uint_eq(running, 2);
-    wg_choice c = choose(&p, SECOND);
+    wg_balance_choice c = choose(&p, SECOND);
     ck_assert(c.is_fresh);
     ck_assert_uint_eq(c.ahead, 1000);
     ck_assert(!choose(&p, 2 * SECOND).is_fresh);
@@ -219,7 +219,7 @@
             wg_balance_set_others_load(other, t, 3000 + 40 * t, 5);
         }
         wg_prompt p = {.parts = {h + 1000}, .sizes = {1800}, .num = 1, .tokens = 1800};
-        wg_need need = {.service = "m", .prompt = &p, .slots = 64};
+        wg_balance_request need = {.service = "m", .prompt = &p, .slots = 64};
         sent[wg_balance_choose(other, 0, &need).target]++;
         wg_balance_shutdown(other);
     }
@@ -266,7 +266,7 @@
         wg_prompt p = prompt(i + 1, i + 100);
         ck_assert_uint_eq(choose(&p, 1).target, 2);
     }
-    wg_need tried = {.service = "m", .slots = 64, .tried = {2}, .tried_num = 1};
+    wg_balance_request tried = {.service = "m", .slots = 64, .tried = {2}, .tried_num = 1};
     ck_assert_uint_eq(wg_balance_choose(balance, 1, &tried).target, 0);
     end();
 }
@@ -301,8 +301,8 @@
     PLAIN_SLOTS = 6
 };
 
-static wg_choice choose_plain(wg_time now, wg_time limit) {
-    wg_need need = {.service = "m", .slots = PLAIN_SLOTS, .limit = limit};
+static wg_balance_choice choose_plain(wg_time now, wg_time limit) {
+    wg_balance_request need = {.service = "m", .slots = PLAIN_SLOTS, .wait_max = limit};
     return wg_balance_choose(balance, now, &need);
 }
 
@@ -315,7 +315,7 @@
     wg_registry_apply(registry, 1, &slots);
     wg_balance_sync(balance, 1, registry);
     for (int i = 0; i < 200; i++) {
-        wg_choice c = choose_plain(0, SECOND);
+        wg_balance_choice c = choose_plain(0, SECOND);
         wg_balance_begin(balance, 0, &c);
         wg_balance_end(balance, WORK_MS * MSEC, &c, WG_RESULT_SUCCESS);
     }
@@ -328,7 +328,7 @@
     wg_time limit = 4 * WORK_MS * MSEC;
     int sent = 0;
     for (; sent < 100; sent++) {
-        wg_choice c = choose_plain(SECOND, limit);
+        wg_balance_choice c = choose_plain(SECOND, limit);
         if (!c.target) {
             break;
         }
@@ -348,7 +348,7 @@
     };
     begin_plain();
     for (int round = 0; round < 20; round++) {
-        wg_choice c[AT_ONCE];
+        wg_balance_choice c[AT_ONCE];
         for (int i = 0; i < AT_ONCE; i++) {
             c[i] = choose_plain(0, SECOND);
             wg_balance_begin(balance, 0, &c[i]);
@@ -384,7 +384,8 @@
     for (uint64_t i = 0; i < 200; i++) {
         wg_prompt p = {
             .parts = {1000 + i, i + 9000}, .sizes = {570, 1800}, .num = 2, .tokens = 2370};
-        wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true, .bytes = bytes};
+        wg_balance_request need = {
+            .service = "m", .prompt = &p, .slots = 64, .copies = true, .bytes = bytes};
         here += wg_balance_choose(balance, 1, &need).target % 2;
     }
     return here;
@@ -397,8 +398,9 @@
     ck_assert_int_eq(chosen_local_num(3000), 200);
     ck_assert_int_lt(chosen_local_num(1000), 180);
     wg_prompt p = {.parts = {1000, 9000}, .sizes = {570, 1800}, .num = 2, .tokens = 2370};
-    wg_need need = {.service = "m", .prompt = &p, .slots = 64, .copies = true, .bytes = 3000};
-    wg_choice c = wg_balance_choose(balance, 1, &need);
+    wg_balance_request need = {
+        .service = "m", .prompt = &p, .slots = 64, .copies = true, .bytes = 3000};
+    wg_balance_choice c = wg_balance_choose(balance, 1, &need);
     ck_assert_uint_eq(wg_balance_choose(balance, 1, &need).target, c.target);
     need.copies = false;
     int crossed = 0;
@@ -432,11 +434,11 @@
 START_TEST(accounts_return_to_zero) {
     for (uint64_t seed = 1; seed <= 30; seed++) {
         begin(5);
-        wg_choice open[40] = {0};
+        wg_balance_choice open[40] = {0};
         for (uint64_t step = 0; step < 2000; step++) {
             uint64_t random = wg_jitter(seed, step);
             wg_time now = (wg_time)step * 3000;
-            wg_choice* c = &open[random % G_N_ELEMENTS(open)];
+            wg_balance_choice* c = &open[random % G_N_ELEMENTS(open)];
             if (c->target == 0) {
                 wg_prompt p = prompt(random / 64 % 20, step + 100);
                 *c = choose(&p, now);
@@ -445,7 +447,7 @@
                 wg_balance_first_event(balance, now, c);
             } else {
                 wg_balance_end(balance, now, c, (wg_result)(1 + random / 256 % 4));
-                *c = (wg_choice){0};
+                *c = (wg_balance_choice){0};
             }
         }
         for (size_t i = 0; i < G_N_ELEMENTS(open); i++) {
@@ -462,10 +464,10 @@
 
 START_TEST(failing_targets_are_ejected_and_return) {
     begin(3);
-    wg_need need = {.service = "m", .slots = 64};
+    wg_balance_request need = {.service = "m", .slots = 64};
     wg_time now = 0;
     for (int i = 0; i < 2; i++) {
-        wg_choice c = {.target = 1};
+        wg_balance_choice c = {.target = 1};
         wg_balance_begin(balance, now, &c);
         wg_balance_end(balance, now, &c, WG_RESULT_FAILED);
     }
@@ -490,10 +492,10 @@
 /* The address of a crashed target was reused before a leader could report it. */
 START_TEST(replaced_target_gets_nothing_until_its_record_changes) {
     begin(2);
-    wg_choice c = {.target = 1};
+    wg_balance_choice c = {.target = 1};
     wg_balance_begin(balance, 0, &c);
     wg_balance_end(balance, 0, &c, WG_RESULT_REPLACED);
-    wg_need need = {.service = "m", .slots = 64};
+    wg_balance_request need = {.service = "m", .slots = 64};
     for (int i = 0; i < 50; i++) {
         ck_assert_uint_eq(wg_balance_choose(balance, 20 * SECOND, &need).target, 2);
     }
@@ -514,7 +516,7 @@
 START_TEST(homes_count_as_cached_after_warm_up_only) {
     begin(18);
     wg_prompt p = prompt(77, 78);
-    wg_choice c = choose(&p, 0);
+    wg_balance_choice c = choose(&p, 0);
     ck_assert_uint_eq(c.unread, p.tokens);
     wg_balance_record_prompt(balance, 0, c.target, &p);
     ck_assert_uint_eq(choose(&p, 1).unread, 2900);
@@ -528,11 +530,11 @@
 START_TEST(slots_are_reserved_for_workspaces_within_their_share) {
     begin(1);
     for (int i = 0; i < 32; i++) {
-        wg_choice c = {.target = 1};
+        wg_balance_choice c = {.target = 1};
         wg_balance_begin(balance, 0, &c);
     }
-    wg_need fair = {.service = "m", .slots = 64};
-    wg_need beyond = {.service = "m", .slots = 64, .slots_share = 0.5};
+    wg_balance_request fair = {.service = "m", .slots = 64};
+    wg_balance_request beyond = {.service = "m", .slots = 64, .slots_share = 0.5};
     ck_assert_uint_eq(wg_balance_choose(balance, 0, &fair).target, 1);
     ck_assert_uint_eq(wg_balance_choose(balance, 0, &beyond).target, 0);
     end();
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -37,8 +37,8 @@
     ck_assert_int_eq(b.ahead, b.total);
     ck_assert_int_lt(a.ahead, b.ahead);
     ck_assert_int_eq(f.ahead, 0);
-    ck_assert(!b.spares_shared);
-    ck_assert(a.spares_shared);
+    ck_assert(!b.counts_missing);
+    ck_assert(a.counts_missing);
     ck_assert(wg_policy_may_spill_over(&below));
     ck_assert(!wg_policy_may_spill_over(&above));
     ck_assert_int_eq(wg_policy_admission_requests_max(&below), 3);
--- a/tests/test_usage.c
+++ b/tests/test_usage.c
@@ -92,7 +92,7 @@
     const wg_usage* total = own->pdata[0];
     ck_assert_uint_eq(total->workspace, OTHER);
     ck_assert_uint_eq(total->tokens, 100000);
-    ck_assert_uint_eq(total->asked, 100000);
+    ck_assert_uint_eq(total->demand, 100000);
     g_ptr_array_unref(own);
     wg_usage_shutdown(ledger);
 }
