--- a/tests/sim/soak_callers.c
+++ b/tests/sim/soak_callers.c
@@ -1,4 +1,4 @@
-/* soak_callers.c -- callers of the fault soak, and what they check of each answer */
+/* soak_callers.c -- callers of the fault soak; each checks its answers */
 #include <string.h>
 
 #include "soak_internal.h"
@@ -154,7 +154,7 @@
     }
     char prompt[160] = "";
     if (c->kind == CALL_STREAM) {
-        /* Entry hosts admit prompts for each other; a few of the parts are shared. */
+        /* Shared prompt parts, so that entry hosts request admissions from each other. */
         g_snprintf(
             prompt, sizeof prompt,
             "Walnutgate-Prompt-Parts: %d:800,%s:200\r\nWalnutgate-Prompt-Tokens: 1000,%d\r\n",
--- a/tests/sim/soak_cold.c
+++ b/tests/sim/soak_cold.c
@@ -1,9 +1,9 @@
-/* soak_cold.c -- targets start again, cold, while the hosts that grant them requests change
+/* soak_cold.c -- targets restart cold while their coordinators change
 
-   Replicas stand still for so long that the leader changes: a new one lists hosts as their links
-   come up, so that the host that grants a target changes several times in a moment, as in the run
-   in which three hosts granted the same cold target. A host itself loses power now and then; one
-   that has just started grants nothing, so it is not often. */
+   Replicas stall until the leader changes. A new leader lists hosts as their links come up, so the
+   coordinator of a target can change several times in quick succession: this guards against more
+   than two coordinators granting the same cold target. Hosts restart rarely, because a host that
+   has just started grants nothing. */
 #include <signal.h>
 
 #include "soak_internal.h"
--- a/tests/sim/soak_crasher.c
+++ b/tests/sim/soak_crasher.c
@@ -1,8 +1,8 @@
-/* soak_crasher.c -- a caller of the fault soak whose request ends each target that runs it
+/* soak_crasher.c -- a caller of the fault soak whose request crashes each target that runs it
 
-   It comes again and again, at any host, beside all other faults. Once the faults are over and all
-   hosts serve it goes on for some seconds: from a time after the third end all hosts have to know.
- */
+   The request is sent repeatedly, to random hosts, beside all other faults. Once the fault phase is
+   over and all hosts serve, it is sent for CRASH_CHECK_TIME more: by then all hosts have to refuse
+   it. */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 #include <string.h>
@@ -12,15 +12,16 @@
 #include "wg_net.h"
 
 enum {
-    CRASH_STATUS = 70, /* exit status of a stand-in that a request ended */
+    CRASH_STATUS = 70, /* exit status of a fake target that a request crashed */
     CRASH_GAP_MS = 400,
     CRASH_SPAN_MS = 1200,
     DOWN_MS = 300,
     DOWN_SPAN_MS = 2000,
-    ENDS_KNOWN = 3, /* so many ends are enough for all hosts to know */
+    ENDS_KNOWN = 3, /* crashes after which all hosts have to refuse the request */
     KNOWN_AFTER = 4 * WG_USEC_PER_SEC,
-    ENDS_LATE_MOST = 3,               /* afterwards */
-    LAST_TIME = 14 * WG_USEC_PER_SEC, /* without the refusal two targets then end some ten times */
+    ENDS_LATE_MOST = 3, /* crashes allowed after KNOWN_AFTER */
+    LAST_TIME =
+        14 * WG_USEC_PER_SEC, /* long enough to exceed ENDS_LATE_MOST if hosts don't refuse */
     LAST_GAP_MS = 250
 };
 
@@ -55,7 +56,7 @@
     evhttp_make_request(connection, request, EVHTTP_REQ_POST, "/stream/25");
 }
 
-/* Ends count as late only while there are no faults. */
+/* A crash counts as late only during the crash check, when there are no other faults. */
 static void note_crash(soak* s, wg_time now) {
     s->result.crashes++;
     if (s->result.crashes == ENDS_KNOWN) {
--- a/tests/sim/soak_faults.c
+++ b/tests/sim/soak_faults.c
@@ -1,4 +1,4 @@
-/* soak_faults.c -- faults of the soak, from outside the processes, and their ends */
+/* soak_faults.c -- injects faults into the processes of a soak from outside, and ends them */
 #include <errno.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -9,7 +9,7 @@
 typedef struct {
     wg_time at;
     repair_kind kind;
-    int number; /* host or target */
+    int number; /* index of the host or target */
     bool target;
     int disturbance;
 } repair;
@@ -27,7 +27,7 @@
     }
 }
 
-/* No file of the replica can grow or be written: to it, a full disk. */
+/* Simulates a full disk: the replica's file size limit is 0. */
 static void set_disk_full(const host* w, bool full) {
     struct rlimit limit;
     if (w->replica > 0 && prlimit(w->replica, RLIMIT_FSIZE, NULL, &limit) == 0) {
@@ -128,7 +128,7 @@
         soak_kill(&w->entry);
         soak_plan_repair(s, REPAIR_ENTRY, number, false, 100 + (int)soak_draw(s, 1500), at);
         break;
-    case 1: /* a planned stop; callers keep their connections until it is gone */
+    case 1: /* planned stop; restarts after the grace period for open connections */
         kill(w->entry, SIGTERM);
         soak_plan_repair(s, REPAIR_ENTRY, number, false, 300, at);
         ((repair*)s->repairs.tail->data)->at = wg_now() + 8500 * WG_USEC_PER_MSEC;
@@ -210,11 +210,11 @@
 void soak_fault_target(soak* s, int number) {
     host_target* t = &s->h.targets[number];
     if (t->pid <= 0) {
-        return; /* it has just ended by itself; a signal to 0 would go to this process too */
+        return; /* already exited; a signal to pid 0 would reach this process */
     }
     int at = soak_disturb(s);
     if (s->desc.drains || soak_draw(s, 2)) {
-        kill(t->pid, SIGHUP); /* it drains and leaves */
+        kill(t->pid, SIGHUP); /* planned drain */
         soak_plan_repair(s, REPAIR_TARGET, number, true, 5500, at);
         s->disturbances[at].planned = true;
     } else {
@@ -225,7 +225,7 @@
 
 void soak_strike(soak* s, wg_time now) {
     enum {
-        BUSY_ONE_IN = 3 /* of the faults of a run with rests */
+        BUSY_ONE_IN = 3 /* of the faults of a run with `rests` */
     };
     if (now < s->fault_at || s->desc.calm) {
         return;
--- a/tests/sim/soak_harsh.c
+++ b/tests/sim/soak_harsh.c
@@ -1,12 +1,12 @@
 /* soak_harsh.c -- faults of a harsh run
 
-   Processes that stand still for tens to hundreds of milliseconds, again and again, as on a machine
-   that is busy or waits for its disk; losses of power on many at once, with as many lost disks as
-   the fleet has to bear; hosts that never come back, with an empty one in their place.
+   Repeated process stalls of tens to hundreds of milliseconds, as on a machine that is overloaded
+   or waits for its disk; simultaneous power losses with as many lost disks as the fleet has to
+   bear; hosts that are permanently replaced by empty ones.
 
-   No more disks are lost than a fleet can bear: the next ones only CATCH_UP_TIME after the last
-   ones, or the host that was replaced, are back. Until then replicas have no faults but short
-   stalls and, now and then, a loss of power on all, after which the time begins anew. */
+   At most as many disks are lost as the fleet can bear: further ones only CATCH_UP_TIME after the
+   replicas that lost theirs, or the replacement host, have started. Until then replicas have only
+   short stalls and an occasional power loss on all of them, which restarts that period. */
 #include <signal.h>
 
 #include "soak_internal.h"
@@ -53,8 +53,8 @@
     return DOWN_MS_MIN + (int)soak_draw(s, DOWN_MS_SPAN);
 }
 
-/* Whoever lost its disk, or stands in for another one, has its time from its next start: at the
-   earliest after the time that it is down, and see soak_note_replica_start(). */
+/* A replica that lost its disk, or replaces another, has CATCH_UP_TIME from its start. The start is
+   assumed at the end of the longest downtime; soak_note_replica_start() corrects it if later. */
 static void begin_catch_up(soak* s) {
     wg_time down = (DOWN_MS_MIN + DOWN_MS_SPAN) * (wg_time)WG_USEC_PER_MSEC;
     s->lost_until = wg_now() + down + CATCH_UP_TIME;
@@ -77,7 +77,7 @@
     }
 }
 
-/* Disks of some hosts that have just lost power. */
+/* Wipes the disks of up to `num` random hosts whose replicas are down. */
 static void lose_disks(soak* s, int num) {
     enum {
         TRIES = 4 * HOSTS_MAX
@@ -95,7 +95,7 @@
     }
 }
 
-/* All replicas, or all hosts, lose power; some of them their disks, when none counts as lost. */
+/* Power loss on all replicas or on all hosts; disks are lost only when none counts as lost yet. */
 static void power_off_all(soak* s, wg_time now, bool entries) {
     int lose = is_whole(s, now) ? (int)soak_draw(s, (uint64_t)s->h.losses + 1) : 0;
     if (now < s->lost_until || lose > 0) {
@@ -104,7 +104,7 @@
     soak_power_off_all(s, entries, lose);
 }
 
-/* A spare that was not used yet; -1: none. */
+/* Index of an unused spare host; -1: none. */
 static int find_spare(const soak* s) {
     for (int i = s->desc.hosts; i < s->h.num; i++) {
         if (s->h.hosts[i].away && !s->h.hosts[i].spent) {
@@ -114,7 +114,7 @@
     return -1;
 }
 
-/* The successor starts beside the host that is to end, or a second after its end. */
+/* The replacement starts before the host is killed if `beside`, else a second later. */
 static void start_successor(soak* s, int number, bool beside) {
     int at = soak_disturb(s);
     host* w = &s->h.hosts[number];
@@ -132,9 +132,8 @@
 /* ---- functions of the soak --------------------------------------------------------------------
  */
 
-/* On a machine that stands still the start comes later than it was planned. In one run a replica
-   whose disk was lost started 2.8 s or more after the loss, in place of 1.8 s at most, and the
-   next disk was lost within 1.5 s of that start. */
+/* On a machine that stalls a replica can start later than planned: without the correction the next
+   disk could be lost before the replica has caught up. */
 void soak_note_replica_start(soak* s) {
     wg_time caught_up = wg_now() + CATCH_UP_TIME;
     if (s->catches_up) {
@@ -171,8 +170,8 @@
 void soak_strike_harsh(soak* s, wg_time now) {
     enum {
         KINDS = 12,
-        KINDS_OF_REPLICAS = 4, /* the first ones */
-        OVERLAP_ONE_IN = 6     /* of those that would strike a replica that catches up */
+        KINDS_OF_REPLICAS = 4, /* kinds below this one affect replicas */
+        OVERLAP_ONE_IN = 6     /* of the replica faults drawn during catch-up */
     };
     int number = draw_host(s);
     int target = (int)soak_draw(s, (uint64_t)s->h.targets_num);
--- a/tests/sim/soak_internal.h
+++ b/tests/sim/soak_internal.h
@@ -1,5 +1,5 @@
 #pragma once
-/* soak_internal.h -- state of a fault soak, shared by the files soak_*.c */
+/* soak_internal.h -- state of a fault soak run, shared by the files soak_*.c */
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -13,25 +13,26 @@
     CALLERS = 16,
     VERSIONS_MAX = 400,
     STREAM_EVENTS = 25,
-    PROMPT_PARTS = 12, /* shared between streams */
+    PROMPT_PARTS = 12, /* distinct shared prompt parts of streams */
     DISTURBANCES_MAX = 1000,
     EVACUATIONS_MAX = 100,
-    EVACUATION_BOUND = 2 * WG_USEC_PER_SEC, /* after its acknowledgement nothing more comes */
+    EVACUATION_BOUND =
+        2 * WG_USEC_PER_SEC, /* from the acknowledgement until targets receive no more requests */
     CALL_TIME = 4 * WG_USEC_PER_SEC,
-    CALM_TIME = 5 * WG_USEC_PER_SEC,        /* after a fault, before bounds in time hold again */
-    FAULTS_AFTER = 1500 * WG_USEC_PER_MSEC, /* of the callers' begin */
-    FORM_TIME = 60 * WG_USEC_PER_SEC,       /* for the fleet to serve for the first time */
-    SETTLE_TIME = 20 * WG_USEC_PER_SEC,     /* after the last fault, to serve everywhere */
-    CATCH_UP_TIME = 4 * WG_USEC_PER_SEC,    /* for a replica that is back with an empty disk */
-    SPARES = 2                              /* hosts that may come in place of others */
+    CALM_TIME = 5 * WG_USEC_PER_SEC, /* after a fault, during which time bounds are not checked */
+    FAULTS_AFTER = 1500 * WG_USEC_PER_MSEC, /* from the start of the callers to the first fault */
+    FORM_TIME = 60 * WG_USEC_PER_SEC,       /* from the start until all hosts serve */
+    SETTLE_TIME = 20 * WG_USEC_PER_SEC,     /* from the last fault until all hosts serve */
+    CATCH_UP_TIME = 4 * WG_USEC_PER_SEC,    /* for a replica that restarted with an empty disk */
+    SPARES = 2                              /* hosts that replace others during a run */
 };
 
-/* What each host is asked at the end. */
+/* Requests that check each host before the first and after the last fault. */
 typedef enum {
-    PROBE_SERVICE = 0, /* a page of the plain service */
+    PROBE_SERVICE = 0, /* a request to the plain service */
     PROBE_ENGINE,
-    PROBE_NEWEST, /* a route that only the newest configuration has */
-    PROBE_FORMER, /* a route that only the one before it had */
+    PROBE_NEWEST, /* a route that exists only in the newest configuration */
+    PROBE_FORMER, /* a route that existed only in the previous configuration */
     PROBE_READ,   /* the configuration, read back */
     PROBES
 } probe_kind;
@@ -45,13 +46,13 @@
 
 typedef struct soak soak;
 
-/* A caller with one request at a time. */
+/* A caller with at most one request in flight. */
 typedef struct {
     soak* s;
     int number;
-    int host; /* number of the one that it is connected to */
+    int host; /* number of the host that it is connected to */
     struct bufferevent* bev;
-    struct event* timer; /* next step: start, or give up */
+    struct event* timer; /* starts the next request, or times out the current one */
     bool busy;
     call_kind kind;
     char id[40];
@@ -66,22 +67,22 @@
 
 typedef struct {
     wg_time from;
-    wg_time until;    /* 0: goes on */
-    bool planned;     /* bounds in time hold all the same */
-    int entry;        /* number of the host whose entry process it concerns; 0: of none */
-    int target_links; /* number of the target whose links it spoils; 0: of none */
+    wg_time until;    /* 0: still active */
+    bool planned;     /* time bounds are checked during this fault */
+    int entry;        /* number of the host whose entry process is affected; 0: none */
+    int target_links; /* number of the target whose links are impaired; 0: none */
 } disturbance;
 
-/* From the acknowledgement of an evacuation until its end was ordered first. */
+/* From the acknowledgement of an evacuation until the first request to end it was sent. */
 typedef struct {
     wg_time from;
-    wg_time until; /* 0: goes on */
+    wg_time until; /* 0: still active */
 } evacuation;
 
 typedef struct {
     soak* s;
     bool put;
-    int version; /* put: that is sent; get: acknowledged when it was asked for */
+    int version; /* put: version sent; get: version acknowledged when the read was sent */
 } order;
 
 struct soak {
@@ -91,17 +92,17 @@
     hosts h;
     uint64_t counter;
     caller callers[CALLERS];
-    bool formed; /* the fleet has served everywhere */
-    bool quiet;  /* faults are over */
+    bool formed; /* all hosts have served once; callers and faults have started */
+    bool quiet;  /* the fault phase is over */
     bool ended;
-    GHashTable* promised;   /* ids that were refused as not run */
-    GHashTable* unsafe_ids; /* ids of requests that may not be repeated */
-    int version;            /* last one made */
+    GHashTable* promised;   /* ids of requests refused with 429 or 503, which must not have run */
+    GHashTable* unsafe_ids; /* ids of requests that must run at most once */
+    int version;            /* newest configuration version sent */
     int acknowledged;
     bool put_open;
-    bool evacuating; /* the order now is to begin an evacuation; else to end one */
+    bool evacuating; /* the operator wants the data centre evacuated */
     bool evacuation_acknowledged;
-    bool evacuation_open; /* an order is on its way */
+    bool evacuation_open; /* an evacuation request is in flight */
     evacuation evacuations[EVACUATIONS_MAX];
     int evacuations_num;
     wg_time faults_until;
@@ -112,68 +113,72 @@
     struct event* tick;
     wg_time operator_at;
     wg_time fault_at;
-    wg_time crash_at; /* when the request that ends targets comes next */
+    wg_time crash_at; /* when the next crashing request is sent */
     int crashes_sent;
     wg_time third_crash_at;
-    wg_time last_crashes_at;        /* faults are over, the request still comes; 0: not yet */
-    int crashes_late;               /* targets that it ended when all hosts had to know */
-    GQueue repairs;                 /* repair*, by time */
-    bool passed[HOSTS_MAX][PROBES]; /* since the last fault, with the newest version */
+    wg_time last_crashes_at; /* start of the crash check after the fault phase; 0: not started */
+    int crashes_late;        /* targets that crashed although all hosts had to refuse the request */
+    GQueue repairs;          /* repair* */
+    bool passed[HOSTS_MAX][PROBES]; /* probes passed with the version passed_version */
     int passed_version;
-    wg_pulse pulse;     /* how late this process is */
-    wg_time lost_until; /* a lost disk counts until then */
-    bool catches_up;    /* a disk is lost, or a host replaced, and counts still */
-    wg_time lose_at;    /* successions: when a disk is lost; 0: nobody was replaced yet */
+    wg_pulse pulse;     /* event-loop delay of the soak process */
+    wg_time lost_until; /* the last lost disk or replaced host counts as a loss until then */
+    bool catches_up;    /* a lost disk or replaced host still counts as a loss */
+    wg_time lose_at;    /* successions: when a disk is lost; 0: no host was replaced yet */
 };
 
 /* ---- soak_run.c ---- */
-/* The run's next random number; it depends on the seed and on what was drawn before. */
+/* Random number below `below`; depends only on the seed and the number of earlier calls. */
 uint64_t soak_draw(soak* s, uint64_t below);
-/* A promise is broken; the first one is told. */
+/* Records a violated guarantee; only the first one is reported. */
 void soak_broken(soak* s, const char* format, ...) G_GNUC_PRINTF(2, 3);
+/* A random host that is part of the fleet. */
 host* soak_any_host(soak* s);
-/* A fault begins; its place among the disturbances. */
+/* Records the start of a fault; returns its index in `disturbances`. */
 int soak_disturb(soak* s);
 
 /* ---- soak_probe.c ---- */
-/* Ask each host what it has not passed yet. */
+/* Sends each host the probes that it has not passed yet. */
 void soak_probe(soak* s);
 bool soak_all_passed(const soak* s);
-/* What is missing, for the report of a broken run; the caller frees it. */
+/* The probes that have not passed, for the report of a failed run; freed by the caller. */
 char* soak_describe_probes(const soak* s);
 
 /* ---- soak_harsh.c ---- */
-/* One of the harsh faults; replicas and entry hosts are started again by soak_repair. */
+/* Injects one harsh fault; soak_repair() restarts replicas and entry processes. */
 void soak_strike_harsh(soak* s, wg_time now);
 
-/* A host with a disk is replaced by a spare; false when none is left or may go now. */
+/* Replaces a host that has a disk by a spare; false when no spare is left or the fleet could not
+   bear another loss now. */
 bool soak_replace_host(soak* s, int number, wg_time now);
-/* Short of power at once: all hosts; so many of them lose their disks too. */
+/* Power loss on all replicas, and on all entry processes if `entries`; `lose` hosts lose their
+   disks too. */
 void soak_power_off_all(soak* s, bool entries, int lose);
-/* A replica has started, perhaps one that catches up. */
+/* A replica has started: extends the catch-up period when one is running. */
 void soak_note_replica_start(soak* s);
 
 /* ---- soak_succession.c ---- */
-/* The next fault of a run that has successions only. */
+/* Injects the next fault of a run with `successions`. */
 void soak_strike_succession(soak* s, wg_time now);
 
 /* ---- soak_cold.c ---- */
-/* The next fault of a run that has cold targets only. */
+/* Injects the next fault of a run with `colds`. */
 void soak_strike_cold(soak* s, wg_time now);
 
 /* ---- soak_crasher.c ---- */
-/* Note targets that ended by themselves; those that a request ended start again. */
+/* Reaps targets that exited by themselves, counts crashes, and schedules restarts. */
 void soak_crash_watch(soak* s);
-/* Let the request come when it is due. */
+/* Sends the crashing request when it is due. */
 void soak_crash(soak* s, wg_time now);
-/* After all other faults: the request comes for some seconds more; true once that is over. */
+/* After the fault phase: keeps sending the crashing request and checks that hosts refuse it; true
+   once that check is over. */
 bool soak_crash_is_known(soak* s, wg_time now);
 
 /* ---- soak_rest.c ---- */
-/* A target turns requests away for a while and asks for rest; false when it cannot now. */
+/* Makes a target refuse requests with a backoff hint; false when it is down or already faulty. */
 bool soak_make_busy(soak* s, int number);
 void soak_end_busy(soak* s, int number);
-/* What came to targets against their wish. */
+/* Checks the requests that reached targets against a backoff hint or while draining. */
 void soak_check_unheeded(soak* s, const hosts_notes* notes);
 
 /* ---- soak_callers.c ---- */
@@ -182,32 +187,32 @@
 void soak_callers_end(soak* s);
 
 /* ---- soak_operator.c ---- */
-/* Send configurations and reads of them, and check what comes back. */
+/* Sends configurations, reads and evacuations, and checks the answers. */
 void soak_operate(soak* s, wg_time now);
 
 /* ---- soak_faults.c ---- */
-/* Let a fault strike when one is due. */
+/* Injects a fault when one is due. */
 void soak_strike(soak* s, wg_time now);
-/* End the faults whose time is over. */
+/* Ends the faults whose time is over. */
 void soak_repair(soak* s, wg_time now);
 typedef enum {
-    REPAIR_ENTRY = 0, /* start it again */
+    REPAIR_ENTRY = 0, /* restart the entry process */
     REPAIR_REPLICA,
     REPAIR_TARGET,
     REPAIR_CONTINUE_ENTRY, /* after SIGSTOP */
     REPAIR_CONTINUE_REPLICA,
     REPAIR_DISK,
     REPAIR_LINKS,
-    REPAIR_BUSY /* a target turns requests away */
+    REPAIR_BUSY /* end a target's overload */
 } repair_kind;
-/* End a fault after so many milliseconds; `at`: its place among the disturbances. */
+/* Schedules the end of a fault after `ms` milliseconds; `at`: its index in `disturbances`. */
 void soak_plan_repair(soak* s, repair_kind kind, int number, bool target, int ms, int at);
 bool soak_is_repairing(const soak* s, int number, bool target);
-/* Is a replica down, standing still, or behind spoilt links now? */
+/* Is a replica down, stopped, or behind impaired links now? */
 bool soak_is_repairing_replicas(const soak* s);
-/* SIGKILL, and wait for the end. */
+/* Sends SIGKILL and waits for the process to exit. */
 void soak_kill(pid_t* pid);
-/* The faults of a run that is not harsh, on one host or target. */
+/* Faults on one host or target. */
 void soak_fault_entry(soak* s, int number);
 void soak_fault_links(soak* s, int number, bool target);
 void soak_fault_target(soak* s, int number);
--- a/tests/sim/soak_operator.c
+++ b/tests/sim/soak_operator.c
@@ -1,4 +1,4 @@
-/* soak_operator.c -- the operator of the fault soak: configurations, and reads of them */
+/* soak_operator.c -- the operator of the fault soak: configurations, reads and evacuations */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 #include <jansson.h>
@@ -61,7 +61,7 @@
     g_free(o);
 }
 
-/* A connection to any host's orders address; it frees itself after one request. */
+/* A connection to a random host's orders address; freed after one request. */
 static struct evhttp_connection* connect_to_orders(soak* s) {
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
@@ -115,10 +115,11 @@
                         "/v1/evacuations/" HOSTS_EVACUABLE);
 }
 
-/* What got no clear answer is ordered again; now and then the other thing is. */
+/* Repeats the last request until it is acknowledged, then at random begins or ends an evacuation.
+ */
 static void operate_evacuation(soak* s) {
     enum {
-        CHANGE_ONE_IN = 10 /* looks of the operator, four a second */
+        CHANGE_ONE_IN = 10 /* operator periods */
     };
     if (s->evacuation_open || !s->formed) {
         return;
@@ -148,7 +149,7 @@
     if (s->put_open) {
         return;
     }
-    /* What got no clear answer goes out again unchanged; sometimes an old version does. */
+    /* A configuration that was not acknowledged is sent again unchanged. */
     bool again = s->acknowledged < s->version;
     if (!again && s->version < VERSIONS_MAX && !s->quiet) {
         s->version++;
--- a/tests/sim/soak_probe.c
+++ b/tests/sim/soak_probe.c
@@ -1,7 +1,7 @@
-/* soak_probe.c -- what each host is asked once the faults are over
+/* soak_probe.c -- requests that check each host before the first and after the last fault
 
-   Routes that one version alone has show which configuration a host obeys; a read shows whether it
-   finds a leader. */
+   Routes that exist in one version only show which configuration a host applies; a read shows
+   whether it reaches a leader. */
 #include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 #include <jansson.h>
@@ -11,9 +11,9 @@
 
 typedef struct {
     soak* s;
-    int number; /* host */
+    int number; /* index of the host */
     probe_kind kind;
-    int version; /* the newest when it was asked */
+    int version; /* newest acknowledged version when the probe was sent */
 } probe;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -1,10 +1,9 @@
-/* soak_rest.c -- targets of the fault soak that turn requests away and ask for rest, and what came
-   to them against their wish
+/* soak_rest.c -- targets that refuse requests with backoff hints, and the check that hosts comply
 
-   Each target counts by the host that a request was sent to. What excuses a host is looked up for
-   each single case: its process ended, stood still or started meanwhile, or the links to the target
-   were spoilt, so that the wish may not have come. Nothing else does: no lost leader, no
-   configuration, no list of targets, no SIGHUP. */
+   Targets record violations per host. A violation is excused only if that host's entry process was
+   down, stopped or restarted, or the links to the target were impaired, so that the hint may not
+   have arrived. Other faults don't excuse it: lost leaders, new configurations, changed target
+   lists, SIGHUP. */
 #include <inttypes.h>
 
 #include "soak_internal.h"
@@ -16,7 +15,8 @@
     REST_MS_SPAN = 3000,
     BUSY_MS_MIN = 500,
     BUSY_MS_SPAN = 4000,
-    /* From the answer until the wish counts, and for what a fault held up to arrive. */
+    /* ON_ITS_WAY: from the answer until its hint has to be obeyed. AFTER_FAULT: after a fault, for
+       requests that it delayed. */
     ON_ITS_WAY = 600 * WG_USEC_PER_MSEC,
     AFTER_FAULT = 1 * WG_USEC_PER_SEC
 };
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -57,7 +57,7 @@
 /* ---- the end ------------------------------------------------------------------------------------
  */
 
-/* Callers and faults begin once the fleet serves everywhere, however long the machine takes. */
+/* Starts callers and faults once all hosts serve. */
 static void await_fleet(soak* s, wg_time now) {
     soak_probe(s);
     if (soak_all_passed(s)) {
@@ -81,8 +81,8 @@
     }
 }
 
-/* A run that is broken says how late this process was itself: on a machine that stands still for
-   seconds faults are longer than they were drawn. */
+/* A failed run reports the event-loop delay of this process: on a machine that stalls, faults last
+   longer than planned. */
 static void tell_lateness(soak* s) {
     s->result.late_ms = (int)(s->pulse.late.max / WG_USEC_PER_MSEC);
     if (!s->result.good) {
@@ -216,7 +216,7 @@
     s->desc.hosts = desc->hosts ? desc->hosts : 4;
     s->desc.disks = desc->disks ? desc->disks : 3;
     s->result.good = true;
-    s->evacuation_acknowledged = true; /* none is begun */
+    s->evacuation_acknowledged = true; /* no evacuation was requested */
     s->base = event_base_new();
     s->promised = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     s->unsafe_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -244,8 +244,8 @@
     }
     soak_callers_end(s);
     hosts_end(&s->h, !s->result.good || desc->keep);
-    /* The loop's last requests hold their connections; the process is about to end or to run the
-       next seed, with a loop of its own. */
+    /* The event base is not freed: requests in flight still use its connections. Each run has its
+       own base. */
     event_free(s->tick);
     g_hash_table_unref(s->promised);
     g_hash_table_unref(s->unsafe_ids);
--- a/tests/sim/soak_succession.c
+++ b/tests/sim/soak_succession.c
@@ -1,18 +1,19 @@
-/* soak_succession.c -- a host is replaced, leaders fall, then a disk is lost
+/* soak_succession.c -- a host is replaced, leaders lose their majority, then a disk is lost
 
-   Until the loss, replicas stand still in turn for longer than the longest election wait. With one
-   voter of three gone each of these costs the leader its majority, whoever leads. The loss comes
-   CATCH_UP_TIME to 15 s after the newcomer's start: from then on the fleet has to bear it. */
+   Until the disk is lost, replicas stall one at a time for longer than the longest election
+   timeout. With one voter of three removed, each stall costs the leader its majority. The disk is
+   lost at least CATCH_UP_TIME after the replacement started: from then on the fleet has to bear
+   it. */
 #include <signal.h>
 
 #include "soak_internal.h"
 
 enum {
-    STAND_MS_MIN = 550, /* deploy/replica.ini has waits of 300 to 500 ms */
+    STAND_MS_MIN = 550, /* above the election timeouts of deploy/replica.ini, 300 to 500 ms */
     STAND_MS_SPAN = 350,
-    LEAD_MS_MIN = 500, /* between two of them */
+    LEAD_MS_MIN = 500, /* between two stalls */
     LEAD_MS_SPAN = 1500,
-    NEWCOMER_MS = 1000, /* until it starts */
+    NEWCOMER_MS = 1000, /* until the replacement starts */
     LOSS_MS_SPAN = 11000
 };
 
