--- a/tests/sim/soak_callers.c
+++ b/tests/sim/soak_callers.c
@@ -5,7 +5,7 @@
 #include "wg_event_stream.h"
 #include "wg_net.h"
 
-static void caller_next(caller* c, int ms) {
+static void caller_schedule(caller* c, int ms) {
     struct timeval wait = {.tv_sec = ms / 1000, .tv_usec = ms % 1000 * 1000};
     event_add(c->timer, &wait);
 }
@@ -18,7 +18,7 @@
         bufferevent_free(c->bev);
         c->bev = NULL;
     }
-    caller_next(c, 5 + (int)soak_draw(c->s, 30));
+    caller_schedule(c, 5 + (int)soak_random(c->s, 30));
 }
 
 static void caller_fail(caller* c) {
@@ -36,39 +36,40 @@
             g_snprintf(expected, sizeof expected, "id: %d\ndata: %s-%d\n\n", number, c->id, number);
         size_t have = evbuffer_get_length(event);
         if (have != (size_t)size || memcmp(evbuffer_pullup(event, -1), expected, have) != 0) {
-            soak_broken(c->s, "%s: event %d is \"%.*s\"", c->id, number, (int)have,
-                        (const char*)evbuffer_pullup(event, -1));
+            soak_record_violation(c->s, "%s: event %d is \"%.*s\"", c->id, number, (int)have,
+                                  (const char*)evbuffer_pullup(event, -1));
         }
         evbuffer_drain(event, have);
     }
     evbuffer_free(event);
 }
 
-static void check_whole(caller* c) {
+static void check_answer(caller* c) {
     soak* s = c->s;
     int status = c->head.status;
     wg_text echoed = wg_message_field(&c->head, "Walnutgate-Request");
     if (echoed.text && (echoed.size != strlen(c->id) || memcmp(echoed.text, c->id, echoed.size))) {
-        soak_broken(s, "%s got the answer of %.*s", c->id, (int)echoed.size, echoed.text);
+        soak_record_violation(s, "%s got the answer of %.*s", c->id, (int)echoed.size, echoed.text);
     }
     if (status == 200 && c->kind == CALL_STREAM) {
         check_events(c);
         if (c->events_seen != STREAM_EVENTS || evbuffer_get_length(c->content) > 0) {
-            soak_broken(s, "%s: a stream ended as whole after %d events", c->id, c->events_seen);
+            soak_record_violation(s, "%s: a stream ended as whole after %d events", c->id,
+                                  c->events_seen);
         }
     } else if (status == 200) {
         char expected[64];
         int size = g_snprintf(expected, sizeof expected, "whole %s", c->id);
         size_t have = evbuffer_get_length(c->content);
         if (have != (size_t)size || memcmp(evbuffer_pullup(c->content, -1), expected, have) != 0) {
-            soak_broken(s, "%s: wrong body of %zu bytes", c->id, have);
+            soak_record_violation(s, "%s: wrong body of %zu bytes", c->id, have);
         }
     } else if (status == 429 || status == 503) {
         if (c->kind == CALL_UNSAFE) {
-            g_hash_table_add(s->promised, g_strdup(c->id));
+            g_hash_table_add(s->refused_ids, g_strdup(c->id));
         }
     } else if (status == 401 || status == 404 || status == 403 || status == 400) {
-        soak_broken(s, "%s was denied with %d", c->id, status);
+        soak_record_violation(s, "%s was denied with %d", c->id, status);
     }
     s->result.whole += status == 200;
     s->result.refused += status == 503 || status == 429;
@@ -80,7 +81,7 @@
     struct evbuffer* in = bufferevent_get_input(bev);
     if (!c->busy) {
         if (evbuffer_get_length(in) > 0) {
-            soak_broken(c->s, "%s: bytes after the whole answer", c->id);
+            soak_record_violation(c->s, "%s: bytes after the whole answer", c->id);
         }
         return;
     }
@@ -93,7 +94,7 @@
         c->bytes = g_malloc(size);
         evbuffer_remove(in, c->bytes, size);
         if (!wg_message_parse_answer(c->bytes, size, false, &c->head)) {
-            soak_broken(c->s, "%s: the head of the answer is malformed", c->id);
+            soak_record_violation(c->s, "%s: the head of the answer is malformed", c->id);
             caller_fail(c);
             return;
         }
@@ -105,10 +106,10 @@
         check_events(c);
     }
     if (state == WG_BODY_BAD) {
-        soak_broken(c->s, "%s: the body is malformed", c->id);
+        soak_record_violation(c->s, "%s: the body is malformed", c->id);
         caller_fail(c);
     } else if (state == WG_BODY_WHOLE) {
-        check_whole(c);
+        check_answer(c);
         caller_done(c, c->head.keep_alive);
     }
 }
@@ -129,12 +130,12 @@
 
 static void caller_start(caller* c) {
     soak* s = c->s;
-    static const char* const lines[CALL_KINDS] = {"POST /unsafe/x", "GET /safe/x",
-                                                  "POST /stream/25"};
+    static const char* const lines[CALL_KINDS_NUM] = {"POST /unsafe/x", "GET /safe/x",
+                                                      "POST /stream/25"};
     if (!c->bev) {
         struct sockaddr_storage address;
         int size;
-        const host* w = soak_any_host(s);
+        const host* w = soak_random_host(s);
         c->host = w->number;
         WG_ASSERT(wgn_parse_address(w->callers, &address, &size));
         c->bev =
@@ -147,7 +148,7 @@
     c->head_read = false;
     c->events_seen = 0;
     evbuffer_drain(c->content, evbuffer_get_length(c->content));
-    c->kind = (call_kind)soak_draw(s, CALL_KINDS);
+    c->kind = (call_kind)soak_random(s, CALL_KINDS_NUM);
     g_snprintf(c->id, sizeof c->id, "q%d-%d", c->number, ++s->result.requests);
     if (c->kind == CALL_UNSAFE) {
         g_hash_table_add(s->unsafe_ids, g_strdup(c->id));
@@ -158,14 +159,14 @@
         g_snprintf(
             prompt, sizeof prompt,
             "Walnutgate-Prompt-Parts: %d:800,%s:200\r\nWalnutgate-Prompt-Tokens: 1000,%d\r\n",
-            (int)soak_draw(s, PROMPT_PARTS), c->id, STREAM_EVENTS);
+            (int)soak_random(s, PROMPT_PARTS), c->id, STREAM_EVENTS);
     }
     evbuffer_add_printf(bufferevent_get_output(c->bev),
                         "%s HTTP/1.1\r\nHost: soak\r\nWalnutgate-Request: %s\r\n"
                         "Walnutgate-Key: key\r\nWalnutgate-Deadline-Ms: 3000\r\n"
                         "Asked-Host: %d\r\n%sContent-Length: 0\r\n\r\n",
                         lines[c->kind], c->id, c->host, prompt);
-    struct timeval wait = {.tv_sec = CALL_TIME / WG_USEC_PER_SEC};
+    struct timeval wait = {.tv_sec = CALL_TIMEOUT / WG_USEC_PER_SEC};
     event_add(c->timer, &wait);
 }
 
@@ -183,8 +184,8 @@
 /* ---- functions of the soak --------------------------------------------------------------------
  */
 
-void soak_callers_make(soak* s) {
-    for (int i = 0; i < CALLERS; i++) {
+void soak_callers_create(soak* s) {
+    for (int i = 0; i < CALLERS_NUM; i++) {
         caller* c = &s->callers[i];
         c->s = s;
         c->number = i;
@@ -193,8 +194,8 @@
     }
 }
 
-void soak_callers_end(soak* s) {
-    for (int i = 0; i < CALLERS; i++) {
+void soak_callers_destroy(soak* s) {
+    for (int i = 0; i < CALLERS_NUM; i++) {
         caller* c = &s->callers[i];
         if (c->bev) {
             bufferevent_free(c->bev);
@@ -206,7 +207,7 @@
 }
 
 void soak_callers_start(soak* s) {
-    for (int i = 0; i < CALLERS; i++) {
-        caller_next(&s->callers[i], i * 20);
+    for (int i = 0; i < CALLERS_NUM; i++) {
+        caller_schedule(&s->callers[i], i * 20);
     }
 }
--- a/tests/sim/soak_cold.c
+++ b/tests/sim/soak_cold.c
@@ -14,19 +14,19 @@
     TARGET_DOWN_MS = 200,
     ENTRY_DOWN_MS_MIN = 100,
     ENTRY_DOWN_MS_SPAN = 1500,
-    STAND_MS_MIN = 300,
-    STAND_MS_SPAN = 700
+    STALL_MS_MIN = 300,
+    STALL_MS_SPAN = 700
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
 static void restart_target(soak* s) {
-    int number = (int)soak_draw(s, (uint64_t)s->h.targets_num);
+    int number = (int)soak_random(s, (uint64_t)s->h.targets_num);
     if (soak_is_repairing(s, number, true)) {
         return;
     }
     soak_kill(&s->h.targets[number].pid);
-    soak_plan_repair(s, REPAIR_TARGET, number, true, TARGET_DOWN_MS, soak_disturb(s));
+    soak_plan_repair(s, REPAIR_TARGET, number, true, TARGET_DOWN_MS, soak_begin_disturbance(s));
 }
 
 static void restart_entry(soak* s, int number) {
@@ -34,29 +34,29 @@
         return;
     }
     soak_kill(&s->h.hosts[number].entry);
-    int ms = ENTRY_DOWN_MS_MIN + (int)soak_draw(s, ENTRY_DOWN_MS_SPAN);
-    soak_plan_repair(s, REPAIR_ENTRY, number, false, ms, soak_disturb(s));
+    int ms = ENTRY_DOWN_MS_MIN + (int)soak_random(s, ENTRY_DOWN_MS_SPAN);
+    soak_plan_repair(s, REPAIR_ENTRY, number, false, ms, soak_begin_disturbance(s));
 }
 
-static void let_replica_stand(soak* s) {
-    host* w = soak_any_host(s);
+static void stall_replica(soak* s) {
+    host* w = soak_random_host(s);
     int number = w->number - 1;
     if (w->replica <= 0 || soak_is_repairing(s, number, false)) {
         return;
     }
     kill(w->replica, SIGSTOP);
-    int ms = STAND_MS_MIN + (int)soak_draw(s, STAND_MS_SPAN);
-    soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_disturb(s));
+    int ms = STALL_MS_MIN + (int)soak_random(s, STALL_MS_SPAN);
+    soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_begin_disturbance(s));
 }
 
 /* ---- functions of the soak --------------------------------------------------------------------
  */
 
-void soak_strike_cold(soak* s, wg_time now) {
-    s->fault_at = now + (GAP_MS_MIN + (wg_time)soak_draw(s, GAP_MS_SPAN)) * WG_USEC_PER_MSEC;
-    switch (soak_draw(s, 10)) {
+void soak_inject_cold_fault(soak* s, wg_time now) {
+    s->next_fault_at = now + (GAP_MS_MIN + (wg_time)soak_random(s, GAP_MS_SPAN)) * WG_USEC_PER_MSEC;
+    switch (soak_random(s, 10)) {
     case 0:
-        restart_entry(s, soak_any_host(s)->number - 1);
+        restart_entry(s, soak_random_host(s)->number - 1);
         break;
     case 1:
     case 2:
@@ -65,7 +65,7 @@
         restart_target(s);
         break;
     default:
-        let_replica_stand(s);
+        stall_replica(s);
         break;
     }
 }
--- a/tests/sim/soak_crasher.c
+++ b/tests/sim/soak_crasher.c
@@ -14,15 +14,14 @@
 enum {
     CRASH_STATUS = 70, /* exit status of a fake target that a request crashed */
     CRASH_GAP_MS = 400,
-    CRASH_SPAN_MS = 1200,
+    CRASH_GAP_SPAN_MS = 1200,
     DOWN_MS = 300,
     DOWN_SPAN_MS = 2000,
-    ENDS_KNOWN = 3, /* crashes after which all hosts have to refuse the request */
-    KNOWN_AFTER = 4 * WG_USEC_PER_SEC,
-    ENDS_LATE_MOST = 3, /* crashes allowed after KNOWN_AFTER */
-    LAST_TIME =
-        14 * WG_USEC_PER_SEC, /* long enough to exceed ENDS_LATE_MOST if hosts don't refuse */
-    LAST_GAP_MS = 250
+    QUARANTINE_CRASHES = 3, /* crashes after which all hosts have to refuse the request */
+    QUARANTINE_SPREAD_TIME = 4 * WG_USEC_PER_SEC,
+    LATE_CRASHES_MAX = 3,                    /* crashes allowed after QUARANTINE_SPREAD_TIME */
+    CRASH_CHECK_TIME = 14 * WG_USEC_PER_SEC, /* would exceed LATE_CRASHES_MAX without refusal */
+    CRASH_CHECK_GAP_MS = 250
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
@@ -31,7 +30,7 @@
     soak* s = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
     if (status == 200) {
-        soak_broken(s, "a request that ends targets was answered as whole");
+        soak_record_violation(s, "a request that ends targets was answered as whole");
     }
 }
 
@@ -57,18 +56,19 @@
 }
 
 /* A crash counts as late only during the crash check, when there are no other faults. */
-static void note_crash(soak* s, wg_time now) {
+static void record_crash(soak* s, wg_time now) {
     s->result.crashes++;
-    if (s->result.crashes == ENDS_KNOWN) {
-        s->third_crash_at = now;
+    if (s->result.crashes == QUARANTINE_CRASHES) {
+        s->quarantine_at = now;
     }
-    bool late = s->result.crashes > ENDS_KNOWN && now > s->third_crash_at + KNOWN_AFTER;
-    s->crashes_late += late && s->last_crashes_at > 0;
+    bool late =
+        s->result.crashes > QUARANTINE_CRASHES && now > s->quarantine_at + QUARANTINE_SPREAD_TIME;
+    s->late_crashes += late && s->crash_check_at > 0;
 }
 
 /* ---- functions of the soak ------------------------------------------------------------------- */
 
-void soak_crash_watch(soak* s) {
+void soak_reap_targets(soak* s) {
     for (int i = 0; i < s->h.targets_num; i++) {
         host_target* t = &s->h.targets[i];
         int status;
@@ -77,35 +77,37 @@
         }
         t->pid = 0;
         if (WIFEXITED(status) && WEXITSTATUS(status) == CRASH_STATUS) {
-            note_crash(s, wg_now());
+            record_crash(s, wg_now());
         }
         if (!soak_is_repairing(s, i, true)) {
-            soak_plan_repair(s, REPAIR_TARGET, i, true, DOWN_MS + (int)soak_draw(s, DOWN_SPAN_MS),
-                             soak_disturb(s));
+            soak_plan_repair(s, REPAIR_TARGET, i, true, DOWN_MS + (int)soak_random(s, DOWN_SPAN_MS),
+                             soak_begin_disturbance(s));
         }
     }
 }
 
-void soak_crash(soak* s, wg_time now) {
-    if (!s->desc.crashes || now < s->crash_at) {
+void soak_send_crashing_request(soak* s, wg_time now) {
+    if (!s->desc.crashes || now < s->next_crash_at) {
         return;
     }
-    s->crash_at = now + (CRASH_GAP_MS + (wg_time)soak_draw(s, CRASH_SPAN_MS)) * WG_USEC_PER_MSEC;
-    send_crashing(s, soak_any_host(s));
+    s->next_crash_at =
+        now + (CRASH_GAP_MS + (wg_time)soak_random(s, CRASH_GAP_SPAN_MS)) * WG_USEC_PER_MSEC;
+    send_crashing(s, soak_random_host(s));
 }
 
-bool soak_crash_is_known(soak* s, wg_time now) {
+bool soak_run_crash_check(soak* s, wg_time now) {
     if (!s->desc.crashes) {
         return true;
     }
-    s->last_crashes_at = s->last_crashes_at ? s->last_crashes_at : now;
-    if (now >= s->crash_at) {
-        s->crash_at = now + LAST_GAP_MS * WG_USEC_PER_MSEC;
-        send_crashing(s, soak_any_host(s));
+    s->crash_check_at = s->crash_check_at ? s->crash_check_at : now;
+    if (now >= s->next_crash_at) {
+        s->next_crash_at = now + CRASH_CHECK_GAP_MS * WG_USEC_PER_MSEC;
+        send_crashing(s, soak_random_host(s));
     }
-    if (s->crashes_late > ENDS_LATE_MOST) {
-        soak_broken(s, "a request under which three targets had ended was sent to %d more",
-                    s->crashes_late);
+    if (s->late_crashes > LATE_CRASHES_MAX) {
+        soak_record_violation(s,
+                              "a request under which three targets had ended was sent to %d more",
+                              s->late_crashes);
     }
-    return now - s->last_crashes_at >= LAST_TIME;
+    return now - s->crash_check_at >= CRASH_CHECK_TIME;
 }
--- a/tests/sim/soak_faults.c
+++ b/tests/sim/soak_faults.c
@@ -60,7 +60,7 @@
     case REPAIR_REPLICA:
         reap(&w->replica);
         hosts_start_replica(&s->h, w);
-        soak_note_replica_start(s);
+        soak_record_replica_start(s);
         break;
     case REPAIR_TARGET:
         soak_kill(&t->pid);
@@ -75,8 +75,8 @@
     case REPAIR_DISK:
         set_disk_full(w, false);
         break;
-    case REPAIR_BUSY:
-        soak_end_busy(s, r->number);
+    case REPAIR_OVERLOAD:
+        soak_end_overload(s, r->number);
         break;
     case REPAIR_LINKS:
         proxy_set(r->target ? t->links : w->links, PROXY_PASS);
@@ -122,11 +122,11 @@
 
 void soak_fault_entry(soak* s, int number) {
     host* w = &s->h.hosts[number];
-    int at = soak_disturb(s);
-    switch (soak_draw(s, 4)) {
+    int at = soak_begin_disturbance(s);
+    switch (soak_random(s, 4)) {
     case 0:
         soak_kill(&w->entry);
-        soak_plan_repair(s, REPAIR_ENTRY, number, false, 100 + (int)soak_draw(s, 1500), at);
+        soak_plan_repair(s, REPAIR_ENTRY, number, false, 100 + (int)soak_random(s, 1500), at);
         break;
     case 1: /* planned stop; restarts after the grace period for open connections */
         kill(w->entry, SIGTERM);
@@ -135,7 +135,7 @@
         break;
     case 2:
         kill(w->entry, SIGSTOP);
-        soak_plan_repair(s, REPAIR_CONTINUE_ENTRY, number, false, 300 + (int)soak_draw(s, 3000),
+        soak_plan_repair(s, REPAIR_CONTINUE_ENTRY, number, false, 300 + (int)soak_random(s, 3000),
                          at);
         break;
     default:
@@ -147,12 +147,12 @@
 
 static void fault_replica(soak* s, int number) {
     host* w = &s->h.hosts[number];
-    int at = soak_disturb(s);
-    uint64_t kind = soak_draw(s, 4);
+    int at = soak_begin_disturbance(s);
+    uint64_t kind = soak_random(s, 4);
     bool may_wipe = wg_now() - s->wiped_at > 10 * WG_USEC_PER_SEC && s->repairs.length == 0;
     if (kind == 0) {
         kill(w->replica, SIGSTOP);
-        soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, 300 + (int)soak_draw(s, 3500),
+        soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, 300 + (int)soak_random(s, 3500),
                          at);
         return;
     }
@@ -166,7 +166,7 @@
         hosts_wipe(&s->h, w);
         s->wiped_at = wg_now();
     }
-    soak_plan_repair(s, REPAIR_REPLICA, number, false, 100 + (int)soak_draw(s, 2500), at);
+    soak_plan_repair(s, REPAIR_REPLICA, number, false, 100 + (int)soak_random(s, 2500), at);
 }
 
 static void fault_all_replicas(soak* s) {
@@ -174,15 +174,16 @@
         host* w = &s->h.hosts[i];
         if (w->disk && !soak_is_repairing(s, i, false)) {
             soak_kill(&w->replica);
-            soak_plan_repair(s, REPAIR_REPLICA, i, false, 50 + (int)soak_draw(s, 900),
-                             soak_disturb(s));
+            soak_plan_repair(s, REPAIR_REPLICA, i, false, 50 + (int)soak_random(s, 900),
+                             soak_begin_disturbance(s));
         }
     }
 }
 
 static void fault_disk(soak* s, int number) {
     set_disk_full(&s->h.hosts[number], true);
-    soak_plan_repair(s, REPAIR_DISK, number, false, 300 + (int)soak_draw(s, 3500), soak_disturb(s));
+    soak_plan_repair(s, REPAIR_DISK, number, false, 300 + (int)soak_random(s, 3500),
+                     soak_begin_disturbance(s));
 }
 
 static void fault_all_disks(soak* s) {
@@ -195,8 +196,8 @@
 
 void soak_fault_links(soak* s, int number, bool target) {
     proxy* links = target ? s->h.targets[number].links : s->h.hosts[number].links;
-    int at = soak_disturb(s);
-    uint64_t kind = soak_draw(s, PROXY_MODES);
+    int at = soak_begin_disturbance(s);
+    uint64_t kind = soak_random(s, PROXY_MODES);
     if (kind == 0) {
         proxy_reset(links);
         s->disturbances[at].until = wg_now();
@@ -204,7 +205,7 @@
         return;
     }
     proxy_set(links, (proxy_mode)kind);
-    soak_plan_repair(s, REPAIR_LINKS, number, target, 300 + (int)soak_draw(s, 3500), at);
+    soak_plan_repair(s, REPAIR_LINKS, number, target, 300 + (int)soak_random(s, 3500), at);
 }
 
 void soak_fault_target(soak* s, int number) {
@@ -212,52 +213,52 @@
     if (t->pid <= 0) {
         return; /* already exited; a signal to pid 0 would reach this process */
     }
-    int at = soak_disturb(s);
-    if (s->desc.drains || soak_draw(s, 2)) {
+    int at = soak_begin_disturbance(s);
+    if (s->desc.drains || soak_random(s, 2)) {
         kill(t->pid, SIGHUP); /* planned drain */
         soak_plan_repair(s, REPAIR_TARGET, number, true, 5500, at);
         s->disturbances[at].planned = true;
     } else {
         soak_kill(&t->pid);
-        soak_plan_repair(s, REPAIR_TARGET, number, true, 200 + (int)soak_draw(s, 2000), at);
+        soak_plan_repair(s, REPAIR_TARGET, number, true, 200 + (int)soak_random(s, 2000), at);
     }
 }
 
-void soak_strike(soak* s, wg_time now) {
+void soak_inject_fault(soak* s, wg_time now) {
     enum {
-        BUSY_ONE_IN = 3 /* of the faults of a run with `rests` */
+        OVERLOAD_ONE_IN = 3 /* of the faults of a run with `rests` */
     };
-    if (now < s->fault_at || s->desc.calm) {
+    if (now < s->next_fault_at || s->desc.calm) {
         return;
     }
-    if (s->desc.rests && soak_draw(s, BUSY_ONE_IN) == 0) {
-        soak_make_busy(s, (int)soak_draw(s, (uint64_t)s->h.targets_num));
+    if (s->desc.rests && soak_random(s, OVERLOAD_ONE_IN) == 0) {
+        soak_begin_overload(s, (int)soak_random(s, (uint64_t)s->h.targets_num));
     }
     if (s->desc.successions) {
-        soak_strike_succession(s, now);
+        soak_inject_replacement_fault(s, now);
         return;
     }
     if (s->desc.colds) {
-        soak_strike_cold(s, now);
+        soak_inject_cold_fault(s, now);
         return;
     }
-    s->fault_at = now + (wg_time)(100 + soak_draw(s, 900)) * WG_USEC_PER_MSEC;
+    s->next_fault_at = now + (wg_time)(100 + soak_random(s, 900)) * WG_USEC_PER_MSEC;
     if (s->desc.harsh) {
-        soak_strike_harsh(s, now);
+        soak_inject_harsh_fault(s, now);
         return;
     }
-    int number = (int)soak_draw(s, (uint64_t)s->h.num);
-    int target = (int)soak_draw(s, (uint64_t)s->h.targets_num);
+    int number = (int)soak_random(s, (uint64_t)s->h.num);
+    int target = (int)soak_random(s, (uint64_t)s->h.targets_num);
     if (s->desc.drains) {
         if (!soak_is_repairing(s, target, true)) {
             soak_fault_target(s, target);
         }
         return;
     }
-    uint64_t kind = soak_draw(s, 12);
+    uint64_t kind = soak_random(s, 12);
     if (kind == 0) {
         fault_all_replicas(s);
-    } else if (kind == 10 && soak_draw(s, 4) == 0) {
+    } else if (kind == 10 && soak_random(s, 4) == 0) {
         fault_all_disks(s);
     } else if (kind >= 10 && s->h.hosts[number].disk && !soak_is_repairing(s, number, false)) {
         fault_disk(s, number);
--- a/tests/sim/soak_harsh.c
+++ b/tests/sim/soak_harsh.c
@@ -14,66 +14,66 @@
 enum {
     STALL_MS_MIN = 50,
     STALL_MS_SPAN = 750,
-    STALLED_MOST = 6,
+    STALLED_MAX = 6,
     DOWN_MS_MIN = 300,
     DOWN_MS_SPAN = 1500
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static int draw_host(soak* s) {
+static int random_host_index(soak* s) {
     int number;
     do {
-        number = (int)soak_draw(s, (uint64_t)s->h.num);
+        number = (int)soak_random(s, (uint64_t)s->h.num);
     } while (s->h.hosts[number].away);
     return number;
 }
 
-static bool is_whole(const soak* s, wg_time now) {
-    return !soak_is_repairing_replicas(s) && now >= s->lost_until;
+static bool all_replicas_current(const soak* s, wg_time now) {
+    return !soak_is_repairing_replicas(s) && now >= s->loss_until;
 }
 
-static void stall_some(soak* s) {
-    int num = 1 + (int)soak_draw(s, STALLED_MOST);
+static void stall_processes(soak* s) {
+    int num = 1 + (int)soak_random(s, STALLED_MAX);
     for (int i = 0; i < num; i++) {
-        int number = draw_host(s);
+        int number = random_host_index(s);
         host* w = &s->h.hosts[number];
-        int ms = STALL_MS_MIN + (int)soak_draw(s, STALL_MS_SPAN);
-        bool replica = w->disk && soak_draw(s, 2);
+        int ms = STALL_MS_MIN + (int)soak_random(s, STALL_MS_SPAN);
+        bool replica = w->disk && soak_random(s, 2);
         if (soak_is_repairing(s, number, false)) {
             continue;
         }
         kill(replica ? w->replica : w->entry, SIGSTOP);
         soak_plan_repair(s, replica ? REPAIR_CONTINUE_REPLICA : REPAIR_CONTINUE_ENTRY, number,
-                         false, ms, soak_disturb(s));
+                         false, ms, soak_begin_disturbance(s));
     }
 }
 
-static int down_ms(soak* s) {
-    return DOWN_MS_MIN + (int)soak_draw(s, DOWN_MS_SPAN);
+static int random_downtime_ms(soak* s) {
+    return DOWN_MS_MIN + (int)soak_random(s, DOWN_MS_SPAN);
 }
 
 /* A replica that lost its disk, or replaces another, has CATCH_UP_TIME from its start. The start is
-   assumed at the end of the longest downtime; soak_note_replica_start() corrects it if later. */
+   assumed at the end of the longest downtime; soak_record_replica_start() corrects it if later. */
 static void begin_catch_up(soak* s) {
     wg_time down = (DOWN_MS_MIN + DOWN_MS_SPAN) * (wg_time)WG_USEC_PER_MSEC;
-    s->lost_until = wg_now() + down + CATCH_UP_TIME;
-    s->catches_up = true;
+    s->loss_until = wg_now() + down + CATCH_UP_TIME;
+    s->catching_up = true;
 }
 
-static void power_off(soak* s, int number, bool entries) {
+static void power_off_host(soak* s, int number, bool entries) {
     host* w = &s->h.hosts[number];
     if (soak_is_repairing(s, number, false)) {
         return;
     }
-    int ms = down_ms(s);
+    int ms = random_downtime_ms(s);
     if (w->disk) {
         soak_kill(&w->replica);
-        soak_plan_repair(s, REPAIR_REPLICA, number, false, ms, soak_disturb(s));
+        soak_plan_repair(s, REPAIR_REPLICA, number, false, ms, soak_begin_disturbance(s));
     }
     if (entries) {
         soak_kill(&w->entry);
-        soak_plan_repair(s, REPAIR_ENTRY, number, false, ms, soak_disturb(s));
+        soak_plan_repair(s, REPAIR_ENTRY, number, false, ms, soak_begin_disturbance(s));
     }
 }
 
@@ -84,7 +84,7 @@
     };
     bool lost[HOSTS_MAX] = {false};
     for (int tries = 0; num > 0 && tries < TRIES; tries++) {
-        int number = draw_host(s);
+        int number = random_host_index(s);
         host* w = &s->h.hosts[number];
         if (w->disk && w->replica == 0 && !lost[number]) {
             lost[number] = true;
@@ -96,9 +96,9 @@
 }
 
 /* Power loss on all replicas or on all hosts; disks are lost only when none counts as lost yet. */
-static void power_off_all(soak* s, wg_time now, bool entries) {
-    int lose = is_whole(s, now) ? (int)soak_draw(s, (uint64_t)s->h.losses + 1) : 0;
-    if (now < s->lost_until || lose > 0) {
+static void power_off_random(soak* s, wg_time now, bool entries) {
+    int lose = all_replicas_current(s, now) ? (int)soak_random(s, (uint64_t)s->h.losses + 1) : 0;
+    if (now < s->loss_until || lose > 0) {
         begin_catch_up(s);
     }
     soak_power_off_all(s, entries, lose);
@@ -115,8 +115,8 @@
 }
 
 /* The replacement starts before the host is killed if `beside`, else a second later. */
-static void start_successor(soak* s, int number, bool beside) {
-    int at = soak_disturb(s);
+static void start_replacement(soak* s, int number, bool beside) {
+    int at = soak_begin_disturbance(s);
     host* w = &s->h.hosts[number];
     w->away = false;
     if (beside) {
@@ -134,18 +134,18 @@
 
 /* On a machine that stalls a replica can start later than planned: without the correction the next
    disk could be lost before the replica has caught up. */
-void soak_note_replica_start(soak* s) {
+void soak_record_replica_start(soak* s) {
     wg_time caught_up = wg_now() + CATCH_UP_TIME;
-    if (s->catches_up) {
-        s->lost_until = MAX(s->lost_until, caught_up);
-        s->lose_at = s->lose_at ? MAX(s->lose_at, caught_up) : 0;
+    if (s->catching_up) {
+        s->loss_until = MAX(s->loss_until, caught_up);
+        s->next_loss_at = s->next_loss_at ? MAX(s->next_loss_at, caught_up) : 0;
     }
 }
 
 void soak_power_off_all(soak* s, bool entries, int lose) {
     for (int i = 0; i < s->h.num; i++) {
         if (!s->h.hosts[i].away && (entries || s->h.hosts[i].disk)) {
-            power_off(s, i, entries);
+            power_off_host(s, i, entries);
         }
     }
     lose_disks(s, lose);
@@ -154,10 +154,10 @@
 bool soak_replace_host(soak* s, int number, wg_time now) {
     int spare = find_spare(s);
     host* w = &s->h.hosts[number];
-    if (spare < 0 || !w->disk || w->away || !is_whole(s, now)) {
+    if (spare < 0 || !w->disk || w->away || !all_replicas_current(s, now)) {
         return false;
     }
-    start_successor(s, spare, soak_draw(s, 2));
+    start_replacement(s, spare, soak_random(s, 2));
     soak_kill(&w->replica);
     soak_kill(&w->entry);
     w->away = true;
@@ -167,31 +167,31 @@
     return true;
 }
 
-void soak_strike_harsh(soak* s, wg_time now) {
+void soak_inject_harsh_fault(soak* s, wg_time now) {
     enum {
         KINDS = 12,
-        KINDS_OF_REPLICAS = 4, /* kinds below this one affect replicas */
-        OVERLAP_ONE_IN = 6     /* of the replica faults drawn during catch-up */
+        REPLICA_KINDS = 4, /* kinds below this one affect replicas */
+        OVERLAP_ONE_IN = 6 /* of the replica faults drawn during catch-up */
     };
-    int number = draw_host(s);
-    int target = (int)soak_draw(s, (uint64_t)s->h.targets_num);
-    uint64_t kind = soak_draw(s, KINDS);
-    s->catches_up = s->catches_up && !is_whole(s, now);
-    bool overlaps = now < s->lost_until && kind < KINDS_OF_REPLICAS;
-    if (overlaps && soak_draw(s, OVERLAP_ONE_IN)) {
-        stall_some(s);
+    int number = random_host_index(s);
+    int target = (int)soak_random(s, (uint64_t)s->h.targets_num);
+    uint64_t kind = soak_random(s, KINDS);
+    s->catching_up = s->catching_up && !all_replicas_current(s, now);
+    bool overlaps = now < s->loss_until && kind < REPLICA_KINDS;
+    if (overlaps && soak_random(s, OVERLAP_ONE_IN)) {
+        stall_processes(s);
         return;
     }
     switch (kind) {
     case 0:
-        power_off_all(s, now, false);
+        power_off_random(s, now, false);
         break;
     case 1:
-        power_off_all(s, now, true);
+        power_off_random(s, now, true);
         break;
     case 2:
     case 3:
-        soak_replace_host(s, draw_host(s), now);
+        soak_replace_host(s, random_host_index(s), now);
         break;
     case 4:
         if (!soak_is_repairing(s, number, false)) {
@@ -199,7 +199,7 @@
         }
         break;
     case 5:
-        if (now >= s->lost_until && s->h.hosts[number].disk &&
+        if (now >= s->loss_until && s->h.hosts[number].disk &&
             !soak_is_repairing(s, number, false)) {
             soak_fault_links(s, number, false);
         }
@@ -210,7 +210,7 @@
         }
         break;
     default:
-        stall_some(s);
+        stall_processes(s);
         break;
     }
 }
--- a/tests/sim/soak_internal.h
+++ b/tests/sim/soak_internal.h
@@ -10,38 +10,37 @@
 #include "wg_watch.h"
 
 enum {
-    CALLERS = 16,
+    CALLERS_NUM = 16,
     VERSIONS_MAX = 400,
     STREAM_EVENTS = 25,
     PROMPT_PARTS = 12, /* distinct shared prompt parts of streams */
     DISTURBANCES_MAX = 1000,
     EVACUATIONS_MAX = 100,
-    EVACUATION_BOUND =
-        2 * WG_USEC_PER_SEC, /* from the acknowledgement until targets receive no more requests */
-    CALL_TIME = 4 * WG_USEC_PER_SEC,
-    CALM_TIME = 5 * WG_USEC_PER_SEC, /* after a fault, during which time bounds are not checked */
-    FAULTS_AFTER = 1500 * WG_USEC_PER_MSEC, /* from the start of the callers to the first fault */
-    FORM_TIME = 60 * WG_USEC_PER_SEC,       /* from the start until all hosts serve */
-    SETTLE_TIME = 20 * WG_USEC_PER_SEC,     /* from the last fault until all hosts serve */
-    CATCH_UP_TIME = 4 * WG_USEC_PER_SEC,    /* for a replica that restarted with an empty disk */
-    SPARES = 2                              /* hosts that replace others during a run */
+    EVACUATION_TIMEOUT = 2 * WG_USEC_PER_SEC, /* from acknowledgement to effect */
+    CALL_TIMEOUT = 4 * WG_USEC_PER_SEC,
+    FAULT_GRACE_TIME = 5 * WG_USEC_PER_SEC,  /* no time bounds after a fault */
+    FAULTS_DELAY = 1500 * WG_USEC_PER_MSEC,  /* from the start of the callers to the first fault */
+    FORM_TIMEOUT = 60 * WG_USEC_PER_SEC,     /* from the start until all hosts serve */
+    RECOVERY_TIMEOUT = 20 * WG_USEC_PER_SEC, /* from the last fault until all hosts serve */
+    CATCH_UP_TIME = 4 * WG_USEC_PER_SEC,     /* for a replica that restarted with an empty disk */
+    SPARE_HOSTS_NUM = 2                      /* hosts that replace others during a run */
 };
 
 /* Requests that check each host before the first and after the last fault. */
 typedef enum {
     PROBE_SERVICE = 0, /* a request to the plain service */
     PROBE_ENGINE,
-    PROBE_NEWEST, /* a route that exists only in the newest configuration */
-    PROBE_FORMER, /* a route that existed only in the previous configuration */
-    PROBE_READ,   /* the configuration, read back */
-    PROBES
+    PROBE_NEWEST,   /* a route that exists only in the newest configuration */
+    PROBE_PREVIOUS, /* a route that existed only in the previous configuration */
+    PROBE_READ,     /* the configuration, read back */
+    PROBES_NUM
 } probe_kind;
 
 typedef enum {
     CALL_UNSAFE = 0,
     CALL_SAFE,
     CALL_STREAM,
-    CALL_KINDS
+    CALL_KINDS_NUM
 } call_kind;
 
 typedef struct soak soak;
@@ -83,7 +82,7 @@
     soak* s;
     bool put;
     int version; /* put: version sent; get: version acknowledged when the read was sent */
-} order;
+} operator_request;
 
 struct soak {
     soak_desc desc;
@@ -91,18 +90,18 @@
     struct event_base* base;
     hosts h;
     uint64_t counter;
-    caller callers[CALLERS];
+    caller callers[CALLERS_NUM];
     bool formed; /* all hosts have served once; callers and faults have started */
-    bool quiet;  /* the fault phase is over */
+    bool faults_over;
     bool ended;
-    GHashTable* promised;   /* ids of requests refused with 429 or 503, which must not have run */
-    GHashTable* unsafe_ids; /* ids of requests that must run at most once */
-    int version;            /* newest configuration version sent */
+    GHashTable* refused_ids; /* ids of unsafe requests refused with 429 or 503 */
+    GHashTable* unsafe_ids;  /* ids of requests that must run at most once */
+    int version;             /* newest configuration version sent */
     int acknowledged;
-    bool put_open;
+    bool put_in_flight;
     bool evacuating; /* the operator wants the data centre evacuated */
     bool evacuation_acknowledged;
-    bool evacuation_open; /* an evacuation request is in flight */
+    bool evacuation_in_flight;
     evacuation evacuations[EVACUATIONS_MAX];
     int evacuations_num;
     wg_time faults_until;
@@ -111,31 +110,31 @@
     disturbance disturbances[DISTURBANCES_MAX];
     int disturbances_num;
     struct event* tick;
-    wg_time operator_at;
-    wg_time fault_at;
-    wg_time crash_at; /* when the next crashing request is sent */
+    wg_time next_operator_at;
+    wg_time next_fault_at;
+    wg_time next_crash_at;
     int crashes_sent;
-    wg_time third_crash_at;
-    wg_time last_crashes_at; /* start of the crash check after the fault phase; 0: not started */
-    int crashes_late;        /* targets that crashed although all hosts had to refuse the request */
-    GQueue repairs;          /* repair* */
-    bool passed[HOSTS_MAX][PROBES]; /* probes passed with the version passed_version */
+    wg_time quarantine_at;  /* when the request had crashed QUARANTINE_CRASHES targets */
+    wg_time crash_check_at; /* start of the crash check after the fault phase; 0: not started */
+    int late_crashes;       /* crashes at a time when all hosts had to refuse the request */
+    GQueue repairs;         /* repair* */
+    bool probes_passed[HOSTS_MAX][PROBES_NUM]; /* with passed_version */
     int passed_version;
-    wg_pulse pulse;     /* event-loop delay of the soak process */
-    wg_time lost_until; /* the last lost disk or replaced host counts as a loss until then */
-    bool catches_up;    /* a lost disk or replaced host still counts as a loss */
-    wg_time lose_at;    /* successions: when a disk is lost; 0: no host was replaced yet */
+    wg_pulse lag_monitor; /* of the soak process */
+    wg_time loss_until;   /* the last lost disk or replaced host counts as a loss until then */
+    bool catching_up;     /* a lost disk or replaced host still counts as a loss */
+    wg_time next_loss_at; /* successions: when a disk is lost; 0: no host was replaced yet */
 };
 
 /* ---- soak_run.c ---- */
 /* Random number below `below`; depends only on the seed and the number of earlier calls. */
-uint64_t soak_draw(soak* s, uint64_t below);
+uint64_t soak_random(soak* s, uint64_t below);
 /* Records a violated guarantee; only the first one is reported. */
-void soak_broken(soak* s, const char* format, ...) G_GNUC_PRINTF(2, 3);
+void soak_record_violation(soak* s, const char* format, ...) G_GNUC_PRINTF(2, 3);
 /* A random host that is part of the fleet. */
-host* soak_any_host(soak* s);
+host* soak_random_host(soak* s);
 /* Records the start of a fault; returns its index in `disturbances`. */
-int soak_disturb(soak* s);
+int soak_begin_disturbance(soak* s);
 
 /* ---- soak_probe.c ---- */
 /* Sends each host the probes that it has not passed yet. */
@@ -146,7 +145,7 @@
 
 /* ---- soak_harsh.c ---- */
 /* Injects one harsh fault; soak_repair() restarts replicas and entry processes. */
-void soak_strike_harsh(soak* s, wg_time now);
+void soak_inject_harsh_fault(soak* s, wg_time now);
 
 /* Replaces a host that has a disk by a spare; false when no spare is left or the fleet could not
    bear another loss now. */
@@ -155,44 +154,44 @@
    disks too. */
 void soak_power_off_all(soak* s, bool entries, int lose);
 /* A replica has started: extends the catch-up period when one is running. */
-void soak_note_replica_start(soak* s);
+void soak_record_replica_start(soak* s);
 
 /* ---- soak_succession.c ---- */
 /* Injects the next fault of a run with `successions`. */
-void soak_strike_succession(soak* s, wg_time now);
+void soak_inject_replacement_fault(soak* s, wg_time now);
 
 /* ---- soak_cold.c ---- */
 /* Injects the next fault of a run with `colds`. */
-void soak_strike_cold(soak* s, wg_time now);
+void soak_inject_cold_fault(soak* s, wg_time now);
 
 /* ---- soak_crasher.c ---- */
 /* Reaps targets that exited by themselves, counts crashes, and schedules restarts. */
-void soak_crash_watch(soak* s);
+void soak_reap_targets(soak* s);
 /* Sends the crashing request when it is due. */
-void soak_crash(soak* s, wg_time now);
+void soak_send_crashing_request(soak* s, wg_time now);
 /* After the fault phase: keeps sending the crashing request and checks that hosts refuse it; true
    once that check is over. */
-bool soak_crash_is_known(soak* s, wg_time now);
+bool soak_run_crash_check(soak* s, wg_time now);
 
 /* ---- soak_rest.c ---- */
 /* Makes a target refuse requests with a backoff hint; false when it is down or already faulty. */
-bool soak_make_busy(soak* s, int number);
-void soak_end_busy(soak* s, int number);
+bool soak_begin_overload(soak* s, int number);
+void soak_end_overload(soak* s, int number);
 /* Checks the requests that reached targets against a backoff hint or while draining. */
-void soak_check_unheeded(soak* s, const hosts_notes* notes);
+void soak_check_hints(soak* s, const hosts_notes* notes);
 
 /* ---- soak_callers.c ---- */
-void soak_callers_make(soak* s);
+void soak_callers_create(soak* s);
 void soak_callers_start(soak* s);
-void soak_callers_end(soak* s);
+void soak_callers_destroy(soak* s);
 
 /* ---- soak_operator.c ---- */
 /* Sends configurations, reads and evacuations, and checks the answers. */
-void soak_operate(soak* s, wg_time now);
+void soak_run_operator(soak* s, wg_time now);
 
 /* ---- soak_faults.c ---- */
 /* Injects a fault when one is due. */
-void soak_strike(soak* s, wg_time now);
+void soak_inject_fault(soak* s, wg_time now);
 /* Ends the faults whose time is over. */
 void soak_repair(soak* s, wg_time now);
 typedef enum {
@@ -203,7 +202,7 @@
     REPAIR_CONTINUE_REPLICA,
     REPAIR_DISK,
     REPAIR_LINKS,
-    REPAIR_BUSY /* end a target's overload */
+    REPAIR_OVERLOAD /* end a target's overload */
 } repair_kind;
 /* Schedules the end of a fault after `ms` milliseconds; `at`: its index in `disturbances`. */
 void soak_plan_repair(soak* s, repair_kind kind, int number, bool target, int ms, int at);
--- a/tests/sim/soak_operator.c
+++ b/tests/sim/soak_operator.c
@@ -7,7 +7,7 @@
 #include "soak_internal.h"
 #include "wg_net.h"
 
-static char* document(int version) {
+static char* make_configuration(int version) {
     return g_strdup_printf(
         "{\"version\":%d,\"note\":\"made-as-%d\",\"services\":[{\"name\":\"app\",\"cold_s\":2,"
         "\"cold_per_second\":8},"
@@ -28,32 +28,33 @@
         version, version, version);
 }
 
-static void check_read(soak* s, const order* o, struct evhttp_request* request) {
+static void check_read(soak* s, const operator_request* o, struct evhttp_request* request) {
     struct evbuffer* in = evhttp_request_get_input_buffer(request);
     size_t size = evbuffer_get_length(in);
     json_t* json = json_loadb((const char*)evbuffer_pullup(in, -1), size, 0, NULL);
     int version = (int)json_integer_value(json_object_get(json, "version"));
     json_decref(json);
-    char* sent = document(version);
+    char* sent = make_configuration(version);
     if (version < o->version) {
-        soak_broken(s, "read version %d, %d was acknowledged before", version, o->version);
+        soak_record_violation(s, "read version %d, %d was acknowledged before", version,
+                              o->version);
     } else if (size != strlen(sent) || memcmp(evbuffer_pullup(in, -1), sent, size) != 0) {
-        soak_broken(s, "version %d reads back otherwise than it was sent", version);
+        soak_record_violation(s, "version %d reads back otherwise than it was sent", version);
     }
     g_free(sent);
 }
 
-static void on_order(struct evhttp_request* request, void* user_data) {
-    order* o = user_data;
+static void on_operator_answer(struct evhttp_request* request, void* user_data) {
+    operator_request* o = user_data;
     soak* s = o->s;
     int status = request ? evhttp_request_get_response_code(request) : 0;
     if (o->put) {
-        s->put_open = false;
+        s->put_in_flight = false;
         if (status == 200) {
             s->acknowledged = MAX(s->acknowledged, o->version);
             s->result.acknowledged++;
         } else if (status >= 400 && status < 500) {
-            soak_broken(s, "version %d was refused with %d", o->version, status);
+            soak_record_violation(s, "version %d was refused with %d", o->version, status);
         }
     } else if (status == 200) {
         check_read(s, o, request);
@@ -62,27 +63,27 @@
 }
 
 /* A connection to a random host's orders address; freed after one request. */
-static struct evhttp_connection* connect_to_orders(soak* s) {
+static struct evhttp_connection* connect_operator(soak* s) {
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
-    wgn_split_address(soak_any_host(s)->orders, ip, &port);
+    wgn_split_address(soak_random_host(s)->orders, ip, &port);
     struct evhttp_connection* connection = evhttp_connection_base_new(s->base, NULL, ip, port);
     evhttp_connection_set_timeout(connection, 2);
     evhttp_connection_free_on_completion(connection);
     return connection;
 }
 
-static void send_order(soak* s, bool put, int version) {
-    order* o = g_new0(order, 1);
-    *o = (order){.s = s, .put = put, .version = version};
-    struct evhttp_connection* connection = connect_to_orders(s);
-    struct evhttp_request* request = evhttp_request_new(on_order, o);
+static void send_operator_request(soak* s, bool put, int version) {
+    operator_request* o = g_new0(operator_request, 1);
+    *o = (operator_request){.s = s, .put = put, .version = version};
+    struct evhttp_connection* connection = connect_operator(s);
+    struct evhttp_request* request = evhttp_request_new(on_operator_answer, o);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "orders");
     if (put) {
-        char* text = document(version);
+        char* text = make_configuration(version);
         evbuffer_add(evhttp_request_get_output_buffer(request), text, strlen(text));
         g_free(text);
-        s->put_open = true;
+        s->put_in_flight = true;
     }
     evhttp_make_request(connection, request, put ? EVHTTP_REQ_PUT : EVHTTP_REQ_GET,
                         "/v1/configuration");
@@ -94,7 +95,7 @@
 static void on_evacuation(struct evhttp_request* request, void* user_data) {
     soak* s = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
-    s->evacuation_open = false;
+    s->evacuation_in_flight = false;
     if (status == 200) {
         s->evacuation_acknowledged = true;
         if (s->evacuating) {
@@ -102,30 +103,30 @@
             s->result.evacuations++;
         }
     } else if (status >= 400 && status < 500) {
-        soak_broken(s, "an evacuation was refused with %d", status);
+        soak_record_violation(s, "an evacuation was refused with %d", status);
     }
 }
 
 static void send_evacuation(soak* s) {
-    struct evhttp_connection* connection = connect_to_orders(s);
+    struct evhttp_connection* connection = connect_operator(s);
     struct evhttp_request* request = evhttp_request_new(on_evacuation, s);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "orders");
-    s->evacuation_open = true;
+    s->evacuation_in_flight = true;
     evhttp_make_request(connection, request, s->evacuating ? EVHTTP_REQ_PUT : EVHTTP_REQ_DELETE,
                         "/v1/evacuations/" HOSTS_EVACUABLE);
 }
 
 /* Repeats the last request until it is acknowledged, then at random begins or ends an evacuation.
  */
-static void operate_evacuation(soak* s) {
+static void run_evacuations(soak* s) {
     enum {
         CHANGE_ONE_IN = 10 /* operator periods */
     };
-    if (s->evacuation_open || !s->formed) {
+    if (s->evacuation_in_flight || !s->formed) {
         return;
     }
     bool settled = s->evacuation_acknowledged;
-    bool change = settled && soak_draw(s, CHANGE_ONE_IN) == 0 && !s->quiet &&
+    bool change = settled && soak_random(s, CHANGE_ONE_IN) == 0 && !s->faults_over &&
                   s->evacuations_num < EVACUATIONS_MAX;
     if (change) {
         s->evacuating = !s->evacuating;
@@ -139,20 +140,20 @@
     }
 }
 
-void soak_operate(soak* s, wg_time now) {
-    if (now < s->operator_at) {
+void soak_run_operator(soak* s, wg_time now) {
+    if (now < s->next_operator_at) {
         return;
     }
-    s->operator_at = now + 250 * WG_USEC_PER_MSEC;
-    operate_evacuation(s);
-    send_order(s, false, s->acknowledged);
-    if (s->put_open) {
+    s->next_operator_at = now + 250 * WG_USEC_PER_MSEC;
+    run_evacuations(s);
+    send_operator_request(s, false, s->acknowledged);
+    if (s->put_in_flight) {
         return;
     }
     /* A configuration that was not acknowledged is sent again unchanged. */
     bool again = s->acknowledged < s->version;
-    if (!again && s->version < VERSIONS_MAX && !s->quiet) {
+    if (!again && s->version < VERSIONS_MAX && !s->faults_over) {
         s->version++;
     }
-    send_order(s, true, s->version);
+    send_operator_request(s, true, s->version);
 }
--- a/tests/sim/soak_probe.c
+++ b/tests/sim/soak_probe.c
@@ -27,10 +27,10 @@
     return version;
 }
 
-static bool is_passed(const probe* p, struct evhttp_request* request) {
+static bool has_passed(const probe* p, struct evhttp_request* request) {
     int status = request ? evhttp_request_get_response_code(request) : 0;
     switch (p->kind) {
-    case PROBE_FORMER:
+    case PROBE_PREVIOUS:
         return status == 404;
     case PROBE_READ:
         return status == 200 && read_version(request) >= p->version;
@@ -42,13 +42,13 @@
 static void on_probe(struct evhttp_request* request, void* user_data) {
     probe* p = user_data;
     soak* s = p->s;
-    if (p->version == s->passed_version && is_passed(p, request)) {
-        s->passed[p->number][p->kind] = true;
+    if (p->version == s->passed_version && has_passed(p, request)) {
+        s->probes_passed[p->number][p->kind] = true;
     }
     g_free(p);
 }
 
-static char* path_of(probe_kind kind, int version) {
+static char* probe_path(probe_kind kind, int version) {
     switch (kind) {
     case PROBE_SERVICE:
         return g_strdup("/safe/probe");
@@ -56,14 +56,14 @@
         return g_strdup("/stream/1");
     case PROBE_NEWEST:
         return g_strdup_printf("/only-%d/x", version);
-    case PROBE_FORMER:
+    case PROBE_PREVIOUS:
         return g_strdup_printf("/only-%d/x", version - 1);
     default:
         return g_strdup("/v1/configuration");
     }
 }
 
-static void ask(soak* s, int number, probe_kind kind) {
+static void send_probe(soak* s, int number, probe_kind kind) {
     const host* w = &s->h.hosts[number];
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
@@ -77,7 +77,7 @@
     struct evkeyvalq* out = evhttp_request_get_output_headers(request);
     evhttp_add_header(out, "Host", "soak");
     evhttp_add_header(out, "Walnutgate-Key", "key");
-    char* path = path_of(kind, p->version);
+    char* path = probe_path(kind, p->version);
     evhttp_make_request(connection, request, EVHTTP_REQ_GET, path);
     g_free(path);
 }
@@ -87,13 +87,13 @@
 
 void soak_probe(soak* s) {
     if (s->passed_version != s->acknowledged) {
-        memset(s->passed, 0, sizeof s->passed);
+        memset(s->probes_passed, 0, sizeof s->probes_passed);
         s->passed_version = s->acknowledged;
     }
     for (int i = 0; i < s->h.num; i++) {
-        for (int kind = 0; kind < PROBES && !s->h.hosts[i].away; kind++) {
-            if (!s->passed[i][kind]) {
-                ask(s, i, (probe_kind)kind);
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+            if (!s->probes_passed[i][kind]) {
+                send_probe(s, i, (probe_kind)kind);
             }
         }
     }
@@ -103,19 +103,19 @@
     bool all = s->acknowledged > 0 && s->acknowledged == s->version &&
                s->acknowledged == s->passed_version;
     for (int i = 0; i < s->h.num && all; i++) {
-        for (int kind = 0; kind < PROBES && !s->h.hosts[i].away; kind++) {
-            all = all && s->passed[i][kind];
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+            all = all && s->probes_passed[i][kind];
         }
     }
     return all;
 }
 
 char* soak_describe_probes(const soak* s) {
-    static const char* const names[PROBES] = {"service", "engine", "newest", "former", "read"};
+    static const char* const names[PROBES_NUM] = {"service", "engine", "newest", "former", "read"};
     GString* missing = g_string_new(NULL);
     for (int i = 0; i < s->h.num; i++) {
-        for (int kind = 0; kind < PROBES && !s->h.hosts[i].away; kind++) {
-            if (!s->passed[i][kind]) {
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+            if (!s->probes_passed[i][kind]) {
                 g_string_append_printf(missing, " %d:%s", i + 1, names[kind]);
             }
         }
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -11,23 +11,23 @@
 enum {
     REFUSE_PERCENT_MIN = 30,
     REFUSE_PERCENT_SPAN = 71,
-    REST_MS_MIN = 600,
-    REST_MS_SPAN = 3000,
-    BUSY_MS_MIN = 500,
-    BUSY_MS_SPAN = 4000,
-    /* ON_ITS_WAY: from the answer until its hint has to be obeyed. AFTER_FAULT: after a fault, for
-       requests that it delayed. */
-    ON_ITS_WAY = 600 * WG_USEC_PER_MSEC,
-    AFTER_FAULT = 1 * WG_USEC_PER_SEC
+    BACKOFF_MS_MIN = 600,
+    BACKOFF_MS_SPAN = 3000,
+    OVERLOAD_MS_MIN = 500,
+    OVERLOAD_MS_SPAN = 4000,
+    /* HINT_DELAY: from the answer until its hint has to be obeyed. FAULT_BACKLOG_TIME: after a
+       fault, for requests that it delayed. */
+    HINT_DELAY = 600 * WG_USEC_PER_MSEC,
+    FAULT_BACKLOG_TIME = 1 * WG_USEC_PER_SEC
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static bool is_excused(const soak* s, const hosts_unheeded* u) {
+static bool has_excuse(const soak* s, const hosts_unheeded* u) {
     for (int i = 0; i < s->disturbances_num; i++) {
         const disturbance* d = &s->disturbances[i];
         bool concerns = d->entry == u->host || d->target_links == u->target;
-        bool over = d->until != 0 && d->until + AFTER_FAULT < u->since - ON_ITS_WAY;
+        bool over = d->until != 0 && d->until + FAULT_BACKLOG_TIME < u->since - HINT_DELAY;
         if (concerns && !over && d->from <= u->at) {
             return true;
         }
@@ -37,12 +37,12 @@
 
 /* ---- functions of the soak ------------------------------------------------------------------- */
 
-bool soak_make_busy(soak* s, int number) {
+bool soak_begin_overload(soak* s, int number) {
     host_target* t = &s->h.targets[number];
     char faults[64];
-    int percent = REFUSE_PERCENT_MIN + (int)soak_draw(s, REFUSE_PERCENT_SPAN);
-    int rest = REST_MS_MIN + (int)soak_draw(s, REST_MS_SPAN);
-    int busy = BUSY_MS_MIN + (int)soak_draw(s, BUSY_MS_SPAN);
+    int percent = REFUSE_PERCENT_MIN + (int)soak_random(s, REFUSE_PERCENT_SPAN);
+    int rest = BACKOFF_MS_MIN + (int)soak_random(s, BACKOFF_MS_SPAN);
+    int busy = OVERLOAD_MS_MIN + (int)soak_random(s, OVERLOAD_MS_SPAN);
     if (t->pid <= 0 || soak_is_repairing(s, number, true)) {
         return false;
     }
@@ -51,22 +51,22 @@
         return false;
     }
     s->result.busy++;
-    soak_plan_repair(s, REPAIR_BUSY, number, true, busy, soak_disturb(s));
+    soak_plan_repair(s, REPAIR_OVERLOAD, number, true, busy, soak_begin_disturbance(s));
     return true;
 }
 
-void soak_end_busy(soak* s, int number) {
+void soak_end_overload(soak* s, int number) {
     hosts_set_target(&s->h, &s->h.targets[number], "refuse=6&rest_ms=0");
 }
 
-void soak_check_unheeded(soak* s, const hosts_notes* notes) {
+void soak_check_hints(soak* s, const hosts_notes* notes) {
     for (guint i = 0; i < notes->unheeded->len; i++) {
         const hosts_unheeded* u = &g_array_index(notes->unheeded, hosts_unheeded, i);
-        if (is_excused(s, u)) {
+        if (has_excuse(s, u)) {
             s->result.excused++;
             continue;
         }
-        soak_broken(
+        soak_record_violation(
             s, "host %d sent target %d a request %s at %" PRId64 ", not allowed since %" PRId64,
             u->host, u->target, u->leaving ? "though it leaves" : "in its rest", u->at, u->since);
     }
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -14,11 +14,11 @@
 /* ---- helpers ----------------------------------------------------------------------------------
  */
 
-uint64_t soak_draw(soak* s, uint64_t below) {
+uint64_t soak_random(soak* s, uint64_t below) {
     return wg_jitter(s->desc.seed, ++s->counter) % below;
 }
 
-void soak_broken(soak* s, const char* format, ...) {
+void soak_record_violation(soak* s, const char* format, ...) {
     if (s->result.good) {
         va_list list;
         va_start(list, format);
@@ -28,15 +28,15 @@
     }
 }
 
-host* soak_any_host(soak* s) {
+host* soak_random_host(soak* s) {
     host* w;
     do {
-        w = &s->h.hosts[soak_draw(s, (uint64_t)s->h.num)];
+        w = &s->h.hosts[soak_random(s, (uint64_t)s->h.num)];
     } while (w->away);
     return w;
 }
 
-int soak_disturb(soak* s) {
+int soak_begin_disturbance(soak* s) {
     int at = s->disturbances_num < DISTURBANCES_MAX ? s->disturbances_num++ : DISTURBANCES_MAX - 1;
     s->disturbances[at] = (disturbance){.from = wg_now()};
     s->last_fault = wg_now();
@@ -44,10 +44,10 @@
     return at;
 }
 
-static bool is_calm_at(const soak* s, wg_time at) {
+static bool is_undisturbed_at(const soak* s, wg_time at) {
     for (int i = 0; i < s->disturbances_num; i++) {
         const disturbance* d = &s->disturbances[i];
-        if (!d->planned && at >= d->from && (d->until == 0 || at <= d->until + CALM_TIME)) {
+        if (!d->planned && at >= d->from && (d->until == 0 || at <= d->until + FAULT_GRACE_TIME)) {
             return false;
         }
     }
@@ -62,29 +62,29 @@
     soak_probe(s);
     if (soak_all_passed(s)) {
         s->formed = true;
-        memset(s->passed, 0, sizeof s->passed);
+        memset(s->probes_passed, 0, sizeof s->probes_passed);
         s->last_fault = now;
-        s->fault_at = now + FAULTS_AFTER;
-        s->faults_until = s->fault_at + (wg_time)s->desc.seconds * WG_USEC_PER_SEC;
+        s->next_fault_at = now + FAULTS_DELAY;
+        s->faults_until = s->next_fault_at + (wg_time)s->desc.seconds * WG_USEC_PER_SEC;
         soak_callers_start(s);
-    } else if (now - s->last_fault > FORM_TIME) {
+    } else if (now - s->last_fault > FORM_TIMEOUT) {
         char* missing = soak_describe_probes(s);
-        soak_broken(s, "the fleet never served, host:what is missing:%s", missing);
+        soak_record_violation(s, "the fleet never served, host:what is missing:%s", missing);
         g_free(missing);
         event_base_loopbreak(s->base);
     }
 }
 
-static void finish_when_known(soak* s, wg_time now) {
-    if (soak_crash_is_known(s, now)) {
+static void finish_after_crash_check(soak* s, wg_time now) {
+    if (soak_run_crash_check(s, now)) {
         event_base_loopbreak(s->base);
     }
 }
 
 /* A failed run reports the event-loop delay of this process: on a machine that stalls, faults last
    longer than planned. */
-static void tell_lateness(soak* s) {
-    s->result.late_ms = (int)(s->pulse.late.max / WG_USEC_PER_MSEC);
+static void report_loop_lag(soak* s) {
+    s->result.late_ms = (int)(s->lag_monitor.late.max / WG_USEC_PER_MSEC);
     if (!s->result.good) {
         char text[64];
         g_snprintf(text, sizeof text, "; this process was late by up to %d ms", s->result.late_ms);
@@ -98,22 +98,22 @@
     soak* s = user_data;
     wg_time now = wg_now();
     wg_time late;
-    wg_pulse_beat(&s->pulse, now, TICK, &late);
-    soak_crash_watch(s);
+    wg_pulse_beat(&s->lag_monitor, now, TICK, &late);
+    soak_reap_targets(s);
     soak_repair(s, now);
-    soak_operate(s, now);
+    soak_run_operator(s, now);
     if (!s->formed) {
         await_fleet(s, now);
         return;
     }
-    if (!s->quiet) {
-        soak_strike(s, now);
-        soak_crash(s, now);
-        s->quiet = now >= s->faults_until;
+    if (!s->faults_over) {
+        soak_inject_fault(s, now);
+        soak_send_crashing_request(s, now);
+        s->faults_over = now >= s->faults_until;
         return;
     }
-    if (s->last_crashes_at > 0) {
-        finish_when_known(s, now);
+    if (s->crash_check_at > 0) {
+        finish_after_crash_check(s, now);
         return;
     }
     if (s->repairs.length > 0) {
@@ -122,11 +122,12 @@
     soak_probe(s);
     if (soak_all_passed(s)) {
         s->result.back = now - s->last_fault;
-        finish_when_known(s, now);
-    } else if (now - MAX(s->last_fault, s->faults_until) > SETTLE_TIME) {
+        finish_after_crash_check(s, now);
+    } else if (now - MAX(s->last_fault, s->faults_until) > RECOVERY_TIMEOUT) {
         char* missing = soak_describe_probes(s);
-        soak_broken(s, "not all serve again; version %d, acknowledged %d, host:what is missing:%s",
-                    s->version, s->acknowledged, missing);
+        soak_record_violation(
+            s, "not all serve again; version %d, acknowledged %d, host:what is missing:%s",
+            s->version, s->acknowledged, missing);
         g_free(missing);
         event_base_loopbreak(s->base);
     }
@@ -135,7 +136,7 @@
 static bool is_evacuated_at(const soak* s, wg_time at) {
     for (int i = 0; i < s->evacuations_num; i++) {
         const evacuation* e = &s->evacuations[i];
-        if (at > e->from + EVACUATION_BOUND && (e->until == 0 || at < e->until)) {
+        if (at > e->from + EVACUATION_TIMEOUT && (e->until == 0 || at < e->until)) {
             return true;
         }
     }
@@ -144,23 +145,24 @@
 
 static void check_arrivals(soak* s, const hosts_notes* notes) {
     for (guint i = 0; i < notes->late->len; i++) {
-        if (is_calm_at(s, g_array_index(notes->late, wg_time, i))) {
-            soak_broken(s, "a request reached a drained target too late");
+        if (is_undisturbed_at(s, g_array_index(notes->late, wg_time, i))) {
+            soak_record_violation(s, "a request reached a drained target too late");
         }
     }
     for (guint i = 0; i < notes->evacuable->len; i++) {
         wg_time at = g_array_index(notes->evacuable, wg_time, i);
-        if (is_evacuated_at(s, at) && is_calm_at(s, at)) {
-            soak_broken(s, "a request reached a target of an evacuated data centre at %" PRId64,
-                        at);
+        if (is_evacuated_at(s, at) && is_undisturbed_at(s, at)) {
+            soak_record_violation(
+                s, "a request reached a target of an evacuated data centre at %" PRId64, at);
         }
     }
     s->result.cold_most = notes->cold_most;
     if (notes->cold->len > 0) {
-        soak_broken(s,
-                    "a cold target got more requests in a second than it bears, %u times, %d at "
-                    "most",
-                    notes->cold->len, notes->cold_most);
+        soak_record_violation(
+            s,
+            "a cold target got more requests in a second than it bears, %u times, %d at "
+            "most",
+            notes->cold->len, notes->cold_most);
     }
 }
 
@@ -172,18 +174,18 @@
     g_hash_table_iter_init(&iter, notes.runs);
     while (g_hash_table_iter_next(&iter, &id, &num)) {
         if (g_hash_table_contains(s->unsafe_ids, id) && GPOINTER_TO_INT(num) > 1) {
-            soak_broken(s, "%s ran %d times", (char*)id, GPOINTER_TO_INT(num));
+            soak_record_violation(s, "%s ran %d times", (char*)id, GPOINTER_TO_INT(num));
         }
-        if (g_hash_table_contains(s->promised, id)) {
-            soak_broken(s, "%s ran, though it was refused as not run", (char*)id);
+        if (g_hash_table_contains(s->refused_ids, id)) {
+            soak_record_violation(s, "%s ran, though it was refused as not run", (char*)id);
         }
     }
     check_arrivals(s, &notes);
-    soak_check_unheeded(s, &notes);
+    soak_check_hints(s, &notes);
     hosts_notes_clear(&notes);
 }
 
-static void start_all(soak* s) {
+static void start_processes(soak* s) {
     for (int i = 0; i < s->h.num; i++) {
         if (s->h.hosts[i].away) {
             continue;
@@ -199,7 +201,7 @@
     }
 }
 
-static void make_harsh(soak* s) {
+static void set_up_harsh(soak* s) {
     hosts_use_deployed_timing(&s->h);
     s->h.losses = MAX((s->desc.disks - 1) / 2, 1);
     for (int i = s->desc.hosts; i < s->h.num; i++) {
@@ -218,21 +220,22 @@
     s->result.good = true;
     s->evacuation_acknowledged = true; /* no evacuation was requested */
     s->base = event_base_new();
-    s->promised = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    s->refused_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     s->unsafe_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_queue_init(&s->repairs);
-    hosts_setup(&s->h, s->base, s->desc.hosts + (desc->harsh ? SPARES : 0), s->desc.disks, 5);
+    hosts_setup(&s->h, s->base, s->desc.hosts + (desc->harsh ? SPARE_HOSTS_NUM : 0), s->desc.disks,
+                5);
     if (desc->harsh) {
-        make_harsh(s);
+        set_up_harsh(s);
     }
     g_strlcpy(s->result.folder, s->h.folder, sizeof s->result.folder);
     s->h.spoiled = desc->spoiled;
-    start_all(s);
-    soak_callers_make(s);
+    start_processes(s);
+    soak_callers_create(s);
     wg_time now = wg_now();
     s->wiped_at = now;
     s->last_fault = now;
-    s->operator_at = now + WG_USEC_PER_SEC;
+    s->next_operator_at = now + WG_USEC_PER_SEC;
     s->tick = event_new(s->base, -1, EV_PERSIST, on_tick, s);
     struct timeval period = {.tv_usec = TICK};
     event_add(s->tick, &period);
@@ -240,17 +243,17 @@
     s->ended = true;
     check_runs(s);
     if (s->result.whole == 0) {
-        soak_broken(s, "nothing was served");
+        soak_record_violation(s, "nothing was served");
     }
-    soak_callers_end(s);
+    soak_callers_destroy(s);
     hosts_end(&s->h, !s->result.good || desc->keep);
     /* The event base is not freed: requests in flight still use its connections. Each run has its
        own base. */
     event_free(s->tick);
-    g_hash_table_unref(s->promised);
+    g_hash_table_unref(s->refused_ids);
     g_hash_table_unref(s->unsafe_ids);
     g_queue_clear_full(&s->repairs, g_free);
-    tell_lateness(s);
+    report_loop_lag(s);
     soak_result result = s->result;
     return result;
 }
--- a/tests/sim/soak_succession.c
+++ b/tests/sim/soak_succession.c
@@ -9,56 +9,56 @@
 #include "soak_internal.h"
 
 enum {
-    STAND_MS_MIN = 550, /* above the election timeouts of deploy/replica.ini, 300 to 500 ms */
-    STAND_MS_SPAN = 350,
-    LEAD_MS_MIN = 500, /* between two stalls */
-    LEAD_MS_SPAN = 1500,
-    NEWCOMER_MS = 1000, /* until the replacement starts */
+    STALL_MS_MIN = 550, /* above the election timeouts of deploy/replica.ini, 300 to 500 ms */
+    STALL_MS_SPAN = 350,
+    STALL_GAP_MS_MIN = 500, /* between two stalls */
+    STALL_GAP_MS_SPAN = 1500,
+    REPLACEMENT_START_MS = 1000, /* until the replacement starts */
     LOSS_MS_SPAN = 11000
 };
 
-static int draw_replica(soak* s) {
+static int random_replica_index(soak* s) {
     int number;
     do {
-        number = (int)soak_draw(s, (uint64_t)s->h.num);
+        number = (int)soak_random(s, (uint64_t)s->h.num);
     } while (s->h.hosts[number].away || !s->h.hosts[number].disk);
     return number;
 }
 
-static void replace_one(soak* s, wg_time now) {
-    if (!soak_replace_host(s, draw_replica(s), now)) {
+static void replace_random_host(soak* s, wg_time now) {
+    if (!soak_replace_host(s, random_replica_index(s), now)) {
         return;
     }
-    wg_time loss = NEWCOMER_MS + (wg_time)soak_draw(s, LOSS_MS_SPAN);
-    s->lose_at = now + CATCH_UP_TIME + loss * WG_USEC_PER_MSEC;
-    s->faults_until = s->lose_at + WG_USEC_PER_SEC;
+    wg_time loss = REPLACEMENT_START_MS + (wg_time)soak_random(s, LOSS_MS_SPAN);
+    s->next_loss_at = now + CATCH_UP_TIME + loss * WG_USEC_PER_MSEC;
+    s->faults_until = s->next_loss_at + WG_USEC_PER_SEC;
 }
 
-static void let_stand(soak* s) {
-    int number = draw_replica(s);
+static void stall_random_replica(soak* s) {
+    int number = random_replica_index(s);
     if (soak_is_repairing(s, number, false) || s->h.hosts[number].replica <= 0) {
         return;
     }
     kill(s->h.hosts[number].replica, SIGSTOP);
-    int ms = STAND_MS_MIN + (int)soak_draw(s, STAND_MS_SPAN);
-    soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_disturb(s));
+    int ms = STALL_MS_MIN + (int)soak_random(s, STALL_MS_SPAN);
+    soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_begin_disturbance(s));
 }
 
 /* ---- functions of the soak --------------------------------------------------------------------
  */
 
-void soak_strike_succession(soak* s, wg_time now) {
-    if (s->lose_at == 0) {
-        replace_one(s, now);
-        s->fault_at = now + NEWCOMER_MS * WG_USEC_PER_MSEC / 2;
+void soak_inject_replacement_fault(soak* s, wg_time now) {
+    if (s->next_loss_at == 0) {
+        replace_random_host(s, now);
+        s->next_fault_at = now + REPLACEMENT_START_MS * WG_USEC_PER_MSEC / 2;
         return;
     }
-    if (now < s->lose_at) {
-        let_stand(s);
-        wg_time lead = LEAD_MS_MIN + (wg_time)soak_draw(s, LEAD_MS_SPAN);
-        s->fault_at = MIN(now + lead * WG_USEC_PER_MSEC, s->lose_at);
+    if (now < s->next_loss_at) {
+        stall_random_replica(s);
+        wg_time lead = STALL_GAP_MS_MIN + (wg_time)soak_random(s, STALL_GAP_MS_SPAN);
+        s->next_fault_at = MIN(now + lead * WG_USEC_PER_MSEC, s->next_loss_at);
         return;
     }
-    soak_power_off_all(s, soak_draw(s, 2), 1);
-    s->fault_at = WG_TIME_NEVER;
+    soak_power_off_all(s, soak_random(s, 2), 1);
+    s->next_fault_at = WG_TIME_NEVER;
 }
