--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -98,8 +98,7 @@
     return g_string_free(list, FALSE);
 }
 
-/* ---- functions --------------------------------------------------------------------------------
- */
+/* ---- functions ------------------------------------------------------------------------------- */
 
 void hosts_give_disk(hosts* h, host* w) {
     char near[WG_ADDRESS_MAX];
--- a/tests/sim/hosts_operator.c
+++ b/tests/sim/hosts_operator.c
@@ -98,8 +98,7 @@
     return NULL;
 }
 
-/* ---- functions --------------------------------------------------------------------------------
- */
+/* ---- functions ------------------------------------------------------------------------------- */
 
 void hosts_run_for(hosts* h, int ms) {
     struct timeval time = {.tv_sec = ms / 1000, .tv_usec = ms % 1000 * 1000};
--- a/tests/sim/soak_callers.c
+++ b/tests/sim/soak_callers.c
@@ -36,8 +36,8 @@
             g_snprintf(expected, sizeof expected, "id: %d\ndata: %s-%d\n\n", number, c->id, number);
         size_t have = evbuffer_get_length(event);
         if (have != (size_t)size || memcmp(evbuffer_pullup(event, -1), expected, have) != 0) {
-            soak_record_violation(c->s, "%s: event %d is \"%.*s\"", c->id, number, (int)have,
-                                  (const char*)evbuffer_pullup(event, -1));
+            soak_record_violation(c->s, "%s: unexpected event %d: \"%.*s\"", c->id, number,
+                                  (int)have, (const char*)evbuffer_pullup(event, -1));
         }
         evbuffer_drain(event, have);
     }
@@ -49,12 +49,13 @@
     int status = c->head.status;
     wg_text echoed = wg_message_field(&c->head, "Walnutgate-Request");
     if (echoed.text && (echoed.size != strlen(c->id) || memcmp(echoed.text, c->id, echoed.size))) {
-        soak_record_violation(s, "%s got the answer of %.*s", c->id, (int)echoed.size, echoed.text);
+        soak_record_violation(s, "%s received the answer to %.*s", c->id, (int)echoed.size,
+                              echoed.text);
     }
     if (status == 200 && c->kind == CALL_STREAM) {
         check_events(c);
         if (c->events_seen != STREAM_EVENTS || evbuffer_get_length(c->content) > 0) {
-            soak_record_violation(s, "%s: a stream ended as whole after %d events", c->id,
+            soak_record_violation(s, "%s: stream ended as complete after %d events", c->id,
                                   c->events_seen);
         }
     } else if (status == 200) {
@@ -69,7 +70,7 @@
             g_hash_table_add(s->refused_ids, g_strdup(c->id));
         }
     } else if (status == 401 || status == 404 || status == 403 || status == 400) {
-        soak_record_violation(s, "%s was denied with %d", c->id, status);
+        soak_record_violation(s, "%s was rejected with status %d", c->id, status);
     }
     s->result.whole += status == 200;
     s->result.refused += status == 503 || status == 429;
@@ -81,7 +82,7 @@
     struct evbuffer* in = bufferevent_get_input(bev);
     if (!c->busy) {
         if (evbuffer_get_length(in) > 0) {
-            soak_record_violation(c->s, "%s: bytes after the whole answer", c->id);
+            soak_record_violation(c->s, "%s: unexpected bytes after the complete answer", c->id);
         }
         return;
     }
@@ -181,8 +182,7 @@
     }
 }
 
-/* ---- functions of the soak --------------------------------------------------------------------
- */
+/* ---- functions of the soak ------------------------------------------------------------------- */
 
 void soak_callers_create(soak* s) {
     for (int i = 0; i < CALLERS_NUM; i++) {
--- a/tests/sim/soak_cold.c
+++ b/tests/sim/soak_cold.c
@@ -49,8 +49,7 @@
     soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_begin_disturbance(s));
 }
 
-/* ---- functions of the soak --------------------------------------------------------------------
- */
+/* ---- functions of the soak ------------------------------------------------------------------- */
 
 void soak_inject_cold_fault(soak* s, wg_time now) {
     s->next_fault_at = now + (GAP_MS_MIN + (wg_time)soak_random(s, GAP_MS_SPAN)) * WG_USEC_PER_MSEC;
--- a/tests/sim/soak_crasher.c
+++ b/tests/sim/soak_crasher.c
@@ -20,7 +20,7 @@
     QUARANTINE_CRASHES = 3, /* crashes after which all hosts have to refuse the request */
     QUARANTINE_SPREAD_TIME = 4 * WG_USEC_PER_SEC,
     LATE_CRASHES_MAX = 3,                    /* crashes allowed after QUARANTINE_SPREAD_TIME */
-    CRASH_CHECK_TIME = 14 * WG_USEC_PER_SEC, /* would exceed LATE_CRASHES_MAX without refusal */
+    CRASH_CHECK_TIME = 14 * WG_USEC_PER_SEC, /* enough to detect hosts that don't refuse */
     CRASH_CHECK_GAP_MS = 250
 };
 
@@ -30,7 +30,7 @@
     soak* s = user_data;
     int status = request ? evhttp_request_get_response_code(request) : 0;
     if (status == 200) {
-        soak_record_violation(s, "a request that ends targets was answered as whole");
+        soak_record_violation(s, "a request that crashes targets was answered with status 200");
     }
 }
 
@@ -105,8 +105,7 @@
         send_crashing(s, soak_random_host(s));
     }
     if (s->late_crashes > LATE_CRASHES_MAX) {
-        soak_record_violation(s,
-                              "a request under which three targets had ended was sent to %d more",
+        soak_record_violation(s, "a request that had crashed three targets was sent to %d more",
                               s->late_crashes);
     }
     return now - s->crash_check_at >= CRASH_CHECK_TIME;
--- a/tests/sim/soak_harsh.c
+++ b/tests/sim/soak_harsh.c
@@ -129,8 +129,7 @@
     }
 }
 
-/* ---- functions of the soak --------------------------------------------------------------------
- */
+/* ---- functions of the soak ------------------------------------------------------------------- */
 
 /* On a machine that stalls a replica can start later than planned: without the correction the next
    disk could be lost before the replica has caught up. */
--- a/tests/sim/soak_operator.c
+++ b/tests/sim/soak_operator.c
@@ -36,10 +36,12 @@
     json_decref(json);
     char* sent = make_configuration(version);
     if (version < o->version) {
-        soak_record_violation(s, "read version %d, %d was acknowledged before", version,
-                              o->version);
+        soak_record_violation(
+            s, "read configuration version %d although version %d had been acknowledged", version,
+            o->version);
     } else if (size != strlen(sent) || memcmp(evbuffer_pullup(in, -1), sent, size) != 0) {
-        soak_record_violation(s, "version %d reads back otherwise than it was sent", version);
+        soak_record_violation(s, "configuration version %d does not read back as it was sent",
+                              version);
     }
     g_free(sent);
 }
@@ -54,7 +56,8 @@
             s->acknowledged = MAX(s->acknowledged, o->version);
             s->result.acknowledged++;
         } else if (status >= 400 && status < 500) {
-            soak_record_violation(s, "version %d was refused with %d", o->version, status);
+            soak_record_violation(s, "configuration version %d was refused with status %d",
+                                  o->version, status);
         }
     } else if (status == 200) {
         check_read(s, o, request);
@@ -89,8 +92,7 @@
                         "/v1/configuration");
 }
 
-/* ---- evacuations ------------------------------------------------------------------------------
- */
+/* ---- evacuations ----------------------------------------------------------------------------- */
 
 static void on_evacuation(struct evhttp_request* request, void* user_data) {
     soak* s = user_data;
@@ -103,7 +105,7 @@
             s->result.evacuations++;
         }
     } else if (status >= 400 && status < 500) {
-        soak_record_violation(s, "an evacuation was refused with %d", status);
+        soak_record_violation(s, "an evacuation request was refused with status %d", status);
     }
 }
 
--- a/tests/sim/soak_probe.c
+++ b/tests/sim/soak_probe.c
@@ -82,8 +82,7 @@
     g_free(path);
 }
 
-/* ---- functions of the soak --------------------------------------------------------------------
- */
+/* ---- functions of the soak ------------------------------------------------------------------- */
 
 void soak_probe(soak* s) {
     if (s->passed_version != s->acknowledged) {
@@ -111,7 +110,8 @@
 }
 
 char* soak_describe_probes(const soak* s) {
-    static const char* const names[PROBES_NUM] = {"service", "engine", "newest", "former", "read"};
+    static const char* const names[PROBES_NUM] = {"service", "engine", "newest", "previous",
+                                                  "read"};
     GString* missing = g_string_new(NULL);
     for (int i = 0; i < s->h.num; i++) {
         for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -68,6 +68,7 @@
         }
         soak_record_violation(
             s, "host %d sent target %d a request %s at %" PRId64 ", not allowed since %" PRId64,
-            u->host, u->target, u->leaving ? "though it leaves" : "in its rest", u->at, u->since);
+            u->host, u->target, u->leaving ? "while it was draining" : "in its backoff period",
+            u->at, u->since);
     }
 }
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -11,8 +11,7 @@
     TICK = 20 * WG_USEC_PER_MSEC
 };
 
-/* ---- helpers ----------------------------------------------------------------------------------
- */
+/* ---- helpers --------------------------------------------------------------------------------- */
 
 uint64_t soak_random(soak* s, uint64_t below) {
     return wg_jitter(s->desc.seed, ++s->counter) % below;
@@ -54,8 +53,7 @@
     return true;
 }
 
-/* ---- the end ------------------------------------------------------------------------------------
- */
+/* ---- the end --------------------------------------------------------------------------------- */
 
 /* Starts callers and faults once all hosts serve. */
 static void await_fleet(soak* s, wg_time now) {
@@ -69,7 +67,8 @@
         soak_callers_start(s);
     } else if (now - s->last_fault > FORM_TIMEOUT) {
         char* missing = soak_describe_probes(s);
-        soak_record_violation(s, "the fleet never served, host:what is missing:%s", missing);
+        soak_record_violation(
+            s, "the fleet did not start to serve in time; failed probes (host:probe):%s", missing);
         g_free(missing);
         event_base_loopbreak(s->base);
     }
@@ -87,7 +86,8 @@
     s->result.late_ms = (int)(s->lag_monitor.late.max / WG_USEC_PER_MSEC);
     if (!s->result.good) {
         char text[64];
-        g_snprintf(text, sizeof text, "; this process was late by up to %d ms", s->result.late_ms);
+        g_snprintf(text, sizeof text, "; max event-loop delay of the soak process: %d ms",
+                   s->result.late_ms);
         g_strlcat(s->result.reason, text, sizeof s->result.reason);
     }
 }
@@ -126,7 +126,8 @@
     } else if (now - MAX(s->last_fault, s->faults_until) > RECOVERY_TIMEOUT) {
         char* missing = soak_describe_probes(s);
         soak_record_violation(
-            s, "not all serve again; version %d, acknowledged %d, host:what is missing:%s",
+            s,
+            "not all hosts serve again; version %d, acknowledged %d, failed probes (host:probe):%s",
             s->version, s->acknowledged, missing);
         g_free(missing);
         event_base_loopbreak(s->base);
@@ -146,7 +147,7 @@
 static void check_arrivals(soak* s, const hosts_notes* notes) {
     for (guint i = 0; i < notes->late->len; i++) {
         if (is_undisturbed_at(s, g_array_index(notes->late, wg_time, i))) {
-            soak_record_violation(s, "a request reached a drained target too late");
+            soak_record_violation(s, "a request reached a target too late after its drain");
         }
     }
     for (guint i = 0; i < notes->evacuable->len; i++) {
@@ -159,9 +160,7 @@
     s->result.cold_most = notes->cold_most;
     if (notes->cold->len > 0) {
         soak_record_violation(
-            s,
-            "a cold target got more requests in a second than it bears, %u times, %d at "
-            "most",
+            s, "a cold target received more requests in a second than its limit: %u times, max %d",
             notes->cold->len, notes->cold_most);
     }
 }
@@ -177,7 +176,7 @@
             soak_record_violation(s, "%s ran %d times", (char*)id, GPOINTER_TO_INT(num));
         }
         if (g_hash_table_contains(s->refused_ids, id)) {
-            soak_record_violation(s, "%s ran, though it was refused as not run", (char*)id);
+            soak_record_violation(s, "%s ran although it was refused as not run", (char*)id);
         }
     }
     check_arrivals(s, &notes);
@@ -243,7 +242,7 @@
     s->ended = true;
     check_runs(s);
     if (s->result.whole == 0) {
-        soak_record_violation(s, "nothing was served");
+        soak_record_violation(s, "no request was served");
     }
     soak_callers_destroy(s);
     hosts_end(&s->h, !s->result.good || desc->keep);
--- a/tests/sim/soak_succession.c
+++ b/tests/sim/soak_succession.c
@@ -44,8 +44,7 @@
     soak_plan_repair(s, REPAIR_CONTINUE_REPLICA, number, false, ms, soak_begin_disturbance(s));
 }
 
-/* ---- functions of the soak --------------------------------------------------------------------
- */
+/* ---- functions of the soak ------------------------------------------------------------------- */
 
 void soak_inject_replacement_fault(soak* s, wg_time now) {
     if (s->next_loss_at == 0) {
