--- a/tests/sim/folder.h
+++ b/tests/sim/folder.h
@@ -1,5 +1,5 @@
 #pragma once
-/* folder.h -- folders that tests make and remove */
+/* folder.h -- helpers for temporary folders of tests */
 
-/* Remove all files of a folder, not the folder; one that cannot be read is left as it is. */
+/* Removes all files in a folder but not the folder itself; does nothing if it cannot be read. */
 void folder_wipe(const char* folder);
--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -28,7 +28,7 @@
     g_free(path);
 }
 
-/* Processes that a run left behind when it was broken off still hold its addresses. */
+/* Processes left over from an aborted run still hold their addresses. */
 static bool is_bindable(const char* address) {
     struct sockaddr_storage at;
     int size = 0;
@@ -41,7 +41,7 @@
     return free;
 }
 
-/* Are an entry host's, a replica's and a target's first addresses free? */
+/* Are the first addresses of entry processes, replicas and targets free? */
 static bool is_free_part(int part) {
     static const char* const first[] = {"127.%d.1.1:7100", "127.%d.1.1:7101", "127.%d.9.1:7100",
                                         "127.%d.6.1:9000"};
@@ -75,8 +75,8 @@
     posix_spawn_file_actions_addopen(&actions, 1, out, O_CREAT | O_WRONLY | O_APPEND, 0600);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
     posix_spawn_file_actions_addchdir_np(&actions, h->folder);
-    /* Else it would hold the proxies' listeners and connections: what these close would stay open,
-       and what outlives a run that was broken off would keep its addresses from others. */
+    /* An inherited descriptor of a proxy would keep connections open that the proxy closes, and
+       addresses in use after an aborted run. */
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     pid_t pid = 0;
     int failed = posix_spawn(&pid, path, &actions, NULL, argv, environ);
@@ -86,7 +86,7 @@
     return pid;
 }
 
-/* Three hosts that are there now, the first ones. */
+/* Addresses of the first three hosts that are part of the fleet. */
 static char* seeds(const hosts* h) {
     GString* list = g_string_new(NULL);
     int named = 0;
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -1,9 +1,9 @@
 #pragma once
 /*
-    hosts.h -- hosts with a replica and an entry host each, and targets, as real processes
+        hosts.h -- a fleet of real processes: hosts with an entry process and a replica each, and targets
 
-    All stand on loopback addresses of this fleet's own, 127.H.x.y. Links between fleet processes
-    and from entry hosts to targets go through proxies (proxy.h).
+    Each fleet has its own loopback addresses, 127.H.x.y. Links between fleet processes and from
+    entry processes to targets go through proxies (proxy.h).
 */
 #include <sys/types.h>
 
@@ -15,17 +15,17 @@
     HOST_TARGETS_MAX = 12
 };
 
-/* The data centre that is evacuated now and then; some targets of each service stand elsewhere. */
+/* The data centre that may be evacuated; each service has targets in another one too. */
 #define HOSTS_EVACUABLE "dc-b"
 
 typedef struct {
     int number; /* from 1 */
     bool disk;
-    bool away;     /* not yet, or no more, a part of the fleet */
-    bool spent;    /* it was replaced for good */
+    bool away;     /* not part of the fleet: not added yet, or removed */
+    bool spent;    /* permanently replaced; must not be used again */
     pid_t entry;   /* 0: not running */
-    pid_t replica; /* 0: not running, or no replica there */
-    proxy* links;  /* of all who connect to the replica */
+    pid_t replica; /* 0: not running, or the host has no replica */
+    proxy* links;  /* proxy of all connections to the replica */
     char callers[WG_ADDRESS_MAX];
     char orders[WG_ADDRESS_MAX];
     char ready[WG_ADDRESS_MAX];
@@ -39,32 +39,32 @@
     proxy* links;
     const char* service;
     const char* data_centre;
-    bool keeps_id; /* it starts again under its id */
+    bool keeps_id; /* restarts under the same id */
 } host_target;
 
-/* What the targets noted, times of arrivals on this machine's steady clock. */
+/* Events recorded by the targets; times are those of arrival, on the monotonic clock. */
 typedef struct {
     GHashTable* runs;  /* id -> number of runs */
-    GArray* late;      /* wg_time, of requests that came later than a drain allows */
-    GArray* cold;      /* the same, beyond what a cold target may get in a second */
-    int cold_most;     /* requests that a cold target got in a second */
-    GArray* evacuable; /* the same, all that came to targets in HOSTS_EVACUABLE */
+    GArray* late;      /* wg_time, requests that arrived later than a drain allows */
+    GArray* cold;      /* wg_time, requests beyond what a cold target may receive in a second */
+    int cold_most;     /* max requests that a cold target received in a second */
+    GArray* evacuable; /* wg_time, all requests to targets in HOSTS_EVACUABLE */
     GArray* unheeded;  /* hosts_unheeded */
 } hosts_notes;
 
-/* A request that came to a target although its host was asked for rest, or told that the target
-   leaves. */
+/* A request that reached a target although the target had sent its host a backoff hint or notified
+   it of draining. */
 typedef struct {
     int target;   /* number */
     int host;     /* number */
-    bool leaving; /* the target leaves; else it rests */
-    wg_time since;
+    bool leaving; /* the target was draining; else in backoff */
+    wg_time since; /* when the backoff or drain had to take effect */
     wg_time at;
 } hosts_unheeded;
 
 typedef struct {
     struct event_base* base;
-    int part; /* of the loopback addresses */
+    int part; /* H in the fleet's addresses 127.H.x.y */
     char folder[64];
     char bin[256];
     host hosts[HOSTS_MAX];
@@ -72,30 +72,30 @@
     host_target targets[HOST_TARGETS_MAX];
     int targets_num;
     bool started_before;
-    int losses;           /* disks that may be lost at one time, as replicas are told */
-    char* replica_timing; /* lines of the replicas' group timing */
-    int standby_ms;       /* as entry hosts are told; 0: as deployed */
-    bool direct_targets;  /* hosts connect to targets themselves, not through proxies */
-    bool spoiled;         /* targets cut, fail and refuse a part of their requests */
+    int losses;           /* setting `losses` of replicas: disks that may be lost at one time */
+    char* replica_timing; /* settings of the replicas' group [timing] */
+    int standby_ms;       /* setting `standby_ms` of entry processes; 0: the default */
+    bool direct_targets;  /* hosts connect to targets without proxies */
+    bool spoiled;         /* targets abort, fail and refuse a part of their requests */
 } hosts;
 
-/* Fill in addresses and proxies; nothing is started. The first `disks` hosts have a disk. */
+/* Sets up addresses and proxies; starts no process. The first `disks` hosts have a disk. */
 void hosts_setup(hosts* h, struct event_base* base, int num, int disks, int targets);
-/* A host is to have a replica too; before anything is started on it. */
+/* Gives a host a replica; call it before anything is started on the host. */
 void hosts_give_disk(hosts* h, host* which);
-/* Replicas wait and beat as deploy/replica.ini says, read from the folder that the test runs in. */
+/* Uses the timing of deploy/replica.ini, read relative to the working directory. */
 void hosts_use_deployed_timing(hosts* h);
 void hosts_start_entry(hosts* h, host* which);
 void hosts_start_replica(hosts* h, host* which);
 void hosts_start_target(hosts* h, host_target* which);
-/* Run a program beside them to its end, output in `log`; its exit status. */
+/* Runs a program until it exits, with output in `log`; returns its exit status, or -1. */
 int hosts_run_program(hosts* h, const char* program, const char* log, char** arguments);
-/* Set faults of a target that runs, "name=value&name=value"; see tests/fakes/fake.h. False when it
-   does not answer. */
+/* Sets faults of a running target, "name=value&name=value"; see tests/fakes/fake.h. False when it
+   does not answer with 200. */
 bool hosts_set_target(hosts* h, const host_target* which, const char* faults);
-/* Remove the data folder of a replica that is not running. */
+/* Empties the data folder of a replica that is not running. */
 void hosts_wipe(hosts* h, host* which);
-/* End everything that was started, by its id, and remove the folder unless `keep`. */
+/* Kills everything that was started and removes the folder unless `keep`. */
 void hosts_end(hosts* h, bool keep);
 hosts_notes hosts_read_notes(const hosts* h);
 void hosts_notes_clear(hosts_notes* notes);
--- a/tests/sim/hosts_operator.c
+++ b/tests/sim/hosts_operator.c
@@ -10,7 +10,7 @@
 
 enum {
     ORDER_SECONDS = 2,
-    AGAIN_MS = 100 /* between two tries */
+    AGAIN_MS = 100
 };
 
 typedef struct {
@@ -46,11 +46,11 @@
 
 typedef struct {
     const char* address;
-    const char* host; /* the field of that name */
+    const char* host; /* value of the Host header */
     const char* path;
     enum evhttp_cmd_type method;
-    char* body;      /* taken over; NULL: none */
-    const char* key; /* of operators; NULL: none is sent */
+    char* body;      /* owned, freed by ask(); NULL: none */
+    const char* key; /* operator key; NULL: none is sent */
 } question;
 
 static answer ask(hosts* h, const question* q) {
@@ -87,7 +87,7 @@
                               .body = body});
 }
 
-/* The next host, in turn, that has an entry process; NULL when none has. */
+/* The first host from number `turn` on that has an entry process; NULL when none has. */
 static const host* next_host(const hosts* h, int turn) {
     for (int i = 0; i < h->num; i++) {
         const host* w = &h->hosts[(turn + i) % h->num];
--- a/tests/sim/hosts_operator.h
+++ b/tests/sim/hosts_operator.h
@@ -1,24 +1,25 @@
 #pragma once
 /*
-    hosts_operator.h -- an operator of hosts.h that waits for its answers
+        hosts_operator.h -- blocking operator requests to a fleet of hosts.h
 
-    Sends configurations and reads them back through a host's orders address, while the loop that
-    the proxies need goes on.
+    Sends configurations and reads them back through a host's orders address. The event loop, which
+    the proxies need, runs while a call waits.
 */
 #include "hosts.h"
 
-/* Let the loop run for so many milliseconds. */
+/* Runs the event loop for `ms` milliseconds. */
 void hosts_run_for(hosts* h, int ms);
-/* Ask the replica of a host to form the set anew, without the hosts whose names are given, "a,b";
-   the status, 0 when none came. */
+/* Asks the replica of a host for a forced recovery of the set without the hosts named in `gone`,
+   "a,b"; returns the HTTP status, 0 without an answer. */
 int hosts_form_anew(hosts* h, const host* at, const char* gone);
-/* Send a configuration of this version with two routes; the status, 0 when none came in 2 s. */
+/* Sends a configuration of this version; returns the HTTP status, 0 without an answer in time. */
 int hosts_put_version(hosts* h, const host* at, int version);
-/* The version that a host reads back; 0 when it answers with anything but 200. */
+/* Reads the configuration version at a host; 0 when the status is not 200. */
 int hosts_get_version(hosts* h, const host* at);
-/* Try again at hosts that have an entry process, in turn, until one acknowledges, or reads back at
-   least this version; false when none did within so many milliseconds. */
+/* Retries at each host with an entry process in turn until one acknowledges the version, or reads
+   back at least this version; false when none did within `ms` milliseconds. */
 bool hosts_put_until(hosts* h, int version, int ms);
 bool hosts_get_until(hosts* h, int version, int ms);
-/* The same for a request of a caller at this host, until it is answered with 200. */
+/* Retries a caller's request at this host until the status is 200; false when it was not within
+   `ms` milliseconds. */
 bool hosts_serves_until(hosts* h, const host* at, int ms);
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -16,7 +16,7 @@
 typedef struct {
     load_t* load;
     struct evhttp_connection* connection;
-    char host[64]; /* of the connection */
+    char host[64]; /* address of the connection */
     uint64_t number;
     char id[48];
     char path[96];
@@ -81,7 +81,7 @@
     if (!l->desc->follow_entry || l->entry_asked || now < l->entry_at) {
         return;
     }
-    /* Ask a host of the present answer, or a first contact, in turn. */
+    /* Ask one of the current entry hosts, or sometimes a first contact. */
     uint64_t pick = wg_jitter(l->desc->seed, (uint64_t)now);
     const char* host = l->hosts_num > 0 && pick % 4 != 0
                            ? l->hosts[pick % (uint64_t)l->hosts_num]
@@ -109,7 +109,7 @@
     return d->kind == LOAD_KIND_STREAM || d->kind == LOAD_KIND_PLAIN_STREAM;
 }
 
-/* Tokens say their number; each must follow the one before. */
+/* Tokens carry their number; checks that they arrive in order. */
 static void take_stream(caller_t* c) {
     char* line;
     size_t size;
@@ -221,7 +221,7 @@
     if (status == 200) {
         check_whole(c);
     } else if (status == 0) {
-        /* Refused, or broken: only what may be repeated is sent again. */
+        /* No answer: only requests that may be repeated are sent again. */
         bool action = c->load->desc->kind == LOAD_KIND_ACTION;
         bool started = c->first_seen || evbuffer_get_length(c->body) > 0;
         if (more && !action && !started) {
--- a/tests/sim/loopback.c
+++ b/tests/sim/loopback.c
@@ -19,7 +19,7 @@
         g_snprintf(path, sizeof path, "/tmp/wg-fleet-host-%d.lock", part);
         int fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
         if (fd >= 0 && flock(fd, LOCK_EX | LOCK_NB) == 0 && (!is_free || is_free(part))) {
-            return part; /* the lock is held until this process ends */
+            return part; /* the lock is held until this process exits */
         }
         close(fd);
     }
@@ -28,7 +28,7 @@
 
 int loopback_part(void) {
     static int part;
-    static pid_t owner; /* a child of the process takes one for itself */
+    static pid_t owner; /* a forked child takes a part of its own */
     if (owner != getpid()) {
         owner = getpid();
         part = loopback_take(NULL);
--- a/tests/sim/loopback.h
+++ b/tests/sim/loopback.h
@@ -1,19 +1,20 @@
 #pragma once
 /*
-    loopback.h -- parts of the loopback addresses, each used by one test process at a time
+        loopback.h -- allocates parts of the loopback address range to test processes
 
     WHAT IT DOES
-        Test programs run at once and listen on addresses 127.x.x.x. A part, 2 to 241, stands for
-   one of those numbers; it is locked by a file until the process ends, however it ends.
+        Test programs run in parallel and listen on addresses 127.P.x.x. Each uses a part P of its
+        own, 2 to 241, which a lock file reserves until the process exits.
 
     THE CALLER OWNS
         nothing.
 */
 #include <stdbool.h>
 
-/* Locks a part that no other process has and of which `is_free` says that nothing is left of an
-   earlier one; NULL: no such look. Each call takes another part. */
+/* Locks a part that no other process has locked and for which `is_free`, if not NULL, returns true:
+   processes of an aborted run may still use it. Each call takes another part. Aborts when none is
+   left. */
 int loopback_take(bool (*is_free)(int part));
 
-/* The part that this process has for addresses of its own; taken by the first call. */
+/* The part of this process; the first call takes it. */
 int loopback_part(void);
--- a/tests/sim/proxy.c
+++ b/tests/sim/proxy.c
@@ -16,8 +16,8 @@
 
 typedef struct {
     proxy* owner;
-    struct bufferevent* ends[2]; /* 0: who connected, 1: the far end */
-    struct event* timers[2];     /* of what was read from an end and waits */
+    struct bufferevent* ends[2]; /* 0: the client, 1: the far end */
+    struct event* timers[2];     /* PROXY_DELAY: forwards what was read from an end */
 } pair_t;
 
 struct proxy {
@@ -84,7 +84,7 @@
     on_wait(user_data, 1);
 }
 
-/* An end that closes closes the other one, after what was read has left. */
+/* When one end closes, flushes what it sent and closes the other end. */
 static void on_event(struct bufferevent* bev, short what, void* user_data) {
     pair_t* pair = user_data;
     if (what & BEV_EVENT_CONNECTED) {
