--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -62,7 +62,7 @@
     g_free(folder);
 }
 
-static pid_t start(const hosts* h, const char* program, const char* log, char** arguments) {
+static pid_t start_program(const hosts* h, const char* program, const char* log, char** arguments) {
     char path[320];
     char* argv[24] = {path};
     g_snprintf(path, sizeof path, "%s/%s", h->bin, program);
@@ -87,11 +87,11 @@
 }
 
 /* Addresses of the first three hosts that are part of the fleet. */
-static char* seeds(const hosts* h) {
+static char* seed_addresses(const hosts* h) {
     GString* list = g_string_new(NULL);
     int named = 0;
     for (int i = 0; i < h->num && named < 3; i++) {
-        if (!h->hosts[i].away) {
+        if (!h->hosts[i].absent) {
             g_string_append_printf(list, "%s127.%d.1.%d:7200", named++ ? "," : "", h->part, i + 1);
         }
     }
@@ -164,7 +164,7 @@
 void hosts_start_entry(hosts* h, host* w) {
     char name[32];
     char log[32];
-    char* list = seeds(h);
+    char* list = seed_addresses(h);
     char* text = g_strdup_printf(
         "[entry]\nname=127.%d.1.%d\ndata_centre=dc\ncallers_listen=%s\nready_listen=%s\n"
         "entry_listen=%s\norders_listen=%s\nseeds=%s\nfleet_port=7100\n"
@@ -176,7 +176,7 @@
     g_snprintf(log, sizeof log, "entry-%d.log", w->number);
     write_file(h, name, text);
     char* arguments[] = {(char*)"--settings", name, NULL};
-    w->entry = start(h, "walnutgate-entryd", log, arguments);
+    w->entry = start_program(h, "walnutgate-entryd", log, arguments);
     g_free(text);
     g_free(list);
 }
@@ -184,7 +184,7 @@
 void hosts_start_replica(hosts* h, host* w) {
     char name[32];
     char log[32];
-    char* list = seeds(h);
+    char* list = seed_addresses(h);
     char* text = g_strdup_printf(
         "[control]\nname=127.%d.1.%d\nfleet_listen=127.%d.9.%d:7100\n"
         "fleet_address=127.%d.1.%d:7100\noperators_listen=127.%d.9.%d:7300\n"
@@ -198,7 +198,7 @@
     g_snprintf(log, sizeof log, "replica-%d.log", w->number);
     write_file(h, name, text);
     char* arguments[] = {(char*)"--settings", name, NULL};
-    w->replica = start(h, "walnutgate-controld", log, arguments);
+    w->replica = start_program(h, "walnutgate-controld", log, arguments);
     g_free(text);
     g_free(list);
 }
@@ -240,13 +240,13 @@
                          (char*)"fail=10",
                          (char*)"refuse=6",
                          NULL};
-    t->pid = start(h, "fake_target", log, arguments);
+    t->pid = start_program(h, "fake_target", log, arguments);
     g_string_free(list, TRUE);
 }
 
 int hosts_run_program(hosts* h, const char* program, const char* log, char** arguments) {
     struct timeval turn = {.tv_usec = 10 * 1000};
-    pid_t pid = start(h, program, log, arguments);
+    pid_t pid = start_program(h, program, log, arguments);
     int status = 0;
     while (waitpid(pid, &status, WNOHANG) == 0) {
         event_base_loopexit(h->base, &turn);
@@ -273,7 +273,7 @@
     g_free(folder);
 }
 
-static void end_process(pid_t* pid) {
+static void kill_process(pid_t* pid) {
     if (*pid > 0) {
         kill(*pid, SIGKILL);
         while (waitpid(*pid, NULL, 0) < 0 && errno == EINTR) {
@@ -285,14 +285,14 @@
 void hosts_end(hosts* h, bool keep) {
     g_clear_pointer(&h->replica_timing, g_free);
     for (int i = 0; i < h->num; i++) {
-        end_process(&h->hosts[i].entry);
-        end_process(&h->hosts[i].replica);
+        kill_process(&h->hosts[i].entry);
+        kill_process(&h->hosts[i].replica);
         if (h->hosts[i].links) {
             proxy_stop(h->hosts[i].links);
         }
     }
     for (int i = 0; i < h->targets_num; i++) {
-        end_process(&h->targets[i].pid);
+        kill_process(&h->targets[i].pid);
         proxy_stop(h->targets[i].links);
     }
     if (keep) {
@@ -315,7 +315,7 @@
     g_array_append_val(times, at);
 }
 
-static void add_unheeded(hosts_notes* notes, int target, const char* value, bool leaving) {
+static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool leaving) {
     hosts_unheeded u = {.target = target, .leaving = leaving};
     long long since = 0;
     long long at = 0;
@@ -326,7 +326,7 @@
     }
 }
 
-static void add_note(hosts_notes* notes, int target, const char* line) {
+static void add_event(hosts_notes* notes, int target, const char* line) {
     const char* value = strchr(line, ' ');
     if (!value) {
         return;
@@ -342,9 +342,9 @@
     } else if (g_str_has_prefix(line, "cold-most ")) {
         notes->cold_most = MAX(notes->cold_most, atoi(value));
     } else if (g_str_has_prefix(line, "in-rest ")) {
-        add_unheeded(notes, target, value, false);
+        add_hint_violation(notes, target, value, false);
     } else if (g_str_has_prefix(line, "after-leaving ")) {
-        add_unheeded(notes, target, value, true);
+        add_hint_violation(notes, target, value, true);
     } else if (g_str_has_prefix(line, HOSTS_EVACUABLE " ")) {
         add_time(notes->evacuable, value);
     }
@@ -362,7 +362,7 @@
         g_file_get_contents(path, &text, NULL, NULL);
         char** lines = g_strsplit(text ? text : "", "\n", 0);
         for (int l = 0; lines[l]; l++) {
-            add_note(&notes, i + 1, lines[l]);
+            add_event(&notes, i + 1, lines[l]);
         }
         g_strfreev(lines);
         g_free(text);
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -1,6 +1,7 @@
 #pragma once
 /*
-        hosts.h -- a fleet of real processes: hosts with an entry process and a replica each, and targets
+        hosts.h -- a fleet of real processes: hosts with an entry process and a replica each, and
+   targets
 
     Each fleet has its own loopback addresses, 127.H.x.y. Links between fleet processes and from
     entry processes to targets go through proxies (proxy.h).
@@ -21,8 +22,8 @@
 typedef struct {
     int number; /* from 1 */
     bool disk;
-    bool away;     /* not part of the fleet: not added yet, or removed */
-    bool spent;    /* permanently replaced; must not be used again */
+    bool absent;   /* not part of the fleet: not added yet, or removed */
+    bool retired;  /* permanently replaced; must not be used again */
     pid_t entry;   /* 0: not running */
     pid_t replica; /* 0: not running, or the host has no replica */
     proxy* links;  /* proxy of all connections to the replica */
@@ -55,9 +56,9 @@
 /* A request that reached a target although the target had sent its host a backoff hint or notified
    it of draining. */
 typedef struct {
-    int target;   /* number */
-    int host;     /* number */
-    bool leaving; /* the target was draining; else in backoff */
+    int target;    /* number */
+    int host;      /* number */
+    bool leaving;  /* the target was draining; else in backoff */
     wg_time since; /* when the backoff or drain had to take effect */
     wg_time at;
 } hosts_unheeded;
--- a/tests/sim/hosts_operator.c
+++ b/tests/sim/hosts_operator.c
@@ -9,20 +9,20 @@
 #include "wg_net.h"
 
 enum {
-    ORDER_SECONDS = 2,
-    AGAIN_MS = 100
+    REQUEST_TIMEOUT_S = 2,
+    RETRY_GAP_MS = 100
 };
 
 typedef struct {
     struct event_base* base;
-    bool over;
+    bool done;
     int status;
     int version;
 } answer;
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static char* document(int version) {
+static char* make_configuration(int version) {
     return g_strdup_printf("{\"version\":%d,\"services\":[{\"name\":\"app\"}],\"routes\":[{"
                            "\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/\",\"kind\":\"safe\","
                            "\"timeout_ms\":2500,\"objective_ms\":500,\"attempts\":2,"
@@ -32,7 +32,7 @@
 
 static void on_answer(struct evhttp_request* request, void* user_data) {
     answer* a = user_data;
-    a->over = true;
+    a->done = true;
     a->status = request ? evhttp_request_get_response_code(request) : 0;
     if (a->status == 200) {
         struct evbuffer* in = evhttp_request_get_input_buffer(request);
@@ -49,17 +49,17 @@
     const char* host; /* value of the Host header */
     const char* path;
     enum evhttp_cmd_type method;
-    char* body;      /* owned, freed by ask(); NULL: none */
+    char* body;      /* owned, freed by send_request(); NULL: none */
     const char* key; /* operator key; NULL: none is sent */
-} question;
+} request_desc;
 
-static answer ask(hosts* h, const question* q) {
+static answer send_request(hosts* h, const request_desc* q) {
     char ip[WG_ADDRESS_MAX];
     uint16_t port;
     answer a = {.base = h->base};
     wgn_split_address(q->address, ip, &port);
     struct evhttp_connection* connection = evhttp_connection_base_new(h->base, NULL, ip, port);
-    evhttp_connection_set_timeout(connection, ORDER_SECONDS);
+    evhttp_connection_set_timeout(connection, REQUEST_TIMEOUT_S);
     evhttp_connection_free_on_completion(connection);
     struct evhttp_request* request = evhttp_request_new(on_answer, &a);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", q->host);
@@ -72,19 +72,20 @@
         evbuffer_add(evhttp_request_get_output_buffer(request), q->body, strlen(q->body));
     }
     evhttp_make_request(connection, request, q->method, q->path);
-    while (!a.over) {
+    while (!a.done) {
         event_base_loop(h->base, EVLOOP_ONCE);
     }
     g_free(q->body);
     return a;
 }
 
-static answer order(hosts* h, const host* at, enum evhttp_cmd_type method, char* body) {
-    return ask(h, &(question){.address = at->orders,
-                              .host = "orders",
-                              .path = "/v1/configuration",
-                              .method = method,
-                              .body = body});
+static answer request_configuration(hosts* h, const host* at, enum evhttp_cmd_type method,
+                                    char* body) {
+    return send_request(h, &(request_desc){.address = at->orders,
+                                           .host = "orders",
+                                           .path = "/v1/configuration",
+                                           .method = method,
+                                           .body = body});
 }
 
 /* The first host from number `turn` on that has an entry process; NULL when none has. */
@@ -109,22 +110,22 @@
 int hosts_form_anew(hosts* h, const host* at, const char* gone) {
     char address[WG_ADDRESS_MAX];
     g_snprintf(address, sizeof address, "127.%d.9.%d:7300", h->part, at->number);
-    return ask(h, &(question){.address = address,
-                              .host = "replica",
-                              .path = "/v1/replicas",
-                              .method = EVHTTP_REQ_POST,
-                              .key = "operator-key-of-the-soak",
-                              .body = g_strdup_printf("{\"action\":\"form-anew\",\"gone\":\"%s\"}",
-                                                      gone)})
+    return send_request(h, &(request_desc){.address = address,
+                                           .host = "replica",
+                                           .path = "/v1/replicas",
+                                           .method = EVHTTP_REQ_POST,
+                                           .key = "operator-key-of-the-soak",
+                                           .body = g_strdup_printf(
+                                               "{\"action\":\"form-anew\",\"gone\":\"%s\"}", gone)})
         .status;
 }
 
 int hosts_put_version(hosts* h, const host* at, int version) {
-    return order(h, at, EVHTTP_REQ_PUT, document(version)).status;
+    return request_configuration(h, at, EVHTTP_REQ_PUT, make_configuration(version)).status;
 }
 
 int hosts_get_version(hosts* h, const host* at) {
-    return order(h, at, EVHTTP_REQ_GET, NULL).version;
+    return request_configuration(h, at, EVHTTP_REQ_GET, NULL).version;
 }
 
 bool hosts_put_until(hosts* h, int version, int ms) {
@@ -133,7 +134,7 @@
         if (hosts_put_version(h, next_host(h, turn), version) == 200) {
             return true;
         }
-        hosts_run_for(h, AGAIN_MS);
+        hosts_run_for(h, RETRY_GAP_MS);
     }
     return false;
 }
@@ -144,20 +145,20 @@
         if (hosts_get_version(h, next_host(h, turn)) >= version) {
             return true;
         }
-        hosts_run_for(h, AGAIN_MS);
+        hosts_run_for(h, RETRY_GAP_MS);
     }
     return false;
 }
 
 bool hosts_serves_until(hosts* h, const host* at, int ms) {
-    const question call = {
+    const request_desc call = {
         .address = at->callers, .host = "h", .path = "/safe/x", .method = EVHTTP_REQ_GET};
     wg_time until = wg_now() + (wg_time)ms * WG_USEC_PER_MSEC;
     while (wg_now() < until) {
-        if (ask(h, &call).status == 200) {
+        if (send_request(h, &call).status == 200) {
             return true;
         }
-        hosts_run_for(h, AGAIN_MS);
+        hosts_run_for(h, RETRY_GAP_MS);
     }
     return false;
 }
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -21,11 +21,11 @@
     char id[48];
     char path[96];
     int tries;
-    int host_at;
+    int host_index;
     wg_time begun;
     struct evbuffer* body;
     int64_t tokens;
-    bool first_seen;
+    bool first_token_seen;
     bool done_seen;
     bool token_wrong;
     bool idle;
@@ -39,13 +39,13 @@
     caller_t* callers;
     char hosts[LOAD_HOSTS_MAX][64];
     int hosts_num;
-    struct evhttp_connection* entry;
-    bool entry_asked;
-    wg_time entry_at;
-    wg_time began;
-    wg_time whole_at;
+    struct evhttp_connection* entry_connection;
+    bool entry_in_flight;
+    wg_time entry_refresh_at;
+    wg_time start_time;
+    wg_time last_complete_at;
     uint64_t begun;
-    int at_work;
+    int active_num;
 };
 
 static void send_request(caller_t* c);
@@ -53,9 +53,9 @@
 
 /* ---- helpers: entry hosts ------------------------------------------------------------------- */
 
-static void on_entry(struct evhttp_request* request, void* user_data) {
+static void on_entry_hosts(struct evhttp_request* request, void* user_data) {
     load_t* l = user_data;
-    l->entry_asked = false;
+    l->entry_in_flight = false;
     struct evbuffer* body = request ? evhttp_request_get_input_buffer(request) : NULL;
     size_t size = body ? evbuffer_get_length(body) : 0;
     json_t* json = size ? json_loadb((char*)evbuffer_pullup(body, -1), size, 0, NULL) : NULL;
@@ -70,15 +70,15 @@
             }
         }
         int64_t keep = json_integer_value(json_object_get(json, "keep_ms"));
-        l->entry_at = wg_now() + keep * WG_USEC_PER_MSEC;
+        l->entry_refresh_at = wg_now() + keep * WG_USEC_PER_MSEC;
     } else {
-        l->entry_at = wg_now() + 50 * WG_USEC_PER_MSEC;
+        l->entry_refresh_at = wg_now() + 50 * WG_USEC_PER_MSEC;
     }
     json_decref(json);
 }
 
-static void ask_entry(load_t* l, wg_time now) {
-    if (!l->desc->follow_entry || l->entry_asked || now < l->entry_at) {
+static void refresh_entry_hosts(load_t* l, wg_time now) {
+    if (!l->desc->follow_entry || l->entry_in_flight || now < l->entry_refresh_at) {
         return;
     }
     /* Ask one of the current entry hosts, or sometimes a first contact. */
@@ -90,16 +90,17 @@
     g_strlcpy(ip, host, sizeof ip);
     char* colon = strrchr(ip, ':');
     *colon = 0;
-    if (l->entry) {
-        evhttp_connection_free(l->entry);
+    if (l->entry_connection) {
+        evhttp_connection_free(l->entry_connection);
     }
-    l->entry = evhttp_connection_base_new(l->base, NULL, ip, (uint16_t)atoi(colon + 1));
-    evhttp_connection_set_timeout(l->entry, 1);
-    struct evhttp_request* request = evhttp_request_new(on_entry, l);
+    l->entry_connection = evhttp_connection_base_new(l->base, NULL, ip, (uint16_t)atoi(colon + 1));
+    evhttp_connection_set_timeout(l->entry_connection, 1);
+    struct evhttp_request* request = evhttp_request_new(on_entry_hosts, l);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", host);
-    l->entry_asked = true;
-    if (evhttp_make_request(l->entry, request, EVHTTP_REQ_GET, "/v1/entry?workspace=w0") != 0) {
-        l->entry_asked = false;
+    l->entry_in_flight = true;
+    if (evhttp_make_request(l->entry_connection, request, EVHTTP_REQ_GET,
+                            "/v1/entry?workspace=w0") != 0) {
+        l->entry_in_flight = false;
     }
 }
 
@@ -110,7 +111,7 @@
 }
 
 /* Tokens carry their number; checks that they arrive in order. */
-static void take_stream(caller_t* c) {
+static void read_stream(caller_t* c) {
     char* line;
     size_t size;
     while ((line = evbuffer_readln(c->body, &size, EVBUFFER_EOL_LF))) {
@@ -119,8 +120,8 @@
             int64_t number = g_ascii_strtoll(content + 12, NULL, 10);
             c->token_wrong = c->token_wrong || number != c->tokens + 1;
             c->tokens = number;
-            if (!c->first_seen) {
-                c->first_seen = true;
+            if (!c->first_token_seen) {
+                c->first_token_seen = true;
                 wg_hist_add(&c->load->result->first_token, wg_now() - c->begun);
             }
         }
@@ -133,26 +134,26 @@
     caller_t* c = user_data;
     evbuffer_add_buffer(c->body, evhttp_request_get_input_buffer(request));
     if (is_stream(c->load->desc) && evhttp_request_get_response_code(request) == 200) {
-        take_stream(c);
+        read_stream(c);
     }
 }
 
-static void note_whole(caller_t* c) {
+static void record_complete(caller_t* c) {
     load_t* l = c->load;
     wg_time now = wg_now();
     l->result->whole++;
-    l->result->longest_gap = MAX(l->result->longest_gap, now - l->whole_at);
-    l->whole_at = now;
+    l->result->longest_gap = MAX(l->result->longest_gap, now - l->last_complete_at);
+    l->last_complete_at = now;
     wg_hist_add(&l->result->latency, now - c->begun);
 }
 
-static bool body_holds(caller_t* c, const char* text) {
+static bool body_contains(caller_t* c, const char* text) {
     size_t size = evbuffer_get_length(c->body);
     const char* body = size ? (const char*)evbuffer_pullup(c->body, -1) : "";
     return memmem(body, size, text, strlen(text)) != NULL;
 }
 
-static void check_whole(caller_t* c) {
+static void check_answer(caller_t* c) {
     const load_desc* d = c->load->desc;
     load_result* r = c->load->result;
     if (is_stream(d)) {
@@ -164,13 +165,13 @@
             r->failed++;
             return;
         }
-    } else if (!body_holds(c, c->id)) {
+    } else if (!body_contains(c, c->id)) {
         r->wrong++;
     }
-    note_whole(c);
+    record_complete(c);
 }
 
-static void give_up(caller_t* c, int status, const char* verdict) {
+static void record_failure(caller_t* c, int status, const char* verdict) {
     load_result* r = c->load->result;
     r->failed++;
     if (c->load->desc->kind == LOAD_KIND_ACTION && strcmp(verdict, "not-run") == 0) {
@@ -198,9 +199,9 @@
     send_request(c);
 }
 
-static void try_again(caller_t* c, int wait_ms) {
+static void schedule_retry(caller_t* c, int wait_ms) {
     c->load->result->retried++;
-    c->host_at++;
+    c->host_index++;
     struct timeval wait = {.tv_usec = wait_ms * 1000};
     event_base_once(c->load->base, -1, EV_TIMEOUT, on_retry, c, &wait);
 }
@@ -219,37 +220,37 @@
     c->tries++;
     bool more = c->tries < (c->load->desc->tries ? c->load->desc->tries : 5);
     if (status == 200) {
-        check_whole(c);
+        check_answer(c);
     } else if (status == 0) {
         /* No answer: only requests that may be repeated are sent again. */
         bool action = c->load->desc->kind == LOAD_KIND_ACTION;
-        bool started = c->first_seen || evbuffer_get_length(c->body) > 0;
+        bool started = c->first_token_seen || evbuffer_get_length(c->body) > 0;
         if (more && !action && !started) {
             r->refused_connections++;
-            try_again(c, 20);
+            schedule_retry(c, 20);
             return;
         }
         r->broken++;
-        give_up(c, 0, "");
+        record_failure(c, 0, "");
     } else {
         const char* verdict =
             evhttp_find_header(evhttp_request_get_input_headers(request), "Walnutgate-Verdict");
         if (more && verdict && strcmp(verdict, "not-run") == 0 && status == 503) {
-            try_again(c, 100);
+            schedule_retry(c, 100);
             return;
         }
-        give_up(c, status, verdict ? verdict : "");
+        record_failure(c, status, verdict ? verdict : "");
     }
     struct timeval now = {0};
     event_base_once(c->load->base, -1, EV_TIMEOUT, on_next, c, &now);
 }
 
-static bool use_host(caller_t* c) {
+static bool select_host(caller_t* c) {
     load_t* l = c->load;
     if (l->hosts_num == 0) {
         return false;
     }
-    const char* host = l->hosts[c->host_at % l->hosts_num];
+    const char* host = l->hosts[c->host_index % l->hosts_num];
     if (c->connection && strcmp(host, c->host) != 0) {
         drop_connection(c);
     }
@@ -269,8 +270,8 @@
     const load_desc* d = c->load->desc;
     evbuffer_drain(c->body, evbuffer_get_length(c->body));
     c->tokens = 0;
-    c->first_seen = c->done_seen = c->token_wrong = false;
-    if (!use_host(c)) {
+    c->first_token_seen = c->done_seen = c->token_wrong = false;
+    if (!select_host(c)) {
         struct timeval wait = {.tv_usec = 20000};
         event_base_once(c->load->base, -1, EV_TIMEOUT, on_retry, c, &wait);
         return;
@@ -300,17 +301,17 @@
                             d->tokens);
     }
     if (evhttp_make_request(c->connection, request, method, path) != 0) {
-        try_again(c, 20);
+        schedule_retry(c, 20);
     }
 }
 
 static void next_request(caller_t* c) {
     load_t* l = c->load;
     const load_desc* d = l->desc;
-    bool over = wg_now() - l->began >= d->duration || (d->requests && l->begun >= d->requests);
+    bool over = wg_now() - l->start_time >= d->duration || (d->requests && l->begun >= d->requests);
     if (over) {
         c->idle = true;
-        if (--l->at_work == 0) {
+        if (--l->active_num == 0) {
             event_base_loopbreak(l->base);
         }
         return;
@@ -333,9 +334,9 @@
     (void)what;
     load_t* l = user_data;
     wg_time now = wg_now();
-    ask_entry(l, now);
+    refresh_entry_hosts(l, now);
     if (l->desc->on_tick) {
-        l->desc->on_tick(l->desc->user_data, now - l->began);
+        l->desc->on_tick(l->desc->user_data, now - l->start_time);
     }
 }
 
@@ -345,10 +346,11 @@
     *result = (load_result){0};
     result->not_run_ids = g_ptr_array_new_with_free_func(g_free);
     result->sent_ids = g_ptr_array_new_with_free_func(g_free);
-    load_t l = {.desc = desc, .result = result, .began = wg_now(), .whole_at = wg_now()};
+    load_t l = {
+        .desc = desc, .result = result, .start_time = wg_now(), .last_complete_at = wg_now()};
     l.base = event_base_new();
     l.callers = g_new0(caller_t, desc->callers);
-    l.at_work = desc->callers;
+    l.active_num = desc->callers;
     if (!desc->follow_entry) {
         for (int i = 0; i < desc->hosts_num; i++) {
             g_strlcpy(l.hosts[l.hosts_num++], desc->hosts[i], sizeof l.hosts[0]);
@@ -360,18 +362,18 @@
     for (int i = 0; i < desc->callers; i++) {
         caller_t* c = &l.callers[i];
         c->load = &l;
-        c->host_at = i;
+        c->host_index = i;
         c->body = evbuffer_new();
         next_request(c);
     }
     event_base_dispatch(l.base);
-    result->took = wg_now() - l.began;
+    result->took = wg_now() - l.start_time;
     for (int i = 0; i < desc->callers; i++) {
         drop_connection(&l.callers[i]);
         evbuffer_free(l.callers[i].body);
     }
-    if (l.entry) {
-        evhttp_connection_free(l.entry);
+    if (l.entry_connection) {
+        evhttp_connection_free(l.entry_connection);
     }
     event_free(l.tick);
     event_base_free(l.base);
--- a/tests/sim/loopback.c
+++ b/tests/sim/loopback.c
@@ -8,13 +8,13 @@
 #include <unistd.h>
 
 enum {
-    PART_FIRST = 2,
-    PARTS = 240
+    PART_MIN = 2,
+    PARTS_NUM = 240
 };
 
 int loopback_take(bool (*is_free)(int part)) {
-    for (int i = 0; i < PARTS; i++) {
-        int part = PART_FIRST + (getpid() + i) % PARTS;
+    for (int i = 0; i < PARTS_NUM; i++) {
+        int part = PART_MIN + (getpid() + i) % PARTS_NUM;
         char path[48];
         g_snprintf(path, sizeof path, "/tmp/wg-fleet-host-%d.lock", part);
         int fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
--- a/tests/sim/proc.c
+++ b/tests/sim/proc.c
@@ -34,7 +34,7 @@
     return g_str_has_prefix(p->name, prefix);
 }
 
-static char* controls_list(const proc_fleet* f, bool operators) {
+static char* control_addresses(const proc_fleet* f, bool operators) {
     GString* list = g_string_new(NULL);
     for (int i = 0; i < f->desc.controls; i++) {
         if (operators) {
@@ -47,7 +47,7 @@
     return g_string_free(list, FALSE);
 }
 
-static proc_process* add(proc_fleet* f, const char* kind, int i) {
+static proc_process* add_process(proc_fleet* f, const char* kind, int i) {
     WG_ASSERT(f->num < PROC_MAX);
     proc_process* p = &f->processes[f->num++];
     g_snprintf(p->name, sizeof p->name, "%s%d", kind, i);
@@ -55,8 +55,8 @@
 }
 
 static void add_control(proc_fleet* f, int i) {
-    proc_process* p = add(f, "c", i);
-    char* list = controls_list(f, false);
+    proc_process* p = add_process(f, "c", i);
+    char* list = control_addresses(f, false);
     g_snprintf(p->address, sizeof p->address, "127.%d.1.%d:7100", f->host, i);
     g_snprintf(p->operators, sizeof p->operators, "127.%d.1.%d:7200", f->host, i);
     g_snprintf(p->settings, sizeof p->settings, "%s.ini", p->name);
@@ -72,8 +72,8 @@
 }
 
 static void add_router(proc_fleet* f, int i) {
-    proc_process* p = add(f, "r", i);
-    char* list = controls_list(f, false);
+    proc_process* p = add_process(f, "r", i);
+    char* list = control_addresses(f, false);
     g_snprintf(p->address, sizeof p->address, "127.%d.2.%d:8000", f->host, i);
     g_snprintf(p->operators, sizeof p->operators, "127.%d.2.%d:7300", f->host, i);
     g_snprintf(p->settings, sizeof p->settings, "%s.ini", p->name);
@@ -97,9 +97,9 @@
     g_free(list);
 }
 
-static void add_target(proc_fleet* f, const char* kind, int i, int third) {
-    proc_process* p = add(f, kind, i);
-    g_snprintf(p->address, sizeof p->address, "127.%d.%d.%d:9000", f->host, third, i);
+static void add_target(proc_fleet* f, const char* kind, int i, int subnet) {
+    proc_process* p = add_process(f, kind, i);
+    g_snprintf(p->address, sizeof p->address, "127.%d.%d.%d:9000", f->host, subnet, i);
 }
 
 static void put_table(proc_fleet* f) {
@@ -147,10 +147,10 @@
 typedef struct {
     proc_fleet* fleet;
     int64_t replicas;
-} set_wait;
+} voter_wait;
 
-static bool set_is_whole(void* user_data) {
-    set_wait* wait = user_data;
+static bool all_replicas_vote(void* user_data) {
+    voter_wait* wait = user_data;
     proc_process* leader = proc_leader(wait->fleet);
     proc_answer answer =
         proc_ask(leader->operators, "GET", "/debug/state", wait->fleet->operator_key, NULL, NULL);
@@ -308,8 +308,8 @@
     for (int i = 0; i < f->num; i++) {
         proc_start(f, &f->processes[i]);
     }
-    set_wait wait = {f, desc->controls};
-    WG_ASSERT(proc_until(set_is_whole, &wait, 30));
+    voter_wait wait = {f, desc->controls};
+    WG_ASSERT(proc_until(all_replicas_vote, &wait, 30));
     put_table(f);
     for (int i = 0; i < f->num && desc->services > 0; i++) {
         if (is_kind(&f->processes[i], "r")) {
@@ -357,7 +357,7 @@
 
 /* ---- requests ------------------------------------------------------------------------------- */
 
-static int dial(const char* address) {
+static int connect_to(const char* address) {
     char* ip = g_strdup(address);
     char* colon = strrchr(ip, ':');
     WG_ASSERT(colon != NULL);
@@ -376,7 +376,7 @@
 }
 
 char* proc_raw(const char* address, const void* bytes, size_t size, int ms, gsize* out_size) {
-    int fd = dial(address);
+    int fd = connect_to(address);
     GString* got = g_string_new(NULL);
     if (fd >= 0) {
         ssize_t sent = send(fd, bytes, size, MSG_NOSIGNAL);
@@ -462,7 +462,7 @@
     GPtrArray* argv = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(argv, g_strdup_printf("%s/walnutgatectl", f->bin));
     g_ptr_array_add(argv, g_strdup("--controls"));
-    g_ptr_array_add(argv, controls_list(f, true));
+    g_ptr_array_add(argv, control_addresses(f, true));
     g_ptr_array_add(argv, g_strdup("--key-file"));
     g_ptr_array_add(argv, g_strdup("operator.key"));
     va_list args;
--- a/tests/sim/proxy.c
+++ b/tests/sim/proxy.c
@@ -23,15 +23,15 @@
 struct proxy {
     struct event_base* base;
     struct evconnlistener* listener;
-    struct sockaddr_storage far_end;
-    int far_size;
+    struct sockaddr_storage upstream;
+    int upstream_size;
     proxy_mode mode;
     GPtrArray* pairs;
 };
 
-static bool is_silent(const proxy* p, int from) {
-    return p->mode == PROXY_SILENT || (p->mode == PROXY_SILENT_TO && from == 0) ||
-           (p->mode == PROXY_SILENT_BACK && from == 1);
+static bool is_blocked(const proxy* p, int from) {
+    return p->mode == PROXY_BLOCK || (p->mode == PROXY_BLOCK_TO && from == 0) ||
+           (p->mode == PROXY_BLOCK_FROM && from == 1);
 }
 
 static void pair_free(pair_t* pair) {
@@ -43,45 +43,45 @@
     g_free(pair);
 }
 
-static void pass_on(pair_t* pair, int from) {
+static void forward(pair_t* pair, int from) {
     bufferevent_read_buffer(pair->ends[from], bufferevent_get_output(pair->ends[1 - from]));
 }
 
-static int end_of(const pair_t* pair, const struct bufferevent* bev) {
+static int end_index(const pair_t* pair, const struct bufferevent* bev) {
     return pair->ends[0] == bev ? 0 : 1;
 }
 
 static void on_read(struct bufferevent* bev, void* user_data) {
     pair_t* pair = user_data;
-    int from = end_of(pair, bev);
-    if (is_silent(pair->owner, from)) {
+    int from = end_index(pair, bev);
+    if (is_blocked(pair->owner, from)) {
         bufferevent_disable(bev, EV_READ);
     } else if (pair->owner->mode == PROXY_DELAY) {
         struct timeval wait = {.tv_usec = PROXY_DELAY_US};
         bufferevent_disable(bev, EV_READ);
         event_add(pair->timers[from], &wait);
     } else {
-        pass_on(pair, from);
+        forward(pair, from);
     }
 }
 
-static void on_wait(pair_t* pair, int from) {
-    if (!is_silent(pair->owner, from)) {
-        pass_on(pair, from);
+static void on_delay(pair_t* pair, int from) {
+    if (!is_blocked(pair->owner, from)) {
+        forward(pair, from);
         bufferevent_enable(pair->ends[from], EV_READ);
     }
 }
 
-static void on_wait_0(evutil_socket_t fd, short what, void* user_data) {
+static void on_delay_0(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    on_wait(user_data, 0);
+    on_delay(user_data, 0);
 }
 
-static void on_wait_1(evutil_socket_t fd, short what, void* user_data) {
+static void on_delay_1(evutil_socket_t fd, short what, void* user_data) {
     (void)fd;
     (void)what;
-    on_wait(user_data, 1);
+    on_delay(user_data, 1);
 }
 
 /* When one end closes, flushes what it sent and closes the other end. */
@@ -90,9 +90,9 @@
     if (what & BEV_EVENT_CONNECTED) {
         return;
     }
-    int from = end_of(pair, bev);
-    if (!is_silent(pair->owner, from)) {
-        pass_on(pair, from);
+    int from = end_index(pair, bev);
+    if (!is_blocked(pair->owner, from)) {
+        forward(pair, from);
         struct evbuffer* out = bufferevent_get_output(pair->ends[1 - from]);
         evbuffer_write(out, bufferevent_getfd(pair->ends[1 - from]));
     }
@@ -111,24 +111,24 @@
         bufferevent_socket_new(p->base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     pair->ends[1] =
         bufferevent_socket_new(p->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    pair->timers[0] = evtimer_new(p->base, on_wait_0, pair);
-    pair->timers[1] = evtimer_new(p->base, on_wait_1, pair);
+    pair->timers[0] = evtimer_new(p->base, on_delay_0, pair);
+    pair->timers[1] = evtimer_new(p->base, on_delay_1, pair);
     g_ptr_array_add(p->pairs, pair);
     for (int i = 0; i < 2; i++) {
         bufferevent_setcb(pair->ends[i], on_read, NULL, on_event, pair);
         bufferevent_enable(pair->ends[i], EV_READ | EV_WRITE);
     }
-    bufferevent_socket_connect(pair->ends[1], (struct sockaddr*)&p->far_end, p->far_size);
+    bufferevent_socket_connect(pair->ends[1], (struct sockaddr*)&p->upstream, p->upstream_size);
 }
 
-proxy* proxy_start(struct event_base* base, const char* listen, const char* far_end) {
+proxy* proxy_start(struct event_base* base, const char* listen, const char* upstream) {
     proxy* p = g_new0(proxy, 1);
     struct sockaddr_storage address;
     int size;
     p->base = base;
     p->pairs = g_ptr_array_new();
     WG_ASSERT(wgn_parse_address(listen, &address, &size));
-    WG_ASSERT(wgn_parse_address(far_end, &p->far_end, &p->far_size));
+    WG_ASSERT(wgn_parse_address(upstream, &p->upstream, &p->upstream_size));
     p->listener =
         evconnlistener_new_bind(base, on_accept, p, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                 (struct sockaddr*)&address, size);
@@ -141,8 +141,8 @@
     for (guint i = 0; i < p->pairs->len; i++) {
         pair_t* pair = p->pairs->pdata[i];
         for (int from = 0; from < 2; from++) {
-            if (!is_silent(p, from)) {
-                pass_on(pair, from);
+            if (!is_blocked(p, from)) {
+                forward(pair, from);
                 bufferevent_enable(pair->ends[from], EV_READ);
             }
         }
--- a/tests/sim/proxy.h
+++ b/tests/sim/proxy.h
@@ -10,17 +10,17 @@
 
 typedef enum {
     PROXY_PASS = 0,
-    PROXY_DELAY,       /* each read is forwarded after PROXY_DELAY_US */
-    PROXY_SILENT,      /* drops nothing and closes nothing, but forwards nothing either way */
-    PROXY_SILENT_TO,   /* forwards nothing to the far end */
-    PROXY_SILENT_BACK, /* forwards nothing from the far end */
-    PROXY_MODES
+    PROXY_DELAY,      /* each read is forwarded after PROXY_DELAY_US */
+    PROXY_BLOCK,      /* drops nothing and closes nothing, but forwards nothing either way */
+    PROXY_BLOCK_TO,   /* forwards nothing to the far end */
+    PROXY_BLOCK_FROM, /* forwards nothing from the far end */
+    PROXY_MODES_NUM
 } proxy_mode;
 
 typedef struct proxy proxy;
 
 /* Addresses are "ip:port". Aborts when it cannot listen. */
-proxy* proxy_start(struct event_base* base, const char* listen, const char* far_end);
+proxy* proxy_start(struct event_base* base, const char* listen, const char* upstream);
 void proxy_stop(proxy* p);
 void proxy_set(proxy* p, proxy_mode mode);
 /* Resets all open connections. */
--- a/tests/sim/soak_faults.c
+++ b/tests/sim/soak_faults.c
@@ -197,7 +197,7 @@
 void soak_fault_links(soak* s, int number, bool target) {
     proxy* links = target ? s->h.targets[number].links : s->h.hosts[number].links;
     int at = soak_begin_disturbance(s);
-    uint64_t kind = soak_random(s, PROXY_MODES);
+    uint64_t kind = soak_random(s, PROXY_MODES_NUM);
     if (kind == 0) {
         proxy_reset(links);
         s->disturbances[at].until = wg_now();
--- a/tests/sim/soak_harsh.c
+++ b/tests/sim/soak_harsh.c
@@ -25,7 +25,7 @@
     int number;
     do {
         number = (int)soak_random(s, (uint64_t)s->h.num);
-    } while (s->h.hosts[number].away);
+    } while (s->h.hosts[number].absent);
     return number;
 }
 
@@ -107,7 +107,7 @@
 /* Index of an unused spare host; -1: none. */
 static int find_spare(const soak* s) {
     for (int i = s->desc.hosts; i < s->h.num; i++) {
-        if (s->h.hosts[i].away && !s->h.hosts[i].spent) {
+        if (s->h.hosts[i].absent && !s->h.hosts[i].retired) {
             return i;
         }
     }
@@ -118,7 +118,7 @@
 static void start_replacement(soak* s, int number, bool beside) {
     int at = soak_begin_disturbance(s);
     host* w = &s->h.hosts[number];
-    w->away = false;
+    w->absent = false;
     if (beside) {
         hosts_start_replica(&s->h, w);
         hosts_start_entry(&s->h, w);
@@ -143,7 +143,7 @@
 
 void soak_power_off_all(soak* s, bool entries, int lose) {
     for (int i = 0; i < s->h.num; i++) {
-        if (!s->h.hosts[i].away && (entries || s->h.hosts[i].disk)) {
+        if (!s->h.hosts[i].absent && (entries || s->h.hosts[i].disk)) {
             power_off_host(s, i, entries);
         }
     }
@@ -153,14 +153,14 @@
 bool soak_replace_host(soak* s, int number, wg_time now) {
     int spare = find_spare(s);
     host* w = &s->h.hosts[number];
-    if (spare < 0 || !w->disk || w->away || !all_replicas_current(s, now)) {
+    if (spare < 0 || !w->disk || w->absent || !all_replicas_current(s, now)) {
         return false;
     }
     start_replacement(s, spare, soak_random(s, 2));
     soak_kill(&w->replica);
     soak_kill(&w->entry);
-    w->away = true;
-    w->spent = true;
+    w->absent = true;
+    w->retired = true;
     s->result.replaced++;
     begin_catch_up(s);
     return true;
--- a/tests/sim/soak_probe.c
+++ b/tests/sim/soak_probe.c
@@ -90,7 +90,7 @@
         s->passed_version = s->acknowledged;
     }
     for (int i = 0; i < s->h.num; i++) {
-        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].absent; kind++) {
             if (!s->probes_passed[i][kind]) {
                 send_probe(s, i, (probe_kind)kind);
             }
@@ -102,7 +102,7 @@
     bool all = s->acknowledged > 0 && s->acknowledged == s->version &&
                s->acknowledged == s->passed_version;
     for (int i = 0; i < s->h.num && all; i++) {
-        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].absent; kind++) {
             all = all && s->probes_passed[i][kind];
         }
     }
@@ -114,7 +114,7 @@
                                                   "read"};
     GString* missing = g_string_new(NULL);
     for (int i = 0; i < s->h.num; i++) {
-        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].away; kind++) {
+        for (int kind = 0; kind < PROBES_NUM && !s->h.hosts[i].absent; kind++) {
             if (!s->probes_passed[i][kind]) {
                 g_string_append_printf(missing, " %d:%s", i + 1, names[kind]);
             }
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -31,7 +31,7 @@
     host* w;
     do {
         w = &s->h.hosts[soak_random(s, (uint64_t)s->h.num)];
-    } while (w->away);
+    } while (w->absent);
     return w;
 }
 
@@ -186,7 +186,7 @@
 
 static void start_processes(soak* s) {
     for (int i = 0; i < s->h.num; i++) {
-        if (s->h.hosts[i].away) {
+        if (s->h.hosts[i].absent) {
             continue;
         }
         hosts_start_entry(&s->h, &s->h.hosts[i]);
@@ -204,7 +204,7 @@
     hosts_use_deployed_timing(&s->h);
     s->h.losses = MAX((s->desc.disks - 1) / 2, 1);
     for (int i = s->desc.hosts; i < s->h.num; i++) {
-        s->h.hosts[i].away = true;
+        s->h.hosts[i].absent = true;
         hosts_give_disk(&s->h, &s->h.hosts[i]);
     }
 }
--- a/tests/sim/soak_succession.c
+++ b/tests/sim/soak_succession.c
@@ -21,7 +21,7 @@
     int number;
     do {
         number = (int)soak_random(s, (uint64_t)s->h.num);
-    } while (s->h.hosts[number].away || !s->h.hosts[number].disk);
+    } while (s->h.hosts[number].absent || !s->h.hosts[number].disk);
     return number;
 }
 
