--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -1,7 +1,6 @@
 #pragma once
 /*
-        hosts.h -- a fleet of real processes: hosts with an entry process and a replica each, and
-   targets
+    hosts.h -- a fleet of real processes: targets, and hosts with an entry process and a replica
 
     Each fleet has its own loopback addresses, 127.H.x.y. Links between fleet processes and from
     entry processes to targets go through proxies (proxy.h).
--- a/tests/sim/hosts_operator.h
+++ b/tests/sim/hosts_operator.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-        hosts_operator.h -- blocking operator requests to a fleet of hosts.h
+    hosts_operator.h -- blocking operator requests to a fleet of hosts.h
 
     Sends configurations and reads them back through a host's orders address. The event loop, which
     the proxies need, runs while a call waits.
--- a/tests/sim/load.h
+++ b/tests/sim/load.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-        load.h -- load generator: callers that send requests to routers and check each answer
+    load.h -- load generator: callers that send requests to routers and check each answer
 
     Each caller has one request in flight (closed loop). With `follow_entry` callers ask which entry
     hosts to use and cache the answer as long as it says. Requests refused with the verdict not-run,
--- a/tests/sim/loopback.h
+++ b/tests/sim/loopback.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-        loopback.h -- allocates parts of the loopback address range to test processes
+    loopback.h -- allocates parts of the loopback address range to test processes
 
     WHAT IT DOES
         Test programs run in parallel and listen on addresses 127.P.x.x. Each uses a part P of its
--- a/tests/sim/proc.h
+++ b/tests/sim/proc.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-        proc.h -- a fleet of real processes for tests and benches, on loopback addresses of its own
+    proc.h -- a fleet of real processes for tests and benches, on loopback addresses of its own
 
     Starts the built programs in a temporary folder. Programs are found in the folder of the running
     test program. Waits poll a condition until a timeout.
--- a/tests/sim/proxy.c
+++ b/tests/sim/proxy.c
@@ -16,7 +16,7 @@
 
 typedef struct {
     proxy* owner;
-    struct bufferevent* ends[2]; /* 0: the client, 1: the far end */
+    struct bufferevent* ends[2]; /* 0: the client, 1: the upstream */
     struct event* timers[2];     /* PROXY_DELAY: forwards what was read from an end */
 } pair_t;
 
--- a/tests/sim/proxy.h
+++ b/tests/sim/proxy.h
@@ -1,6 +1,6 @@
 #pragma once
 /*
-        proxy.h -- a loopback proxy that injects network faults between real processes
+    proxy.h -- a loopback proxy that injects network faults between real processes
 
     Each proxy listens at one address and forwards bytes to another, on the caller's libevent loop.
     The mode can change at any time and applies to open and new connections.
@@ -11,9 +11,9 @@
 typedef enum {
     PROXY_PASS = 0,
     PROXY_DELAY,      /* each read is forwarded after PROXY_DELAY_US */
-    PROXY_BLOCK,      /* drops nothing and closes nothing, but forwards nothing either way */
-    PROXY_BLOCK_TO,   /* forwards nothing to the far end */
-    PROXY_BLOCK_FROM, /* forwards nothing from the far end */
+    PROXY_BLOCK,      /* forwards nothing either way, closes nothing */
+    PROXY_BLOCK_TO,   /* forwards nothing to the upstream */
+    PROXY_BLOCK_FROM, /* forwards nothing from the upstream */
     PROXY_MODES_NUM
 } proxy_mode;
 
--- a/tests/sim/sim_disk.h
+++ b/tests/sim/sim_disk.h
@@ -1,12 +1,11 @@
 #pragma once
-/* sim_disk.h -- what a replica of the replay has on its disk; a crash leaves it as it stands */
+/* sim_disk.h -- simulated disk of a replica; survives crashes of the replica */
 #include "wg_quorum.h"
 
 enum {
-    SIM_DISK_LOG_KEEP = 10 /* entries kept behind a snapshot */
+    SIM_DISK_LOG_KEEP = 10 /* entries kept before a snapshot's index */
 };
 
-/* What survives a crash. */
 typedef struct {
     uint64_t identity;
     uint64_t term;
@@ -18,9 +17,9 @@
     GArray* entries;
 } sim_disk;
 
-/* Empty it; also its first set-up. */
+/* Empties the disk; also initializes a zeroed one. */
 void sim_disk_reset(sim_disk* disk);
-/* Index of the first entry that is kept, or would be. */
+/* Index of the first entry kept; with an empty log, the index of the next one. */
 uint64_t sim_disk_first(const sim_disk* disk);
 void sim_disk_truncate(sim_disk* disk, uint64_t from);
 void sim_disk_append(sim_disk* disk, const wgr_entry* entries, int num);
--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -62,8 +62,8 @@
     return s->way == SIMF_WAY_ARBITER || s->way == SIMF_WAY_OMNISCIENT;
 }
 
-/* Slots that a router has of a target without any leases: all for the one queue, a whole part each
-   when routers are alone. */
+/* Slots of a target that a router has without leases: all of them with a central queue, an equal
+   part if routers are alone. */
 int _simf_fixed_slots(const run_t* s, int router, int target) {
     const simf_trace* t = s->trace;
     if (s->way == SIMF_WAY_LEASED) {
@@ -131,7 +131,7 @@
                                      .slot_term = SLOT_TERM},
                          NULL);
     s->leader++;
-    /* A new leader learns in its first term what is held. */
+    /* During its first lease term a new leader learns which slots are leased. */
     s->counts_from = s->now + SLOT_TERM;
     _simf_share_config(s);
     for (int i = 0; i < s->trace->routers; i++) {
@@ -204,7 +204,7 @@
     WG_ASSERT(placed);
     wgp_sent(r->place, &q->choice);
     if (s->way == SIMF_WAY_ARBITER) {
-        /* Request and grant travel; the slot is taken meanwhile. */
+        /* The slot is occupied while request and grant are in flight. */
         s->routers[q->router].bytes += 2 * GRANT_BYTES;
         s->leader_bytes += 2 * GRANT_BYTES;
         _simf_post(s, s->now + 2 * s->trace->delay, EVENT_GRANTED, 0, q);
@@ -238,12 +238,12 @@
     _simf_plan_report(s, router);
 }
 
-/* Its target refused it: it goes back to the head of its queue. */
+/* The target refused the request: it returns to the head of its queue. */
 static void refused_by_target(run_t* s, request_t* q) {
     int router = _simf_queue_router(s, q->router);
     router_t* r = &s->routers[router];
     if (wgq_user_data(r->queue, q->handle) != q) {
-        g_free(q); /* its router restarted meanwhile */
+        g_free(q); /* its router has restarted */
         return;
     }
     wgq_finish(r->queue, s->now, q->handle, 0);
@@ -296,7 +296,7 @@
         q->workspace = load->workspace;
         q->router = load->router_first + (int)(chance(s) % (uint64_t)span);
         for (int i = 0; i < t->routers && s->routers[q->router].cut; i++) {
-            q->router = (q->router + 1) % t->routers; /* callers go where they are served */
+            q->router = (q->router + 1) % t->routers; /* callers avoid routers that are cut off */
         }
         q->tokens = load->tokens_min +
                     (int64_t)(chance(s) % (uint64_t)(load->tokens_max - load->tokens_min + 1));
@@ -336,7 +336,7 @@
 
 static void finish(run_t* s, request_t* q) {
     if (!q->in_slot) {
-        return; /* its target went away; that ended it already */
+        return; /* its target was removed, which ended the request */
     }
     router_t* r = &s->routers[_simf_queue_router(s, q->router)];
     target_t* target = _simf_target_of(s, q);
@@ -473,7 +473,7 @@
     g_free(in);
 }
 
-/* What routers hold of a target under leases that run is never more than it has. */
+/* Asserts that the unexpired leases on a target never exceed its slots. */
 static void check_leases(run_t* s) {
     for (int g = 0; g < s->trace->targets; g++) {
         int capacity = s->trace->slots * (100 + s->trace->over_percent) / 100;
@@ -486,7 +486,7 @@
             }
         }
         WG_ASSERT(s->targets[g].gone || held <= capacity);
-        /* The leader never believes that less is held than is. */
+        /* The leader never counts fewer leased slots than routers have. */
         int counted = wgf_query_leased(s->share, TARGET_ID_FIRST + (uint32_t)g);
         WG_ASSERT(s->targets[g].gone || s->now < s->counts_from || held <= counted);
     }
@@ -521,7 +521,7 @@
         }
         for (int i = 0; i < in->orders.grants_num; i++) {
             wgp_add_slots(r->place, in->orders.grants[i].target, (int)in->orders.grants[i].add);
-            /* Say what came of it, even if it was given back at once. */
+            /* Report the slots next time, even if they were released at once. */
             r->held_told[in->orders.grants[i].target - TARGET_ID_FIRST] = UINT32_MAX;
         }
         r->lease_until = in->echo + SLOT_TERM;
@@ -641,7 +641,7 @@
     for (int w = 0; w < trace->workspaces_num; w++) {
         s->weights[w] = trace->workspaces[w].weight;
     }
-    /* Leaders wait one term before they grant; the load begins after it. */
+    /* Leaders wait one lease term before they grant; the load starts after that. */
     s->now = -2 * SLOT_TERM;
     for (int i = 0; i < trace->routers; i++) {
         _simf_router_start(s, i);
--- a/tests/sim/sim_fleet.h
+++ b/tests/sim/sim_fleet.h
@@ -1,12 +1,13 @@
 #pragma once
 /*
-    sim_fleet.h -- replay of traces over lib/queue, lib/place and lib/share in virtual time
+    sim_fleet.h -- replays traces over lib/queue, lib/place and lib/share in simulated time
 
-    Routers, targets with slots and a token pace, and a leader, with message delays; no sockets.
-   Ways of sharing capacity can be compared on one trace: alone      each router by itself, with a
-   fixed part of each target's slots arbiter    one queue for the fleet; each request is granted by
-   a message leased     what walnutgate does: accounts to the leader, slot leases back omniscient
-   the arbiter without delay: what could be had at best
+    Simulates routers, a leader, and targets with slots and a token pace, with message delays and
+    without sockets. Compares ways of sharing capacity on one trace:
+        - alone: each router by itself, with a fixed part of each target's slots
+        - arbiter: one queue for the fleet; each request is granted by a message
+        - leased: as in walnutgate: routers report accounts to the leader and receive slot leases
+        - omniscient: the arbiter without delay, an upper bound
 
     Trace format: docs/TRACES.md.
 */
@@ -46,7 +47,7 @@
     double rate; /* requests per second */
     int64_t tokens_min;
     int64_t tokens_max;
-    int64_t estimate; /* what the router believes at first; 0: its own average */
+    int64_t estimate; /* the router's estimate of the tokens; 0: its own average */
     int router_first;
     int router_last;
     bool urgent;
@@ -54,12 +55,12 @@
 
 typedef enum {
     SIMF_FAULT_DEFAULT = 0,
-    SIMF_FAULT_CUT_ROUTER,     /* a: router; no message to or from the leader */
-    SIMF_FAULT_RESTART_ROUTER, /* a: router; loses all state */
-    SIMF_FAULT_LOSE_LEADER,    /* a new one without state comes at `to` */
+    SIMF_FAULT_CUT_ROUTER,     /* a: router; no messages to or from the leader */
+    SIMF_FAULT_RESTART_ROUTER, /* a: router; it loses its state */
+    SIMF_FAULT_LOSE_LEADER,    /* a new leader without state starts at `to` */
     SIMF_FAULT_LOSE_TARGETS,   /* a..b: first and last target */
     SIMF_FAULT_SET_WEIGHT,     /* a: workspace, b: weight */
-    SIMF_FAULT_KILL_TARGETS,   /* a..b; nobody is told: requests there fail */
+    SIMF_FAULT_KILL_TARGETS,   /* a..b; routers are not notified, requests there fail */
     SIMF_FAULT_NUM
 } simf_fault_type;
 
@@ -71,10 +72,10 @@
     int b;
 } simf_fault;
 
-/* A stated outcome: the metric (as in simf_result) compared with a value. */
+/* An expected result: a metric of simf_result compared with a value. */
 typedef struct {
     char metric[32];
-    char op;
+    char op; /* '<' or '>' */
     double value;
 } simf_expect;
 
@@ -84,9 +85,9 @@
     int routers;
     int targets;
     int slots;
-    wg_time pace; /* between two tokens of a request */
+    wg_time pace; /* time between two tokens of a request */
     wg_time duration;
-    wg_time delay;  /* of a message, one way */
+    wg_time delay;  /* one-way delay of a message */
     wg_time report; /* time between two reports of a router */
     wg_time queue_wait;
     wg_time deadline;
@@ -107,22 +108,22 @@
     double gap_p99;
     double gap_worst;
     double gap_over_bound;      /* largest gap over the bound of its pair */
-    double gap_over_bound_calm; /* the same, but for faults and 5 s after each */
-    double busy;                /* part of slot time used while requests waited */
-    double tokens;              /* delivered within deadlines */
-    double wasted;   /* part of the tokens that went to requests that missed their deadline */
-    double wait_p99; /* seconds */
+    double gap_over_bound_calm; /* gap_over_bound without faults and the time SETTLE after each */
+    double busy;                /* fraction of slot time used while requests waited */
+    double tokens;              /* tokens delivered within deadlines */
+    double wasted;              /* fraction of the tokens of requests that missed their deadline */
+    double wait_p99;            /* seconds */
     double wait_worst;
     double urgent_wait_worst;
-    double refused;       /* part of the requests */
-    double control_bytes; /* per router and second */
-    double leader_bytes;  /* per second */
-    double recovery;      /* seconds from the last fault's end until gaps stay in their bound */
+    double refused;       /* fraction of the requests */
+    double control_bytes; /* control traffic, bytes per router and second */
+    double leader_bytes;  /* traffic of the leader, bytes per second */
+    double recovery;      /* seconds from the last fault's end until gaps stay within bounds */
     uint64_t finished;
     uint64_t requests;
 } simf_result;
 
-/* Read a trace; false with an error that names the line. */
+/* Reads a trace; false with an error that names the line. */
 bool simf_trace_read(const char* path, simf_trace* trace, GError** error);
 bool simf_trace_parse(const char* text, simf_trace* trace, GError** error);
 simf_result simf_run(const simf_trace* trace, simf_way way);
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -1,4 +1,4 @@
-/* sim_fleet_faults.c -- what a trace does to routers, targets and the leader */
+/* sim_fleet_faults.c -- injects a trace's faults into routers, targets and the leader */
 #include <string.h>
 
 #include "sim_fleet_internal.h"
@@ -7,18 +7,18 @@
     g_ptr_array_remove_fast(s->running, q);
     if (q->in_slot) {
         _simf_target_of(s, q)->in_slots--;
-        q->in_slot = false; /* its finish event frees it */
+        q->in_slot = false; /* freed by its EVENT_FINISH */
     }
 }
 
-/* A request at work ends without an answer. */
+/* Cancels a running request without an answer. */
 static void give_up_running(run_t* s, const request_t* q) {
     router_t* r = &s->routers[_simf_queue_router(s, q->router)];
     wgq_finish(r->queue, s->now, q->handle, (int64_t)_simf_tokens_so_far(s, q));
     wgp_done(r->place, s->now, &q->choice, WGP_RESULT_CANCELLED);
 }
 
-/* The first request that runs or waits at the target, NULL none. */
+/* The first request that runs or waits at the target; NULL: none. */
 static request_t* request_at(run_t* s, const target_t* target) {
     for (guint i = 0; i < s->running->len; i++) {
         request_t* q = g_ptr_array_index(s->running, i);
@@ -40,7 +40,7 @@
         bool waited = g_queue_remove(&target->waiting, q);
         end_request(s, q);
         if (_simf_central(s)) {
-            give_up_running(s, q); /* the one queue goes on, without this router's requests */
+            give_up_running(s, q); /* the central queue survives the restart */
         }
         if (waited) {
             g_free(q);
@@ -82,7 +82,7 @@
         }
         wgp_config_end(s->routers[i].place);
         for (int g = fault->a; !begin && g <= fault->b && g < s->trace->targets; g++) {
-            /* A target that left took its slots with it. */
+            /* Slots of a removed target were lost with it. */
             wgp_target_info info;
             wgp_query_target(s->routers[i].place, g, &info);
             wgp_add_slots(s->routers[i].place, info.id,
@@ -96,7 +96,7 @@
     }
 }
 
-/* Requests at work there fail too, and go back to their queues. */
+/* Requests at the targets fail too and return to their queues. */
 static void kill_targets(run_t* s, const simf_fault* f, bool begin) {
     for (int g = f->a; g <= f->b && g < s->trace->targets; g++) {
         s->targets[g].dead = begin;
@@ -104,7 +104,7 @@
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
             request_t* again = waited ? q : g_memdup2(q, sizeof *q);
-            end_request(s, q); /* the finish event of one that ran frees it */
+            end_request(s, q); /* freed by its EVENT_FINISH if it ran */
             if (!waited) {
                 wgq_set_user_data(s->routers[_simf_queue_router(s, q->router)].queue, q->handle,
                                   again);
--- a/tests/sim/sim_fleet_internal.h
+++ b/tests/sim/sim_fleet_internal.h
@@ -10,8 +10,8 @@
     SAMPLE = 100 * WG_USEC_PER_MSEC,
     PLAN_GAP = 5 * WG_USEC_PER_MSEC,
     SLOT_TERM = 2 * WG_USEC_PER_SEC,
-    SETTLE = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps have to be in their bounds again */
-    /* Bytes of messages, protobuf and framing and TCP/IP heads; checked against real processes. */
+    SETTLE = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps are checked again */
+    /* Sizes of messages in bytes, with protobuf, framing and TCP/IP headers. */
     REPORT_BYTES = 90,
     REPLY_BYTES = 105,
     ACCOUNT_BYTES = 16,
@@ -27,23 +27,23 @@
     int64_t tokens;
     bool urgent;
     wg_time arrived;
-    wg_time started; /* tokens flow from here on; 0 not yet */
+    wg_time started; /* first token; 0: not started */
     wg_time deadline;
     wgp_choice choice;
     wgq_handle handle;
     bool running; /* at a target */
-    bool in_slot; /* of that target */
+    bool in_slot; /* occupies a slot of the target; else waits there */
 } request_t;
 
 typedef enum {
     EVENT_ARRIVAL,
     EVENT_FINISH,
-    EVENT_REPORT, /* a router looks whether to report */
-    EVENT_AT_LEADER,
-    EVENT_PLAN,
-    EVENT_AT_ROUTER,
-    EVENT_GRANTED, /* arbiter's grant reaches the router */
-    EVENT_REFUSED, /* the router learns that a target refused a request */
+    EVENT_REPORT,    /* a router reports if due */
+    EVENT_AT_LEADER, /* a report reaches the leader */
+    EVENT_PLAN,      /* the leader plans leases */
+    EVENT_AT_ROUTER, /* a reply reaches the router */
+    EVENT_GRANTED,   /* an arbiter's grant reaches the router */
+    EVENT_REFUSED,   /* a target's refusal reaches the router */
     EVENT_SAMPLE,
     EVENT_FAULT
 } event_type;
@@ -56,7 +56,7 @@
     void* data;
 } event_t;
 
-/* A report on its way. */
+/* A report in flight. */
 typedef struct {
     int router;
     uint64_t incarnation;
@@ -69,7 +69,7 @@
     wgf_held* held;
 } report_t;
 
-/* A reply on its way. */
+/* A reply in flight. */
 typedef struct {
     int router;
     uint64_t incarnation;
@@ -88,13 +88,13 @@
     uint64_t incarnation;
     bool cut;
     bool report_full;
-    bool report_planned; /* an event will look whether to report */
+    bool report_planned; /* an EVENT_REPORT is pending */
     wgf_pacer pacer;
     wg_time lease_until;
     uint64_t applied;
-    uint64_t leader; /* whose reply it applied last */
-    uint32_t* held_told;
-    /* at the leader */
+    uint64_t leader;     /* leader whose reply it applied last */
+    uint32_t* held_told; /* last reported slots of each target */
+    /* the leader's state of this router */
     wgf_router at_leader;
     uint64_t seq;
     uint64_t bytes;
@@ -102,12 +102,12 @@
 
 typedef struct {
     int in_slots;
-    GQueue waiting; /* request_t* beyond its slots */
+    GQueue waiting; /* request_t*, waiting for a slot */
     bool gone;
-    bool dead; /* refuses connections, and nobody is told */
+    bool dead; /* refuses connections; routers are not notified */
 } target_t;
 
-/* Service of a pair of workspaces since both have been backlogged. */
+/* Service of two workspaces when both became backlogged. */
 typedef struct {
     bool joint;
     double base_a;
@@ -124,16 +124,16 @@
     router_t* routers;
     target_t* targets;
     wgf_share* share;
-    uint64_t leader; /* number of the present one, 0 none */
-    wg_time counts_from;
+    uint64_t leader;     /* number of the current leader; 0: none */
+    wg_time counts_from; /* from then on the leader knows all leases */
     bool plan_due;
     GPtrArray* running; /* request_t* */
     int64_t weights[SIMF_WORKSPACES_MAX];
     double delivered[SIMF_WORKSPACES_MAX]; /* tokens of finished requests */
-    double normal[SIMF_WORKSPACES_MAX];    /* tokens over weight, as of the last sample */
+    double normal[SIMF_WORKSPACES_MAX];    /* tokens per 100 of weight, as of the last sample */
     double last_tokens[SIMF_WORKSPACES_MAX];
     int queued[SIMF_WORKSPACES_MAX];
-    bool emptied[SIMF_WORKSPACES_MAX]; /* nothing waited at some moment since the last sample */
+    bool emptied[SIMF_WORKSPACES_MAX]; /* its queue was empty at some time since the last sample */
     pair_t pairs[SIMF_WORKSPACES_MAX][SIMF_WORKSPACES_MAX];
     GArray* gaps;
     wg_hist wait;
@@ -151,10 +151,10 @@
     wg_time out_of_bound_at;
     double over_bound; /* largest gap over the bound of its pair */
     double over_bound_calm;
-    wg_time calm_from; /* a while after the last fault's end; pairs begin anew there */
+    wg_time calm_from; /* SETTLE after the last fault; pairs are measured anew from then on */
 } run_t;
 
-/* functions that the files share */
+/* ---- functions ------------------------------------------------------------------------------- */
 double _simf_tokens_so_far(const run_t* s, const request_t* q);
 void _simf_take_sample(run_t* s);
 void _simf_account_time(run_t* s, wg_time until);
--- a/tests/sim/sim_fleet_measure.c
+++ b/tests/sim/sim_fleet_measure.c
@@ -1,4 +1,4 @@
-/* sim_fleet_measure.c -- gaps, use of capacity, and the figures of a replay */
+/* sim_fleet_measure.c -- measures service gaps and use of capacity; metrics of a replay */
 #include <math.h>
 #include <string.h>
 
@@ -12,9 +12,9 @@
     return MIN(tokens, (double)q->tokens);
 }
 
-/* The stated bound for a pair of workspaces, in tokens per 100 of weight: one round of requests in
-   all slots, what is served within two exchanges with the leader, and two requests, which cannot be
-   split. docs/design/fairness.md derives it. */
+/* Bound on the service gap of a pair of workspaces, in tokens per 100 of weight: one round of
+   requests in all slots, the tokens served during two exchanges with the leader, and two requests,
+   which cannot be split. Derived in docs/design/fairness.md. */
 static double pair_bound(const run_t* s, int a, int b) {
     const simf_trace* t = s->trace;
     double slots = (double)t->targets * t->slots * (100 + t->over_percent) / 100;
@@ -68,7 +68,7 @@
     }
 }
 
-/* Slot time while requests wait anywhere: used against available. */
+/* Adds up used and available slot time while any request waits. */
 void _simf_account_time(run_t* s, wg_time until) {
     int waiting = 0;
     for (int w = 0; w < s->trace->workspaces_num; w++) {
@@ -128,7 +128,7 @@
     if (s->faults_end > 0) {
         result.recovery = (double)(s->out_of_bound_at - s->faults_end) / 1e6;
     }
-    /* Tokens of requests still at work at the end count too: ways are compared at one moment. */
+    /* Tokens of requests that still run count too, so that ways are compared at the same time. */
     for (guint i = 0; i < s->running->len; i++) {
         result.tokens += _simf_tokens_so_far(s, g_ptr_array_index(s->running, i));
     }
--- a/tests/sim/sim_quorum.c
+++ b/tests/sim/sim_quorum.c
@@ -4,7 +4,7 @@
 
 #include "sim_quorum_internal.h"
 
-/* ---- helpers: chance and time --------------------------------------------------------------- */
+/* ---- helpers: random numbers and time ------------------------------------------------------- */
 
 uint64_t _simq_chance(simq_run* s) {
     return wg_jitter(s->desc.seed, ++s->counter);
@@ -33,7 +33,7 @@
 
 /* ---- helpers: nodes ------------------------------------------------------------------------- */
 
-/* Every other seed: waits so alike that elections collide. */
+/* Even seeds: a narrow range of election timeouts, so that elections collide. */
 static wg_time election_max(const simq_desc* desc) {
     if (desc->election_max) {
         return desc->election_max;
@@ -199,7 +199,7 @@
         }
         leaders++;
         node_t* n = &s->nodes[i];
-        /* It answers only after it applied what it committed. */
+        /* A leader acknowledges only entries that it has applied. */
         WG_ASSERT(wgr_query_stats(n->node, _simq_local_time(s, n)).commit >= s->answered);
         if (awake(s, n)) {
             s->answered = MAX(s->answered, n->applied);
@@ -392,7 +392,7 @@
     s->counts.freezes++;
 }
 
-/* Its links tell the others, sooner or later. */
+/* Notifies all running replicas that the replica with this identity lost its disk. */
 static void note_gone(simq_run* s, uint64_t identity) {
     g_array_append_val(s->gone, identity);
     for (int i = 0; i < s->desc.replicas; i++) {
--- a/tests/sim/sim_quorum_apply.c
+++ b/tests/sim/sim_quorum_apply.c
@@ -1,4 +1,4 @@
-/* sim_quorum_apply.c -- table and claims of a replica, and what must hold as entries are applied */
+/* sim_quorum_apply.c -- applies entries to a replica's table and claims, and checks the results */
 #include <string.h>
 
 #include "sim_quorum_internal.h"
@@ -39,7 +39,7 @@
     *known = hash;
 }
 
-/* An edit has one answer, whoever gives it and however often it is sent. */
+/* An edit has the same result on every replica, however often it is sent. */
 static void check_outcome(simq_run* s, const wgt_edit* edit, const wgt_result* result) {
     uint64_t halves[2];
     memcpy(halves, edit->id, sizeof halves);
@@ -51,8 +51,8 @@
     g_hash_table_insert(s->outcomes, number, answer);
 }
 
-/* A key is granted to one attempt until that attempt says that it did not run, or until the time is
-   over for which claims are kept: not a second sooner. */
+/* A key stays granted to one attempt until that attempt ends as not run, or until claims expire
+   after SIMQ_CLAIM_KEEP_SECONDS, and not earlier. */
 static void check_claim(simq_run* s, const Wgpb__Claim* claim, wgk_outcome outcome) {
     uint8_t key = claim->key.data[0];
     uint64_t* holder = &s->holders[key];
@@ -77,7 +77,7 @@
     }
 }
 
-/* `first`: no other replica has applied the entry before. */
+/* `first`: no other replica has applied the entry yet. */
 static void apply_command(simq_run* s, node_t* n, const wgr_entry* entry, bool first) {
     gsize size;
     const uint8_t* data = g_bytes_get_data(entry->data, &size);
@@ -127,7 +127,7 @@
     }
     uint64_t* known = &g_array_index(s->committed, uint64_t, entry->index);
     bool first = *known == 0;
-    WG_ASSERT(first || *known == hash); /* one entry at one index, for ever */
+    WG_ASSERT(first || *known == hash); /* a committed entry never changes */
     *known = hash;
     if (entry->kind == WGR_ENTRY_DATA) {
         apply_command(s, n, entry, first);
--- a/tests/sim/sim_quorum_internal.h
+++ b/tests/sim/sim_quorum_internal.h
@@ -1,5 +1,5 @@
 #pragma once
-/* sim_quorum_internal.h -- state of a run, shared by the files sim_quorum*.c */
+/* sim_quorum_internal.h -- state of a simulation, shared by the files sim_quorum*.c */
 #include "sim_disk.h"
 #include "sim_quorum.h"
 
@@ -12,7 +12,7 @@
 };
 
 enum {
-    SIMQ_CLAIM_KEEP_SECONDS = 1000 /* of the replicated clock */
+    SIMQ_CLAIM_KEEP_SECONDS = 1000 /* in replicated seconds */
 };
 
 typedef struct {
@@ -20,14 +20,14 @@
     sim_disk disk;
     bool up;
     wg_time frozen_until;
-    wg_time offset;     /* of its clock */
-    int drift_per_mill; /* its clock runs faster or slower */
+    wg_time offset;     /* clock offset from simulated time */
+    int drift_per_mill; /* clock drift */
     uint64_t applied;
     uint64_t applied_term;
     wgt_table* table;
     wgk_claims* claims;
-    bool stopping; /* a planned stop is under way */
-    int crash_at;  /* 1: before it syncs, 2: before it sends, 3: amid sending */
+    bool stopping; /* a planned stop is in progress */
+    int crash_at;  /* 0: none, 1: before syncing, 2: before sending, 3: between two messages */
 } node_t;
 
 typedef struct {
@@ -45,31 +45,31 @@
     node_t nodes[SIM_NODES_MAX];
     bool cut[SIM_NODES_MAX][SIM_NODES_MAX];
     GArray* flights;
-    GArray* committed; /* uint64_t: hash of the entry at each index */
-    GArray* states;    /* uint64_t: hash of table and claims after each index, 0 unknown */
-    uint64_t answered;
-    wg_time led_at;
+    GArray* committed; /* uint64_t: hash of the entry at each index; 0: unknown */
+    GArray* states;    /* uint64_t: hash of table and claims after each index; 0: unknown */
+    uint64_t answered; /* highest index that a leader has acknowledged */
+    wg_time led_at;    /* when a leader was last seen */
     simq_counts counts;
     uint64_t next_edit;
     uint64_t next_identity;
-    GArray* gone; /* uint64_t: identities whose disk was lost */
+    GArray* gone; /* uint64_t: identities of replicas whose disk was lost */
     uint64_t last_edit_number;
-    GHashTable* outcomes;     /* edit number -> outcome and version of its first answer */
-    uint64_t holders[256];    /* attempt that was granted each claim key, 0 none */
-    uint64_t held_since[256]; /* replicated seconds of that grant */
+    GHashTable* outcomes;     /* edit number -> outcome and version of its first result */
+    uint64_t holders[256];    /* attempt that was granted each claim key; 0: none */
+    uint64_t held_since[256]; /* replicated seconds of each grant */
     uint64_t claims_now;      /* newest replicated seconds */
 };
 
 /* ---- sim_quorum.c --------------------------------------------------------------------------- */
 
-/* The run's next random number; it depends on the seed and on nothing else. */
+/* Next random number of the run; depends only on the seed and the number of earlier calls. */
 uint64_t _simq_chance(simq_run* s);
 bool _simq_one_in(simq_run* s, uint64_t num);
-/* What the replica's own clock, which is off and drifts, shows. */
+/* The replica's clock, with its offset and drift. */
 wg_time _simq_local_time(const simq_run* s, const node_t* n);
-/* Slot of the replica that has this identity now, -1 none. */
+/* Slot of the replica that has this identity now; -1: none. */
 int _simq_slot_of(const simq_run* s, uint64_t identity);
-/* Index of the proposed entry, 0 when it was refused. */
+/* Returns the index of the proposed entry, 0 when it was refused. */
 uint64_t _simq_propose(simq_run* s, int slot, const ProtobufCMessage* command);
 int _simq_voters(const wgr_set* set);
 
@@ -77,5 +77,6 @@
 
 GBytes* _simq_pack_state(const node_t* n);
 void _simq_load_state(node_t* n, GBytes* bytes);
-/* Apply a committed entry; asserts that every replica applies the same and answers the same. */
+/* Applies a committed entry; asserts that every replica applies the same entries with the same
+   results. */
 void _simq_apply(simq_run* s, node_t* n, const wgr_entry* entry);
--- a/tests/sim/sim_quorum_random.c
+++ b/tests/sim/sim_quorum_random.c
@@ -10,7 +10,7 @@
     const wgt_row* row = wgt_find(s->nodes[leader].table, WGT_KIND_WORKSPACE, name);
     uint64_t base = row ? row->version : 0;
     if (_simq_one_in(s, 5)) {
-        base = base > 0 ? base - 1 : 1; /* an editor who saw an older row */
+        base = base > 0 ? base - 1 : 1; /* an edit based on an outdated row */
     }
     uint64_t number =
         _simq_one_in(s, 4) && s->last_edit_number ? s->last_edit_number : ++s->next_edit;
@@ -43,7 +43,7 @@
     return num;
 }
 
-/* Lose a disk only while a majority of the voters keeps theirs: more cannot be survived. */
+/* Loses a disk only while a majority of the voters keeps theirs; more losses are not survivable. */
 static void random_disk_loss(simq_run* s) {
     int leader = simq_leader(s);
     if (leader < 0) {
@@ -63,11 +63,11 @@
     int a = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
     int b = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
     switch (_simq_chance(s) % 22) {
-    case 20: /* all at once, and back one after the other */
+    case 20: /* all crash and restart individually later */
         simq_crash_all(s);
         s->counts.crashes += (uint64_t)s->desc.replicas;
         break;
-    case 21: /* all at once and back at once, one perhaps later */
+    case 21: /* all crash and restart at once, perhaps but one */
         simq_crash_all(s);
         for (int i = 0; i < s->desc.replicas; i++) {
             if (i != a || a == b) {
@@ -79,7 +79,7 @@
     case 16:
     case 17:
     case 18:
-    case 19: /* back at once, while promises of the former run still count */
+    case 19: /* restart at once, while promises of the previous incarnation still hold */
         simq_crash(s, a);
         simq_restart(s, a);
         s->counts.crashes++;
@@ -131,7 +131,7 @@
     }
 }
 
-/* Planned stops, where the run has succession: begun now and then, ended once they are settled. */
+/* Begins a planned stop now and then; stops the replica once it has left the set. */
 static void random_stop(simq_run* s) {
     int slot = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
     if (s->nodes[slot].up && _simq_one_in(s, 200)) {
--- a/tests/sim/sim_trace.c
+++ b/tests/sim/sim_trace.c
@@ -1,4 +1,4 @@
-/* sim_trace.c -- reads traces; see sim_fleet.h and docs/TRACES.md */
+/* sim_trace.c -- parses traces; see sim_fleet.h and docs/TRACES.md */
 #include <string.h>
 
 #include "sim_fleet.h"
@@ -10,7 +10,7 @@
     return false;
 }
 
-/* Value of "name=value" among the words, or `def`. */
+/* Value of the option "name=value" in a line, or `def`. */
 static const char* option(char** words, const char* name, const char* def) {
     size_t length = strlen(name);
     for (int i = 1; words[i]; i++) {
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -1,4 +1,4 @@
-/* soak.c -- long randomised runs over the pure state machines; `make soak SEED=n STEPS=n` */
+/* soak.c -- long randomised simulations of quorum and fleet; `make soak SEED=n STEPS=n` */
 #include <argtable2.h>
 #include <signal.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
     _exit(1);
 }
 
-/* Sets that change: planned stops, succession, and two replicas that join later. */
+/* Sets that change: planned stops, replaced replicas, and two replicas that join later. */
 static simq_desc changing_set(uint64_t seed, int replicas) {
     return (simq_desc){.seed = seed,
                        .replicas = replicas + 2,
@@ -56,7 +56,7 @@
     simq_shutdown(run);
 }
 
-/* A fleet under random load and faults; the replay asserts leases, this the bound of the gap. */
+/* A fleet under random load and faults. The replay asserts leases, this the bound of the gap. */
 static void run_fleet(uint64_t seed, int seconds) {
     g_snprintf(failure_note, sizeof failure_note,
                "soak: failed with seed %" G_GUINT64_FORMAT ", fleet for %d s\n", seed, seconds);
@@ -98,7 +98,7 @@
            seed, routers, targets, seconds, result.requests, result.gap_over_bound_calm,
            result.busy);
     if (result.gap_over_bound_calm >= 1) {
-        fprintf(stderr, "%s", text->str); /* a trace that bench_fair can replay */
+        fprintf(stderr, "%s", text->str); /* bench_fair can replay this trace */
     }
     WG_ASSERT(result.gap_over_bound_calm < 1);
     g_string_free(text, TRUE);
--- a/tests/soak_hosts.c
+++ b/tests/soak_hosts.c
@@ -1,4 +1,4 @@
-/* soak_hosts.c -- the fault soak by hand: many seeds, each with its own fleet of processes */
+/* soak_hosts.c -- runs the fault soak for many seeds, each with its own fleet of processes */
 #include <argtable2.h>
 #include <stdio.h>
 #include <stdlib.h>
