--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -6,7 +6,7 @@
 
 /* ---- helpers: events ------------------------------------------------------------------------ */
 
-static bool before(const event_t* a, const event_t* b) {
+static bool is_before(const event_t* a, const event_t* b) {
     return a->at != b->at ? a->at < b->at : a->order < b->order;
 }
 
@@ -20,26 +20,26 @@
     *event_at(s, b) = keep;
 }
 
-void _simf_post(run_t* s, wg_time at, event_type type, int a, void* data) {
+void _simf_schedule(run_t* s, wg_time at, event_type type, int a, void* data) {
     event_t event = {.at = at, .order = ++s->order, .type = type, .a = a, .data = data};
     g_array_append_val(s->heap, event);
     guint i = s->heap->len - 1;
-    while (i > 0 && before(event_at(s, i), event_at(s, (i - 1) / 2))) {
+    while (i > 0 && is_before(event_at(s, i), event_at(s, (i - 1) / 2))) {
         swap(s, i, (i - 1) / 2);
         i = (i - 1) / 2;
     }
 }
 
-static event_t next_event(run_t* s) {
+static event_t pop_event(run_t* s) {
     event_t first = *event_at(s, 0);
     *event_at(s, 0) = *event_at(s, s->heap->len - 1);
     g_array_set_size(s->heap, s->heap->len - 1);
     for (guint i = 0; 2 * i + 1 < s->heap->len;) {
         guint child = 2 * i + 1;
-        if (child + 1 < s->heap->len && before(event_at(s, child + 1), event_at(s, child))) {
+        if (child + 1 < s->heap->len && is_before(event_at(s, child + 1), event_at(s, child))) {
             child++;
         }
-        if (!before(event_at(s, child), event_at(s, i))) {
+        if (!is_before(event_at(s, child), event_at(s, i))) {
             break;
         }
         swap(s, i, child);
@@ -48,17 +48,17 @@
     return first;
 }
 
-static uint64_t chance(run_t* s) {
+static uint64_t next_random(run_t* s) {
     return wg_jitter(s->trace->seed, ++s->counter);
 }
 
 static double uniform(run_t* s) {
-    return ((double)(chance(s) >> 11) + 1.0) / 9007199254740993.0;
+    return ((double)(next_random(s) >> 11) + 1.0) / 9007199254740993.0;
 }
 
 /* ---- helpers: set-up ------------------------------------------------------------------------ */
 
-bool _simf_central(const run_t* s) {
+bool _simf_is_central(const run_t* s) {
     return s->way == SIMF_WAY_ARBITER || s->way == SIMF_WAY_OMNISCIENT;
 }
 
@@ -70,7 +70,7 @@
         return 0;
     }
     bool extra = (target + router) % t->routers < t->slots % t->routers;
-    return _simf_central(s) ? t->slots : t->slots / t->routers + (extra ? 1 : 0);
+    return _simf_is_central(s) ? t->slots : t->slots / t->routers + (extra ? 1 : 0);
 }
 
 static void free_waiting(router_t* r) {
@@ -90,18 +90,18 @@
         wgp_shutdown(r->place);
     }
     uint64_t bytes = r->bytes;
-    uint32_t* told = r->held_told ? r->held_told : g_new0(uint32_t, t->targets);
-    memset(told, 0, sizeof(uint32_t) * (size_t)t->targets);
+    uint32_t* reported = r->reported_slots ? r->reported_slots : g_new0(uint32_t, t->targets);
+    memset(reported, 0, sizeof(uint32_t) * (size_t)t->targets);
     *r = (router_t){.incarnation = r->incarnation + 1, .report_full = true, .bytes = bytes};
-    r->held_told = told;
+    r->reported_slots = reported;
     wgf_pacer_setup(&r->pacer, &(wgf_pacer_desc){.now = s->now, .interval = t->report});
     r->queue = wgq_setup(&(wgq_desc){.flows_max = 256, .requests_max = 60000}, NULL);
     r->place = wgp_setup(
-        &(wgp_desc){.seed = chance(s), .targets_max = t->targets, .prefixes_max = 64}, NULL);
+        &(wgp_desc){.seed = next_random(s), .targets_max = t->targets, .prefixes_max = 64}, NULL);
     wgp_config_begin(r->place);
     for (int g = 0; g < t->targets; g++) {
         uint32_t id = TARGET_ID_FIRST + (uint32_t)g;
-        wgp_config_target(r->place, id, SERVICE_ID, "", "", "", t->slots, s->targets[g].gone, 1);
+        wgp_config_target(r->place, id, SERVICE_ID, "", "", "", t->slots, s->targets[g].removed, 1);
         wgp_add_slots(r->place, id, _simf_fixed_slots(s, i, g));
     }
     wgp_config_end(r->place);
@@ -114,7 +114,7 @@
     wgf_config_service(s->share, SERVICE_ID, t->over_percent, 200);
     for (int g = 0; g < t->targets; g++) {
         wgf_config_target(s->share, TARGET_ID_FIRST + (uint32_t)g, SERVICE_ID, t->slots,
-                          s->targets[g].gone, "");
+                          s->targets[g].removed, "");
     }
     wgf_config_end(s->share);
     for (int w = 0; w < t->workspaces_num; w++) {
@@ -128,11 +128,11 @@
                                      .targets_max = s->trace->targets,
                                      .flows_max = 256,
                                      .accounts_max = 65536,
-                                     .slot_term = SLOT_TERM},
+                                     .slot_term = LEASE_TERM},
                          NULL);
     s->leader++;
     /* During its first lease term a new leader learns which slots are leased. */
-    s->counts_from = s->now + SLOT_TERM;
+    s->counts_from = s->now + LEASE_TERM;
     _simf_share_config(s);
     for (int i = 0; i < s->trace->routers; i++) {
         s->routers[i].at_leader = (wgf_router){0};
@@ -148,7 +148,7 @@
         target->in_slots++;
         q->in_slot = true;
         q->started = s->now;
-        _simf_post(s, s->now + q->tokens * s->trace->pace, EVENT_FINISH, 0, q);
+        _simf_schedule(s, s->now + q->tokens * s->trace->pace, EVENT_FINISH, 0, q);
     }
 }
 
@@ -156,10 +156,10 @@
     return &s->targets[q->choice.target - TARGET_ID_FIRST];
 }
 
-static void target_take(run_t* s, request_t* q) {
+static void target_accept(run_t* s, request_t* q) {
     target_t* target = _simf_target_of(s, q);
-    if (target->dead) {
-        _simf_post(s, s->now + s->trace->delay, EVENT_REFUSED, 0, q);
+    if (target->unreachable) {
+        _simf_schedule(s, s->now + s->trace->delay, EVENT_REFUSED, 0, q);
         return;
     }
     q->running = true;
@@ -175,18 +175,18 @@
 /* ---- helpers: routers ------------------------------------------------------------------------ */
 
 int _simf_queue_router(const run_t* s, int router) {
-    return _simf_central(s) ? 0 : router;
+    return _simf_is_central(s) ? 0 : router;
 }
 
-void _simf_plan_report(run_t* s, int router) {
+void _simf_schedule_report(run_t* s, int router) {
     router_t* r = &s->routers[router];
-    if (s->way == SIMF_WAY_LEASED && r->pacer.wanted && !r->report_planned) {
-        r->report_planned = true;
-        _simf_post(s, MAX(s->now, wgf_pacer_next(&r->pacer)), EVENT_REPORT, router, NULL);
+    if (s->way == SIMF_WAY_LEASED && r->pacer.wanted && !r->report_scheduled) {
+        r->report_scheduled = true;
+        _simf_schedule(s, MAX(s->now, wgf_pacer_next(&r->pacer)), EVENT_REPORT, router, NULL);
     }
 }
 
-static void leave_queue(run_t* s, int workspace) {
+static void record_dequeued(run_t* s, int workspace) {
     s->queued[workspace]--;
     s->emptied[workspace] = s->emptied[workspace] || s->queued[workspace] == 0;
 }
@@ -194,7 +194,7 @@
 static void start_request(run_t* s, int router, wgq_handle picked) {
     router_t* r = &s->routers[router];
     request_t* q = wgq_user_data(r->queue, picked);
-    leave_queue(s, q->workspace);
+    record_dequeued(s, q->workspace);
     wg_hist_add(&s->wait, s->now - q->arrived);
     if (q->urgent) {
         s->urgent_wait = MAX(s->urgent_wait, s->now - q->arrived);
@@ -207,9 +207,9 @@
         /* The slot is occupied while request and grant are in flight. */
         s->routers[q->router].bytes += 2 * GRANT_BYTES;
         s->leader_bytes += 2 * GRANT_BYTES;
-        _simf_post(s, s->now + 2 * s->trace->delay, EVENT_GRANTED, 0, q);
+        _simf_schedule(s, s->now + 2 * s->trace->delay, EVENT_GRANTED, 0, q);
     } else {
-        target_take(s, q);
+        target_accept(s, q);
     }
 }
 
@@ -235,11 +235,11 @@
                     &(wgf_pacer_news){.at_work = stats.queued + stats.running > 0,
                                       .waiting = stats.queued > 0,
                                       .idle = wgp_query_free(r->place, s->now, SERVICE_ID) > 0});
-    _simf_plan_report(s, router);
+    _simf_schedule_report(s, router);
 }
 
 /* The target refused the request: it returns to the head of its queue. */
-static void refused_by_target(run_t* s, request_t* q) {
+static void requeue_refused(run_t* s, request_t* q) {
     int router = _simf_queue_router(s, q->router);
     router_t* r = &s->routers[router];
     if (wgq_user_data(r->queue, q->handle) != q) {
@@ -269,37 +269,37 @@
     _simf_dispatch(s, router);
 }
 
-static void give_up(run_t* s, request_t* q, bool was_queued) {
+static void refuse_request(run_t* s, request_t* q, bool was_queued) {
     s->refused++;
     if (was_queued) {
-        leave_queue(s, q->workspace);
+        record_dequeued(s, q->workspace);
     }
     g_free(q);
 }
 
-static void expire(run_t* s, int router) {
+static void expire_queued(run_t* s, int router) {
     router_t* r = &s->routers[router];
     wgq_handle expired;
     while (wgq_expire(r->queue, s->now, &expired)) {
         request_t* q = wgq_user_data(r->queue, expired);
         wgq_drop(r->queue, expired);
-        give_up(s, q, true);
+        refuse_request(s, q, true);
     }
 }
 
-static void arrive(run_t* s, int load_index) {
+static void handle_arrival(run_t* s, int load_index) {
     const simf_trace* t = s->trace;
     const simf_load* load = &t->loads[load_index];
     if (s->now >= load->from && s->now < load->to) {
         request_t* q = g_new0(request_t, 1);
         int span = load->router_last - load->router_first + 1;
         q->workspace = load->workspace;
-        q->router = load->router_first + (int)(chance(s) % (uint64_t)span);
+        q->router = load->router_first + (int)(next_random(s) % (uint64_t)span);
         for (int i = 0; i < t->routers && s->routers[q->router].cut; i++) {
             q->router = (q->router + 1) % t->routers; /* callers avoid routers that are cut off */
         }
         q->tokens = load->tokens_min +
-                    (int64_t)(chance(s) % (uint64_t)(load->tokens_max - load->tokens_min + 1));
+                    (int64_t)(next_random(s) % (uint64_t)(load->tokens_max - load->tokens_min + 1));
         q->urgent = load->urgent;
         q->arrived = s->now;
         q->deadline = s->now + t->deadline;
@@ -318,23 +318,23 @@
                                             .user_data = q},
                              &refusal);
         if (q->handle.id == 0) {
-            give_up(s, q, false);
+            refuse_request(s, q, false);
         } else {
             s->queued[q->workspace]++;
             _simf_dispatch(s, router);
             if (wgq_query_waiting(s->routers[router].queue, (uint32_t)load->workspace + 1) == 1) {
                 wgf_pacer_want(&s->routers[router].pacer);
-                _simf_plan_report(s, router);
+                _simf_schedule_report(s, router);
             }
         }
     }
     wg_time wait = (wg_time)(-log(uniform(s)) / load->rate * WG_USEC_PER_SEC);
     if (s->now + wait < load->to) {
-        _simf_post(s, MAX(s->now + wait, load->from), EVENT_ARRIVAL, load_index, NULL);
+        _simf_schedule(s, MAX(s->now + wait, load->from), EVENT_ARRIVAL, load_index, NULL);
     }
 }
 
-static void finish(run_t* s, request_t* q) {
+static void finish_request(run_t* s, request_t* q) {
     if (!q->in_slot) {
         return; /* its target was removed, which ended the request */
     }
@@ -342,7 +342,7 @@
     target_t* target = _simf_target_of(s, q);
     target->in_slots--;
     s->delivered[q->workspace] += (double)q->tokens;
-    *(s->now <= q->deadline ? &s->good_tokens : &s->bad_tokens) += (double)q->tokens;
+    *(s->now <= q->deadline ? &s->tokens_in_time : &s->tokens_late) += (double)q->tokens;
     s->finished++;
     g_ptr_array_remove_fast(s->running, q);
     wgp_target_info info;
@@ -385,10 +385,10 @@
     out->held = g_new(wgf_held, s->trace->targets);
     wgp_target_info info;
     for (int g = 0; wgp_query_target(r->place, g, &info); g++) {
-        bool aside = info.aside_until != 0;
-        uint32_t now = (uint32_t)info.leased << 1 | (aside ? 1 : 0);
-        if (r->report_full || r->held_told[g] != now) {
-            r->held_told[g] = now;
+        bool ejected = info.aside_until != 0;
+        uint32_t now = (uint32_t)info.leased << 1 | (ejected ? 1 : 0);
+        if (r->report_full || r->reported_slots[g] != now) {
+            r->reported_slots[g] = now;
             out->held[out->held_num++] = (wgf_held){info.id, (uint32_t)info.leased};
         }
     }
@@ -414,7 +414,7 @@
                      (uint64_t)out->held_num * HELD_BYTES;
     r->bytes += bytes;
     s->leader_bytes += bytes;
-    _simf_post(s, s->now + s->trace->delay, EVENT_AT_LEADER, 0, out);
+    _simf_schedule(s, s->now + s->trace->delay, EVENT_AT_LEADER, 0, out);
 }
 
 static void send_reply(run_t* s, int router, wg_time echo, bool fairs) {
@@ -438,13 +438,13 @@
         g_free(out);
         return;
     }
-    _simf_post(s, s->now + s->trace->delay, EVENT_AT_ROUTER, 0, out);
+    _simf_schedule(s, s->now + s->trace->delay, EVENT_AT_ROUTER, 0, out);
 }
 
 void _simf_schedule_plan(run_t* s) {
-    if (!s->plan_due) {
-        s->plan_due = true;
-        _simf_post(s, s->now + PLAN_GAP, EVENT_PLAN, 0, NULL);
+    if (!s->plan_scheduled) {
+        s->plan_scheduled = true;
+        _simf_schedule(s, s->now + PLAN_DELAY, EVENT_PLAN, 0, NULL);
     }
 }
 
@@ -485,15 +485,15 @@
                 held += info.leased;
             }
         }
-        WG_ASSERT(s->targets[g].gone || held <= capacity);
+        WG_ASSERT(s->targets[g].removed || held <= capacity);
         /* The leader never counts fewer leased slots than routers have. */
         int counted = wgf_query_leased(s->share, TARGET_ID_FIRST + (uint32_t)g);
-        WG_ASSERT(s->targets[g].gone || s->now < s->counts_from || held <= counted);
+        WG_ASSERT(s->targets[g].removed || s->now < s->counts_from || held <= counted);
     }
 }
 
-static void plan(run_t* s) {
-    s->plan_due = false;
+static void plan_leases(run_t* s) {
+    s->plan_scheduled = false;
     if (!s->share) {
         return;
     }
@@ -522,9 +522,9 @@
         for (int i = 0; i < in->orders.grants_num; i++) {
             wgp_add_slots(r->place, in->orders.grants[i].target, (int)in->orders.grants[i].add);
             /* Report the slots next time, even if they were released at once. */
-            r->held_told[in->orders.grants[i].target - TARGET_ID_FIRST] = UINT32_MAX;
+            r->reported_slots[in->orders.grants[i].target - TARGET_ID_FIRST] = UINT32_MAX;
         }
-        r->lease_until = in->echo + SLOT_TERM;
+        r->lease_until = in->echo + LEASE_TERM;
         wgp_set_lease(r->place, r->lease_until);
         _simf_dispatch(s, in->router);
     }
@@ -535,7 +535,7 @@
 
 static void report_if_due(run_t* s, int router) {
     router_t* r = &s->routers[router];
-    r->report_planned = false;
+    r->report_scheduled = false;
     if (r->lease_until > 0 && s->now >= r->lease_until) {
         r->lease_until = 0;
         wgp_clear_slots(r->place);
@@ -546,16 +546,16 @@
     }
 }
 
-static void handle(run_t* s, const event_t* event) {
+static void handle_event(run_t* s, const event_t* event) {
     switch (event->type) {
     case EVENT_ARRIVAL:
-        arrive(s, event->a);
+        handle_arrival(s, event->a);
         break;
     case EVENT_FINISH:
         if (!((request_t*)event->data)->in_slot) {
             g_free(event->data);
         } else {
-            finish(s, event->data);
+            finish_request(s, event->data);
         }
         break;
     case EVENT_REPORT:
@@ -565,39 +565,39 @@
         at_leader(s, event->data);
         break;
     case EVENT_PLAN:
-        plan(s);
+        plan_leases(s);
         break;
     case EVENT_AT_ROUTER:
         at_router(s, event->data);
         break;
     case EVENT_GRANTED:
-        target_take(s, event->data);
+        target_accept(s, event->data);
         break;
     case EVENT_REFUSED:
-        refused_by_target(s, event->data);
+        requeue_refused(s, event->data);
         break;
     case EVENT_SAMPLE:
         _simf_take_sample(s);
-        if (_simf_central(s)) {
+        if (_simf_is_central(s)) {
             charge_running(s, 0);
         }
         for (int i = 0; i < s->trace->routers; i++) {
-            expire(s, i);
+            expire_queued(s, i);
             if (s->way == SIMF_WAY_LEASED) {
                 report_if_due(s, i);
             }
         }
-        _simf_post(s, s->now + SAMPLE, EVENT_SAMPLE, 0, NULL);
+        _simf_schedule(s, s->now + SAMPLE_INTERVAL, EVENT_SAMPLE, 0, NULL);
         break;
     case EVENT_FAULT:
-        _simf_fault(s, event->data, event->a != 0);
+        _simf_inject_fault(s, event->data, event->a != 0);
         break;
     }
 }
 
-static void clear(run_t* s) {
+static void release_run(run_t* s) {
     while (s->heap->len > 0) {
-        event_t event = next_event(s);
+        event_t event = pop_event(s);
         if (event.type == EVENT_AT_LEADER) {
             g_free(((report_t*)event.data)->held);
         }
@@ -609,7 +609,7 @@
         free_waiting(&s->routers[i]);
         wgq_shutdown(s->routers[i].queue);
         wgp_shutdown(s->routers[i].place);
-        g_free(s->routers[i].held_told);
+        g_free(s->routers[i].reported_slots);
     }
     if (s->share) {
         wgf_shutdown(s->share);
@@ -631,7 +631,7 @@
     s->trace = trace;
     s->way = way;
     for (int i = 0; i < trace->loads_num; i++) {
-        s->largest = MAX(s->largest, (double)trace->loads[i].tokens_max);
+        s->request_tokens_max = MAX(s->request_tokens_max, (double)trace->loads[i].tokens_max);
     }
     s->heap = g_array_new(FALSE, TRUE, sizeof(event_t));
     s->gaps = g_array_new(FALSE, TRUE, sizeof(double));
@@ -642,33 +642,33 @@
         s->weights[w] = trace->workspaces[w].weight;
     }
     /* Leaders wait one lease term before they grant; the load starts after that. */
-    s->now = -2 * SLOT_TERM;
+    s->now = -2 * LEASE_TERM;
     for (int i = 0; i < trace->routers; i++) {
         _simf_router_start(s, i);
-        s->routers[i].pacer.sent_at -= (wg_time)(chance(s) % (uint64_t)trace->report);
+        s->routers[i].pacer.sent_at -= (wg_time)(next_random(s) % (uint64_t)trace->report);
     }
     if (way == SIMF_WAY_LEASED) {
         _simf_leader_start(s);
     }
-    _simf_post(s, s->now, EVENT_SAMPLE, 0, NULL);
+    _simf_schedule(s, s->now, EVENT_SAMPLE, 0, NULL);
     for (int i = 0; i < trace->loads_num; i++) {
-        _simf_post(s, trace->loads[i].from, EVENT_ARRIVAL, i, NULL);
+        _simf_schedule(s, trace->loads[i].from, EVENT_ARRIVAL, i, NULL);
     }
     for (int i = 0; i < trace->faults_num; i++) {
-        _simf_post(s, trace->faults[i].from, EVENT_FAULT, 1, (void*)&trace->faults[i]);
+        _simf_schedule(s, trace->faults[i].from, EVENT_FAULT, 1, (void*)&trace->faults[i]);
         if (trace->faults[i].to > 0) {
-            _simf_post(s, trace->faults[i].to, EVENT_FAULT, 0, (void*)&trace->faults[i]);
+            _simf_schedule(s, trace->faults[i].to, EVENT_FAULT, 0, (void*)&trace->faults[i]);
         }
     }
     while (event_at(s, 0)->at < trace->duration) {
-        event_t event = next_event(s);
-        _simf_account_time(s, event.at);
+        event_t event = pop_event(s);
+        _simf_add_slot_time(s, event.at);
         s->now = event.at;
-        handle(s, &event);
+        handle_event(s, &event);
     }
     s->now = trace->duration;
     simf_result result = _simf_collect(s);
-    clear(s);
+    release_run(s);
     g_free(s);
     return result;
 }
--- a/tests/sim/sim_fleet.h
+++ b/tests/sim/sim_fleet.h
@@ -108,7 +108,7 @@
     double gap_p99;
     double gap_worst;
     double gap_over_bound;      /* largest gap over the bound of its pair */
-    double gap_over_bound_calm; /* gap_over_bound without faults and the time SETTLE after each */
+    double gap_over_bound_calm; /* gap_over_bound apart from faults and 5 s after each */
     double busy;                /* fraction of slot time used while requests waited */
     double tokens;              /* tokens delivered within deadlines */
     double wasted;              /* fraction of the tokens of requests that missed their deadline */
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -12,7 +12,7 @@
 }
 
 /* Cancels a running request without an answer. */
-static void give_up_running(run_t* s, const request_t* q) {
+static void cancel_running(run_t* s, const request_t* q) {
     router_t* r = &s->routers[_simf_queue_router(s, q->router)];
     wgq_finish(r->queue, s->now, q->handle, (int64_t)_simf_tokens_so_far(s, q));
     wgp_done(r->place, s->now, &q->choice, WGP_RESULT_CANCELLED);
@@ -39,15 +39,15 @@
         target_t* target = _simf_target_of(s, q);
         bool waited = g_queue_remove(&target->waiting, q);
         end_request(s, q);
-        if (_simf_central(s)) {
-            give_up_running(s, q); /* the central queue survives the restart */
+        if (_simf_is_central(s)) {
+            cancel_running(s, q); /* the central queue survives the restart */
         }
         if (waited) {
             g_free(q);
         }
         _simf_target_start_next(s, target);
     }
-    if (_simf_central(s)) {
+    if (_simf_is_central(s)) {
         _simf_dispatch(s, 0);
         return;
     }
@@ -58,17 +58,17 @@
     }
     _simf_router_start(s, router);
     wgf_pacer_want(&s->routers[router].pacer);
-    _simf_plan_report(s, router);
+    _simf_schedule_report(s, router);
 }
 
 static void lose_targets(run_t* s, const simf_fault* fault, bool begin) {
     for (int g = fault->a; g <= fault->b && g < s->trace->targets; g++) {
-        s->targets[g].gone = begin;
+        s->targets[g].removed = begin;
         request_t* q;
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
             end_request(s, q);
-            give_up_running(s, q);
+            cancel_running(s, q);
             if (waited) {
                 g_free(q);
             }
@@ -78,7 +78,7 @@
         wgp_config_begin(s->routers[i].place);
         for (int g = 0; g < s->trace->targets; g++) {
             wgp_config_target(s->routers[i].place, TARGET_ID_FIRST + (uint32_t)g, SERVICE_ID, "",
-                              "", "", s->trace->slots, s->targets[g].gone, 1);
+                              "", "", s->trace->slots, s->targets[g].removed, 1);
         }
         wgp_config_end(s->routers[i].place);
         for (int g = fault->a; !begin && g <= fault->b && g < s->trace->targets; g++) {
@@ -99,7 +99,7 @@
 /* Requests at the targets fail too and return to their queues. */
 static void kill_targets(run_t* s, const simf_fault* f, bool begin) {
     for (int g = f->a; g <= f->b && g < s->trace->targets; g++) {
-        s->targets[g].dead = begin;
+        s->targets[g].unreachable = begin;
         request_t* q;
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
@@ -111,12 +111,12 @@
                 again->in_slot = again->running = false;
                 again->started = 0;
             }
-            _simf_post(s, s->now + s->trace->delay, EVENT_REFUSED, 0, again);
+            _simf_schedule(s, s->now + s->trace->delay, EVENT_REFUSED, 0, again);
         }
     }
 }
 
-void _simf_fault(run_t* s, const simf_fault* f, bool begin) {
+void _simf_inject_fault(run_t* s, const simf_fault* f, bool begin) {
     switch (f->type) {
     case SIMF_FAULT_CUT_ROUTER:
         s->routers[f->a].cut = begin;
@@ -155,8 +155,9 @@
     default:
         break;
     }
-    s->faults_end = s->now;
-    s->out_of_bound_at = s->now;
-    wg_time settled = MAX(s->now, f->to) + SETTLE;
-    s->calm_from = MAX(s->calm_from, (settled + SAMPLE - 1) / SAMPLE * SAMPLE);
+    s->last_fault_end = s->now;
+    s->last_out_of_bound_at = s->now;
+    wg_time settled = MAX(s->now, f->to) + SETTLE_TIME;
+    s->settled_from =
+        MAX(s->settled_from, (settled + SAMPLE_INTERVAL - 1) / SAMPLE_INTERVAL * SAMPLE_INTERVAL);
 }
--- a/tests/sim/sim_fleet_internal.h
+++ b/tests/sim/sim_fleet_internal.h
@@ -7,10 +7,10 @@
 enum {
     SERVICE_ID = 1,
     TARGET_ID_FIRST = 10000,
-    SAMPLE = 100 * WG_USEC_PER_MSEC,
-    PLAN_GAP = 5 * WG_USEC_PER_MSEC,
-    SLOT_TERM = 2 * WG_USEC_PER_SEC,
-    SETTLE = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps are checked again */
+    SAMPLE_INTERVAL = 100 * WG_USEC_PER_MSEC,
+    PLAN_DELAY = 5 * WG_USEC_PER_MSEC,
+    LEASE_TERM = 2 * WG_USEC_PER_SEC,
+    SETTLE_TIME = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps are checked again */
     /* Sizes of messages in bytes, with protobuf, framing and TCP/IP headers. */
     REPORT_BYTES = 90,
     REPLY_BYTES = 105,
@@ -88,12 +88,12 @@
     uint64_t incarnation;
     bool cut;
     bool report_full;
-    bool report_planned; /* an EVENT_REPORT is pending */
+    bool report_scheduled; /* an EVENT_REPORT is pending */
     wgf_pacer pacer;
     wg_time lease_until;
     uint64_t applied;
-    uint64_t leader;     /* leader whose reply it applied last */
-    uint32_t* held_told; /* last reported slots of each target */
+    uint64_t leader;          /* leader whose reply it applied last */
+    uint32_t* reported_slots; /* last reported slots of each target */
     /* the leader's state of this router */
     wgf_router at_leader;
     uint64_t seq;
@@ -103,13 +103,13 @@
 typedef struct {
     int in_slots;
     GQueue waiting; /* request_t*, waiting for a slot */
-    bool gone;
-    bool dead; /* refuses connections; routers are not notified */
+    bool removed;
+    bool unreachable; /* refuses connections; routers are not notified */
 } target_t;
 
 /* Service of two workspaces when both became backlogged. */
 typedef struct {
-    bool joint;
+    bool backlogged;
     double base_a;
     double base_b;
 } pair_t;
@@ -126,11 +126,11 @@
     wgf_share* share;
     uint64_t leader;     /* number of the current leader; 0: none */
     wg_time counts_from; /* from then on the leader knows all leases */
-    bool plan_due;
+    bool plan_scheduled;
     GPtrArray* running; /* request_t* */
     int64_t weights[SIMF_WORKSPACES_MAX];
-    double delivered[SIMF_WORKSPACES_MAX]; /* tokens of finished requests */
-    double normal[SIMF_WORKSPACES_MAX];    /* tokens per 100 of weight, as of the last sample */
+    double delivered[SIMF_WORKSPACES_MAX];  /* tokens of finished requests */
+    double normalized[SIMF_WORKSPACES_MAX]; /* tokens per 100 of weight, as of the last sample */
     double last_tokens[SIMF_WORKSPACES_MAX];
     int queued[SIMF_WORKSPACES_MAX];
     bool emptied[SIMF_WORKSPACES_MAX]; /* its queue was empty at some time since the last sample */
@@ -140,28 +140,28 @@
     wg_time urgent_wait;
     double slot_time;
     double busy_time;
-    double good_tokens;
-    double bad_tokens;
-    double largest;
+    double tokens_in_time;
+    double tokens_late;
+    double request_tokens_max;
     uint64_t refused;
     uint64_t requests;
     uint64_t finished;
     uint64_t leader_bytes;
-    wg_time faults_end;
-    wg_time out_of_bound_at;
+    wg_time last_fault_end;
+    wg_time last_out_of_bound_at;
     double over_bound; /* largest gap over the bound of its pair */
     double over_bound_calm;
-    wg_time calm_from; /* SETTLE after the last fault; pairs are measured anew from then on */
+    wg_time settled_from; /* end of the last SETTLE_TIME; pairs are measured anew from then */
 } run_t;
 
-/* ---- functions ------------------------------------------------------------------------------- */
+/* ---- functions ------------------------------------------------------------------------------ */
 double _simf_tokens_so_far(const run_t* s, const request_t* q);
 void _simf_take_sample(run_t* s);
-void _simf_account_time(run_t* s, wg_time until);
+void _simf_add_slot_time(run_t* s, wg_time until);
 simf_result _simf_collect(run_t* s);
-void _simf_fault(run_t* s, const simf_fault* f, bool begin);
-void _simf_post(run_t* s, wg_time at, event_type type, int a, void* data);
-bool _simf_central(const run_t* s);
+void _simf_inject_fault(run_t* s, const simf_fault* f, bool begin);
+void _simf_schedule(run_t* s, wg_time at, event_type type, int a, void* data);
+bool _simf_is_central(const run_t* s);
 int _simf_fixed_slots(const run_t* s, int router, int target);
 void _simf_router_start(run_t* s, int i);
 void _simf_share_config(run_t* s);
@@ -169,6 +169,6 @@
 void _simf_target_start_next(run_t* s, target_t* target);
 target_t* _simf_target_of(run_t* s, const request_t* q);
 int _simf_queue_router(const run_t* s, int router);
-void _simf_plan_report(run_t* s, int router);
+void _simf_schedule_report(run_t* s, int router);
 void _simf_dispatch(run_t* s, int router);
 void _simf_schedule_plan(run_t* s);
--- a/tests/sim/sim_fleet_measure.c
+++ b/tests/sim/sim_fleet_measure.c
@@ -19,11 +19,12 @@
     const simf_trace* t = s->trace;
     double slots = (double)t->targets * t->slots * (100 + t->over_percent) / 100;
     double capacity = slots * 1e6 / (double)t->pace; /* tokens per second */
-    double exchange = (double)(t->report + 2 * t->delay + PLAN_GAP) / WG_USEC_PER_SEC;
+    double exchange = (double)(t->report + 2 * t->delay + PLAN_DELAY) / WG_USEC_PER_SEC;
     double both = (double)(s->weights[a] + s->weights[b]);
     double lighter = (double)MIN(s->weights[a], s->weights[b]);
-    double round = slots * s->largest;
-    return (round + 2 * capacity * exchange) * 100 / both + 2 * s->largest * 100 / lighter;
+    double round = slots * s->request_tokens_max;
+    return (round + 2 * capacity * exchange) * 100 / both +
+           2 * s->request_tokens_max * 100 / lighter;
 }
 
 void _simf_take_sample(run_t* s) {
@@ -35,21 +36,22 @@
         tokens[q->workspace] += _simf_tokens_so_far(s, q);
     }
     for (int w = 0; w < num; w++) {
-        s->normal[w] += (tokens[w] - s->last_tokens[w]) * 100.0 / (double)s->weights[w];
+        s->normalized[w] += (tokens[w] - s->last_tokens[w]) * 100.0 / (double)s->weights[w];
         s->last_tokens[w] = tokens[w];
     }
     double widest = 0;
     for (int a = 0; a < num; a++) {
         for (int b = a + 1; b < num; b++) {
             pair_t* pair = &s->pairs[a][b];
-            bool joint = !s->emptied[a] && !s->emptied[b] && s->now != s->calm_from;
-            if (joint && !pair->joint) {
-                pair->base_a = s->normal[a];
-                pair->base_b = s->normal[b];
+            bool backlogged = !s->emptied[a] && !s->emptied[b] && s->now != s->settled_from;
+            if (backlogged && !pair->backlogged) {
+                pair->base_a = s->normalized[a];
+                pair->base_b = s->normalized[b];
             }
-            pair->joint = joint;
-            if (joint) {
-                double gap = fabs((s->normal[a] - pair->base_a) - (s->normal[b] - pair->base_b));
+            pair->backlogged = backlogged;
+            if (backlogged) {
+                double gap =
+                    fabs((s->normalized[a] - pair->base_a) - (s->normalized[b] - pair->base_b));
                 g_array_append_val(s->gaps, gap);
                 double over = gap / pair_bound(s, a, b);
                 widest = MAX(widest, over);
@@ -60,16 +62,16 @@
         s->emptied[w] = s->queued[w] == 0;
     }
     s->over_bound = MAX(s->over_bound, widest);
-    if (s->now > s->calm_from) {
+    if (s->now > s->settled_from) {
         s->over_bound_calm = MAX(s->over_bound_calm, widest);
     }
-    if (widest > 1 && s->faults_end > 0) {
-        s->out_of_bound_at = s->now;
+    if (widest > 1 && s->last_fault_end > 0) {
+        s->last_out_of_bound_at = s->now;
     }
 }
 
 /* Adds up used and available slot time while any request waits. */
-void _simf_account_time(run_t* s, wg_time until) {
+void _simf_add_slot_time(run_t* s, wg_time until) {
     int waiting = 0;
     for (int w = 0; w < s->trace->workspaces_num; w++) {
         waiting += s->queued[w];
@@ -79,7 +81,7 @@
     }
     double span = (double)(until - s->now);
     for (int g = 0; g < s->trace->targets; g++) {
-        if (!s->targets[g].gone && !s->targets[g].dead) {
+        if (!s->targets[g].removed && !s->targets[g].unreachable) {
             s->slot_time += span * s->trace->slots;
             s->busy_time += span * MIN(s->targets[g].in_slots, s->trace->slots);
         }
@@ -108,15 +110,15 @@
     for (int i = 0; i < t->routers; i++) {
         bytes += s->routers[i].bytes;
     }
-    double all = s->good_tokens + s->bad_tokens;
+    double all = s->tokens_in_time + s->tokens_late;
     simf_result result = {.gap_median = quantile(s->gaps, 0.5),
                           .gap_p99 = quantile(s->gaps, 0.99),
                           .gap_worst = quantile(s->gaps, 1.0),
                           .gap_over_bound = s->over_bound,
                           .gap_over_bound_calm = s->over_bound_calm,
                           .busy = s->slot_time > 0 ? s->busy_time / s->slot_time : 1,
-                          .tokens = s->good_tokens,
-                          .wasted = all > 0 ? s->bad_tokens / all : 0,
+                          .tokens = s->tokens_in_time,
+                          .wasted = all > 0 ? s->tokens_late / all : 0,
                           .wait_p99 = (double)wg_hist_quantile(&s->wait, 0.99) / 1e6,
                           .wait_worst = (double)s->wait.max / 1e6,
                           .urgent_wait_worst = (double)s->urgent_wait / 1e6,
@@ -125,8 +127,8 @@
                           .leader_bytes = (double)s->leader_bytes / seconds,
                           .finished = s->finished,
                           .requests = s->requests};
-    if (s->faults_end > 0) {
-        result.recovery = (double)(s->out_of_bound_at - s->faults_end) / 1e6;
+    if (s->last_fault_end > 0) {
+        result.recovery = (double)(s->last_out_of_bound_at - s->last_fault_end) / 1e6;
     }
     /* Tokens of requests that still run count too, so that ways are compared at the same time. */
     for (guint i = 0; i < s->running->len; i++) {
--- a/tests/sim/sim_quorum.c
+++ b/tests/sim/sim_quorum.c
@@ -6,19 +6,19 @@
 
 /* ---- helpers: random numbers and time ------------------------------------------------------- */
 
-uint64_t _simq_chance(simq_run* s) {
+uint64_t _simq_random(simq_run* s) {
     return wg_jitter(s->desc.seed, ++s->counter);
 }
 
 bool _simq_one_in(simq_run* s, uint64_t num) {
-    return _simq_chance(s) % num == 0;
+    return _simq_random(s) % num == 0;
 }
 
 wg_time _simq_local_time(const simq_run* s, const node_t* n) {
     return n->offset + s->now + s->now / 1000 * n->drift_per_mill;
 }
 
-int _simq_slot_of(const simq_run* s, uint64_t identity) {
+int _simq_find_slot(const simq_run* s, uint64_t identity) {
     for (int i = 0; i < s->desc.replicas; i++) {
         if (s->nodes[i].disk.identity == identity) {
             return i;
@@ -27,7 +27,7 @@
     return -1;
 }
 
-static bool awake(const simq_run* s, const node_t* n) {
+static bool is_running(const simq_run* s, const node_t* n) {
     return n->up && s->now >= n->frozen_until;
 }
 
@@ -61,7 +61,7 @@
                              .entries = (const wgr_entry*)(void*)n->disk.entries->data,
                              .entries_num = (int)n->disk.entries->len};
     n->node = wgr_setup(&(wgr_desc){.self = n->disk.identity,
-                                    .seed = _simq_chance(s),
+                                    .seed = _simq_random(s),
                                     .now = _simq_local_time(s, n),
                                     .restored = &restored,
                                     .message_bytes = 600,
@@ -73,8 +73,8 @@
                                     .log_keep = SIM_DISK_LOG_KEEP},
                         &error);
     WG_ASSERT(n->node && n->table && n->claims);
-    for (guint i = 0; i < s->gone->len; i++) {
-        wgr_note_gone(n->node, g_array_index(s->gone, uint64_t, i));
+    for (guint i = 0; i < s->lost_identities->len; i++) {
+        wgr_note_gone(n->node, g_array_index(s->lost_identities, uint64_t, i));
     }
     n->up = true;
     n->crash_at = 0;
@@ -105,9 +105,9 @@
     }
 }
 
-static void post(simq_run* s, int from, const wgr_message* message) {
-    int to = _simq_slot_of(s, message->to);
-    if (to < 0 || s->cut[from][to] || s->flights->len > MESSAGES_MAX) {
+static void send_message(simq_run* s, int from, const wgr_message* message) {
+    int to = _simq_find_slot(s, message->to);
+    if (to < 0 || s->cut[from][to] || s->deliveries->len > MESSAGES_MAX) {
         s->counts.lost++;
         return;
     }
@@ -117,15 +117,15 @@
         return;
     }
     int copies = faults && _simq_one_in(s, 50) ? 2 : 1;
-    s->counts.doubled += copies > 1 ? 1 : 0;
+    s->counts.duplicated += copies > 1 ? 1 : 0;
     s->counts.snapshots_sent += message->type == WGR_MESSAGE_SNAPSHOT && message->offset == 0;
     for (int i = 0; i < copies; i++) {
-        flight_t flight = {.from = from, .to = to};
+        delivery_t delivery = {.from = from, .to = to};
         wg_time slow =
             faults && _simq_one_in(s, 100) ? 400 * WG_USEC_PER_MSEC : 4 * WG_USEC_PER_MSEC;
-        flight.at = s->now + 200 + (wg_time)(_simq_chance(s) % (uint64_t)slow);
-        copy_message(message, &flight.message);
-        g_array_append_val(s->flights, flight);
+        delivery.at = s->now + 200 + (wg_time)(_simq_random(s) % (uint64_t)slow);
+        copy_message(message, &delivery.message);
+        g_array_append_val(s->deliveries, delivery);
     }
 }
 
@@ -150,7 +150,7 @@
 }
 
 static void compact(node_t* n) {
-    if (n->applied < n->disk.snapshot_index + COMPACT_AFTER) {
+    if (n->applied < n->disk.snapshot_index + COMPACT_ENTRIES) {
         return;
     }
     GBytes* state = _simq_pack_state(n);
@@ -160,7 +160,7 @@
     g_bytes_unref(state);
 }
 
-static void pump(simq_run* s, int slot) {
+static void process_output(simq_run* s, int slot) {
     node_t* n = &s->nodes[slot];
     wgr_output out;
     while (n->up && wgr_output_next(n->node, &out)) {
@@ -175,7 +175,7 @@
         }
         int num = n->crash_at == 3 ? out.messages_num / 2 : out.messages_num;
         for (int i = 0; i < num; i++) {
-            post(s, slot, &out.messages[i]);
+            send_message(s, slot, &out.messages[i]);
         }
         if (n->crash_at == 3) {
             node_stop(n);
@@ -200,44 +200,44 @@
         leaders++;
         node_t* n = &s->nodes[i];
         /* A leader acknowledges only entries that it has applied. */
-        WG_ASSERT(wgr_query_stats(n->node, _simq_local_time(s, n)).commit >= s->answered);
-        if (awake(s, n)) {
-            s->answered = MAX(s->answered, n->applied);
+        WG_ASSERT(wgr_query_stats(n->node, _simq_local_time(s, n)).commit >= s->acknowledged);
+        if (is_running(s, n)) {
+            s->acknowledged = MAX(s->acknowledged, n->applied);
             s->counts.longest_without_leader =
-                MAX(s->counts.longest_without_leader, s->now - s->led_at);
-            s->led_at = s->now;
+                MAX(s->counts.longest_without_leader, s->now - s->leader_seen_at);
+            s->leader_seen_at = s->now;
         }
     }
     WG_ASSERT(leaders <= 1);
 }
 
-static void deliver(simq_run* s) {
-    for (guint i = 0; i < s->flights->len;) {
-        flight_t flight = g_array_index(s->flights, flight_t, i);
-        node_t* to = &s->nodes[flight.to];
-        if (flight.at > s->now || (to->up && !awake(s, to))) {
+static void deliver_messages(simq_run* s) {
+    for (guint i = 0; i < s->deliveries->len;) {
+        delivery_t delivery = g_array_index(s->deliveries, delivery_t, i);
+        node_t* to = &s->nodes[delivery.to];
+        if (delivery.at > s->now || (to->up && !is_running(s, to))) {
             i++;
             continue;
         }
-        g_array_remove_index_fast(s->flights, i);
+        g_array_remove_index_fast(s->deliveries, i);
         if (to->up) {
-            s->trace = wg_hash(&flight.message.type, sizeof flight.message.type,
-                               s->trace + flight.message.term + flight.message.log_index +
-                                   (uint64_t)flight.at);
-            wgr_step(to->node, _simq_local_time(s, to), &flight.message);
-            pump(s, flight.to);
+            s->trace = wg_hash(&delivery.message.type, sizeof delivery.message.type,
+                               s->trace + delivery.message.term + delivery.message.log_index +
+                                   (uint64_t)delivery.at);
+            wgr_step(to->node, _simq_local_time(s, to), &delivery.message);
+            process_output(s, delivery.to);
         }
-        wgr_message_clear(&flight.message);
+        wgr_message_clear(&delivery.message);
     }
 }
 
-static void tick(simq_run* s) {
+static void advance(simq_run* s) {
     s->now += TICK;
-    deliver(s);
+    deliver_messages(s);
     for (int i = 0; i < s->desc.replicas; i++) {
-        if (awake(s, &s->nodes[i])) {
+        if (is_running(s, &s->nodes[i])) {
             wgr_tick(s->nodes[i].node, _simq_local_time(s, &s->nodes[i]));
-            pump(s, i);
+            process_output(s, i);
         }
     }
     check_leadership(s);
@@ -248,11 +248,11 @@
     GByteArray* packed = wgw_pack(command);
     uint64_t index = wgr_propose(n->node, _simq_local_time(s, n), packed->data, packed->len);
     g_byte_array_unref(packed);
-    pump(s, slot);
+    process_output(s, slot);
     return index;
 }
 
-int _simq_voters(const wgr_set* set) {
+int _simq_count_voters(const wgr_set* set) {
     int num = 0;
     for (int i = 0; i < set->num; i++) {
         num += set->replicas[i].voter;
@@ -266,11 +266,11 @@
     simq_run* s = g_new0(simq_run, 1);
     s->desc = *desc;
     s->now = 1000 * (wg_time)WG_USEC_PER_SEC;
-    s->led_at = s->now;
-    s->flights = g_array_new(FALSE, TRUE, sizeof(flight_t));
+    s->leader_seen_at = s->now;
+    s->deliveries = g_array_new(FALSE, TRUE, sizeof(delivery_t));
     s->committed = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     s->states = g_array_new(FALSE, TRUE, sizeof(uint64_t));
-    s->gone = g_array_new(FALSE, TRUE, sizeof(uint64_t));
+    s->lost_identities = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     s->outcomes = g_hash_table_new(g_direct_hash, g_direct_equal);
     wgr_set set = {.num = desc->voters ? desc->voters : desc->replicas};
     for (int i = 0; i < set.num; i++) {
@@ -288,8 +288,8 @@
             n->disk.term = 1;
             sim_disk_snapshot(&n->disk, 1, 1, &set, empty, true);
         }
-        n->offset = (wg_time)(_simq_chance(s) % (uint64_t)(1000 * (wg_time)WG_USEC_PER_SEC));
-        n->drift_per_mill = (int)(_simq_chance(s) % 11) - 5;
+        n->offset = (wg_time)(_simq_random(s) % (uint64_t)(1000 * (wg_time)WG_USEC_PER_SEC));
+        n->drift_per_mill = (int)(_simq_random(s) % 11) - 5;
         if (i < set.num) {
             node_start(s, n);
         }
@@ -304,13 +304,13 @@
         sim_disk_reset(&s->nodes[i].disk);
         g_array_unref(s->nodes[i].disk.entries);
     }
-    for (guint i = 0; i < s->flights->len; i++) {
-        wgr_message_clear(&g_array_index(s->flights, flight_t, i).message);
+    for (guint i = 0; i < s->deliveries->len; i++) {
+        wgr_message_clear(&g_array_index(s->deliveries, delivery_t, i).message);
     }
-    g_array_unref(s->flights);
+    g_array_unref(s->deliveries);
     g_array_unref(s->committed);
     g_array_unref(s->states);
-    g_array_unref(s->gone);
+    g_array_unref(s->lost_identities);
     g_hash_table_unref(s->outcomes);
     g_free(s);
 }
@@ -318,7 +318,7 @@
 void simq_run_for(simq_run* s, wg_time duration) {
     wg_time until = s->now + duration;
     while (s->now < until) {
-        tick(s);
+        advance(s);
     }
 }
 
@@ -328,7 +328,7 @@
         return false;
     }
     const wgr_set* set = wgr_query_set(s->nodes[leader].node);
-    if (set->num != s->desc.replicas || _simq_voters(set) != set->num) {
+    if (set->num != s->desc.replicas || _simq_count_voters(set) != set->num) {
         return false;
     }
     for (int i = 0; i < s->desc.replicas; i++) {
@@ -354,14 +354,14 @@
         for (int i = 0; i < s->desc.replicas; i++) {
             simq_replace(s, i);
         }
-        tick(s);
+        advance(s);
     }
     s->desc.faults = faults;
 }
 
 int simq_leader(simq_run* s) {
     for (int i = 0; i < s->desc.replicas; i++) {
-        if (awake(s, &s->nodes[i]) && simq_believes_to_lead(s, i)) {
+        if (is_running(s, &s->nodes[i]) && simq_believes_to_lead(s, i)) {
             return i;
         }
     }
@@ -393,8 +393,8 @@
 }
 
 /* Notifies all running replicas that the replica with this identity lost its disk. */
-static void note_gone(simq_run* s, uint64_t identity) {
-    g_array_append_val(s->gone, identity);
+static void notify_disk_lost(simq_run* s, uint64_t identity) {
+    g_array_append_val(s->lost_identities, identity);
     for (int i = 0; i < s->desc.replicas; i++) {
         if (s->nodes[i].up) {
             wgr_note_gone(s->nodes[i].node, identity);
@@ -411,7 +411,7 @@
 void simq_lose_disk(simq_run* s, int slot) {
     node_t* n = &s->nodes[slot];
     node_stop(n);
-    note_gone(s, n->disk.identity);
+    notify_disk_lost(s, n->disk.identity);
     sim_disk_reset(&n->disk);
     n->disk.identity = ++s->next_identity;
     node_start(s, n);
@@ -430,7 +430,7 @@
     bool begun =
         wgr_add(s->nodes[leader].node, _simq_local_time(s, &s->nodes[leader]), &replica, NULL);
     s->counts.replaced += begun;
-    pump(s, leader);
+    process_output(s, leader);
     return begun;
 }
 
@@ -476,7 +476,7 @@
 }
 
 void simq_tick(simq_run* s) {
-    tick(s);
+    advance(s);
 }
 
 wgr_stats simq_stats(simq_run* s, int slot) {
@@ -485,7 +485,7 @@
 
 void simq_hand_over(simq_run* s, int slot) {
     wgr_hand_over(s->nodes[slot].node, _simq_local_time(s, &s->nodes[slot]));
-    pump(s, slot);
+    process_output(s, slot);
 }
 
 void simq_leave(simq_run* s, int slot) {
@@ -497,7 +497,7 @@
 }
 
 uint64_t simq_answered(const simq_run* s) {
-    return s->answered;
+    return s->acknowledged;
 }
 
 wgt_table* simq_table(simq_run* s, int slot) {
--- a/tests/sim/sim_quorum.h
+++ b/tests/sim/sim_quorum.h
@@ -23,13 +23,13 @@
 /* Numbers of injected faults and of events. */
 typedef struct {
     uint64_t lost;
-    uint64_t doubled;
-    uint64_t cuts;
+    uint64_t duplicated;
+    uint64_t link_cuts;
     uint64_t crashes;
     uint64_t freezes;
     uint64_t disks_lost;
     uint64_t replaced;
-    uint64_t hand_overs;
+    uint64_t leadership_transfers;
     uint64_t left; /* planned stops that completed */
     uint64_t snapshots_sent;
     uint64_t elections;
--- a/tests/sim/sim_quorum_apply.c
+++ b/tests/sim/sim_quorum_apply.c
@@ -55,13 +55,13 @@
    after SIMQ_CLAIM_KEEP_SECONDS, and not earlier. */
 static void check_claim(simq_run* s, const Wgpb__Claim* claim, wgk_outcome outcome) {
     uint8_t key = claim->key.data[0];
-    uint64_t* holder = &s->holders[key];
-    s->claims_now = MAX(s->claims_now, claim->now_seconds);
-    bool over = s->claims_now >= s->held_since[key] + SIMQ_CLAIM_KEEP_SECONDS;
+    uint64_t* holder = &s->claim_holders[key];
+    s->replicated_seconds = MAX(s->replicated_seconds, claim->now_seconds);
+    bool over = s->replicated_seconds >= s->claim_granted_at[key] + SIMQ_CLAIM_KEEP_SECONDS;
     if (outcome == WGK_OUTCOME_GRANTED) {
         WG_ASSERT(*holder == 0 || *holder == claim->attempt || over);
         if (*holder == 0 || over) {
-            s->held_since[key] = s->claims_now;
+            s->claim_granted_at[key] = s->replicated_seconds;
         }
         *holder = claim->attempt;
     }
@@ -71,7 +71,7 @@
     if (end->key.len == 0) {
         return;
     }
-    uint64_t* holder = &s->holders[end->key.data[0]];
+    uint64_t* holder = &s->claim_holders[end->key.data[0]];
     if (end->verdict == WG_VERDICT_NOT_RUN && *holder == end->attempt && !ended_before) {
         *holder = 0;
     }
--- a/tests/sim/sim_quorum_internal.h
+++ b/tests/sim/sim_quorum_internal.h
@@ -8,7 +8,7 @@
 enum {
     TICK = 10 * WG_USEC_PER_MSEC,
     MESSAGES_MAX = 20000,
-    COMPACT_AFTER = 40
+    COMPACT_ENTRIES = 40
 };
 
 enum {
@@ -35,7 +35,7 @@
     int to;
     int from;
     wgr_message message;
-} flight_t;
+} delivery_t;
 
 struct simq_run {
     simq_desc desc;
@@ -44,34 +44,34 @@
     uint64_t trace;
     node_t nodes[SIM_NODES_MAX];
     bool cut[SIM_NODES_MAX][SIM_NODES_MAX];
-    GArray* flights;
-    GArray* committed; /* uint64_t: hash of the entry at each index; 0: unknown */
-    GArray* states;    /* uint64_t: hash of table and claims after each index; 0: unknown */
-    uint64_t answered; /* highest index that a leader has acknowledged */
-    wg_time led_at;    /* when a leader was last seen */
+    GArray* deliveries;
+    GArray* committed;      /* uint64_t: hash of the entry at each index; 0: unknown */
+    GArray* states;         /* uint64_t: hash of table and claims after each index; 0: unknown */
+    uint64_t acknowledged;  /* highest index that a leader has acknowledged */
+    wg_time leader_seen_at; /* when a leader was last seen */
     simq_counts counts;
     uint64_t next_edit;
     uint64_t next_identity;
-    GArray* gone; /* uint64_t: identities of replicas whose disk was lost */
+    GArray* lost_identities; /* uint64_t: identities of replicas whose disk was lost */
     uint64_t last_edit_number;
-    GHashTable* outcomes;     /* edit number -> outcome and version of its first result */
-    uint64_t holders[256];    /* attempt that was granted each claim key; 0: none */
-    uint64_t held_since[256]; /* replicated seconds of each grant */
-    uint64_t claims_now;      /* newest replicated seconds */
+    GHashTable* outcomes;           /* edit number -> outcome and version of its first result */
+    uint64_t claim_holders[256];    /* attempt that was granted each claim key; 0: none */
+    uint64_t claim_granted_at[256]; /* replicated seconds of each grant */
+    uint64_t replicated_seconds;    /* newest replicated seconds */
 };
 
 /* ---- sim_quorum.c --------------------------------------------------------------------------- */
 
 /* Next random number of the run; depends only on the seed and the number of earlier calls. */
-uint64_t _simq_chance(simq_run* s);
+uint64_t _simq_random(simq_run* s);
 bool _simq_one_in(simq_run* s, uint64_t num);
 /* The replica's clock, with its offset and drift. */
 wg_time _simq_local_time(const simq_run* s, const node_t* n);
 /* Slot of the replica that has this identity now; -1: none. */
-int _simq_slot_of(const simq_run* s, uint64_t identity);
+int _simq_find_slot(const simq_run* s, uint64_t identity);
 /* Returns the index of the proposed entry, 0 when it was refused. */
 uint64_t _simq_propose(simq_run* s, int slot, const ProtobufCMessage* command);
-int _simq_voters(const wgr_set* set);
+int _simq_count_voters(const wgr_set* set);
 
 /* ---- sim_quorum_apply.c --------------------------------------------------------------------- */
 
--- a/tests/sim/sim_quorum_random.c
+++ b/tests/sim/sim_quorum_random.c
@@ -6,7 +6,7 @@
 
 static void random_edit(simq_run* s, int leader) {
     char name[16];
-    g_snprintf(name, sizeof name, "w%d", (int)(_simq_chance(s) % 20));
+    g_snprintf(name, sizeof name, "w%d", (int)(_simq_random(s) % 20));
     const wgt_row* row = wgt_find(s->nodes[leader].table, WGT_KIND_WORKSPACE, name);
     uint64_t base = row ? row->version : 0;
     if (_simq_one_in(s, 5)) {
@@ -14,19 +14,19 @@
     }
     uint64_t number =
         _simq_one_in(s, 4) && s->last_edit_number ? s->last_edit_number : ++s->next_edit;
-    simq_edit(s, name, (int64_t)(_simq_chance(s) % 100 + 1), base, number);
+    simq_edit(s, name, (int64_t)(_simq_random(s) % 100 + 1), base, number);
 }
 
 static void random_claim(simq_run* s, int leader) {
-    uint8_t key[WGK_KEY_SIZE] = {(uint8_t)(_simq_chance(s) % 24)};
+    uint8_t key[WGK_KEY_SIZE] = {(uint8_t)(_simq_random(s) % 24)};
     Wgpb__Command command = WGPB__COMMAND__INIT;
     Wgpb__Claim claim = WGPB__CLAIM__INIT;
     Wgpb__ClaimEnd end = WGPB__CLAIM_END__INIT;
     claim.workspace = end.workspace = (char*)"w";
     claim.key = end.key = (ProtobufCBinaryData){sizeof key, key};
-    claim.attempt = end.attempt = _simq_chance(s) % 3 + 1;
+    claim.attempt = end.attempt = _simq_random(s) % 3 + 1;
     claim.now_seconds = (uint64_t)(s->now / WG_USEC_PER_SEC);
-    end.verdict = (uint32_t)(_simq_chance(s) % WG_VERDICT_NUM);
+    end.verdict = (uint32_t)(_simq_random(s) % WG_VERDICT_NUM);
     if (_simq_one_in(s, 2)) {
         command.claim = &claim;
     } else {
@@ -35,10 +35,10 @@
     _simq_propose(s, leader, &command.base);
 }
 
-static int intact_voters(simq_run* s, const wgr_set* set) {
+static int count_intact_voters(simq_run* s, const wgr_set* set) {
     int num = 0;
     for (int i = 0; i < set->num; i++) {
-        num += set->replicas[i].voter && _simq_slot_of(s, set->replicas[i].id) >= 0;
+        num += set->replicas[i].voter && _simq_find_slot(s, set->replicas[i].id) >= 0;
     }
     return num;
 }
@@ -50,19 +50,19 @@
         return;
     }
     const wgr_set* set = wgr_query_set(s->nodes[leader].node);
-    int slot = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
+    int slot = (int)(_simq_random(s) % (uint64_t)s->desc.replicas);
     const wgr_replica* lost = wgr_set_find(set, s->nodes[slot].disk.identity);
-    bool settled = set->num == s->desc.replicas && _simq_voters(set) == set->num;
-    bool enough = intact_voters(s, set) - 1 > _simq_voters(set) / 2;
+    bool settled = set->num == s->desc.replicas && _simq_count_voters(set) == set->num;
+    bool enough = count_intact_voters(s, set) - 1 > _simq_count_voters(set) / 2;
     if (slot != leader && lost && settled && enough) {
         simq_lose_disk(s, slot);
     }
 }
 
 static void random_fault(simq_run* s) {
-    int a = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
-    int b = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
-    switch (_simq_chance(s) % 22) {
+    int a = (int)(_simq_random(s) % (uint64_t)s->desc.replicas);
+    int b = (int)(_simq_random(s) % (uint64_t)s->desc.replicas);
+    switch (_simq_random(s) % 22) {
     case 20: /* all crash and restart individually later */
         simq_crash_all(s);
         s->counts.crashes += (uint64_t)s->desc.replicas;
@@ -87,11 +87,11 @@
     case 0:
     case 1:
         s->cut[a][b] = a != b;
-        s->counts.cuts++;
+        s->counts.link_cuts++;
         break;
     case 2:
         s->cut[a][b] = s->cut[b][a] = a != b;
-        s->counts.cuts++;
+        s->counts.link_cuts++;
         break;
     case 3:
     case 4:
@@ -102,7 +102,7 @@
     case 7:
     case 8:
         if (s->nodes[a].up) {
-            s->nodes[a].crash_at = 1 + (int)(_simq_chance(s) % 3);
+            s->nodes[a].crash_at = 1 + (int)(_simq_random(s) % 3);
             s->counts.crashes++;
         }
         break;
@@ -112,7 +112,7 @@
         simq_restart(s, a);
         break;
     case 12:
-        simq_freeze(s, a, (wg_time)(_simq_chance(s) % (4 * WG_USEC_PER_SEC)));
+        simq_freeze(s, a, (wg_time)(_simq_random(s) % (4 * WG_USEC_PER_SEC)));
         break;
     case 13:
         random_disk_loss(s);
@@ -120,7 +120,7 @@
     case 14:
         if (simq_leader(s) >= 0) {
             simq_hand_over(s, simq_leader(s));
-            s->counts.hand_overs++;
+            s->counts.leadership_transfers++;
         }
         break;
     default:
@@ -133,7 +133,7 @@
 
 /* Begins a planned stop now and then; stops the replica once it has left the set. */
 static void random_stop(simq_run* s) {
-    int slot = (int)(_simq_chance(s) % (uint64_t)s->desc.replicas);
+    int slot = (int)(_simq_random(s) % (uint64_t)s->desc.replicas);
     if (s->nodes[slot].up && _simq_one_in(s, 200)) {
         wgr_leave(s->nodes[slot].node);
         s->nodes[slot].stopping = true;
--- a/tests/sim/sim_trace.c
+++ b/tests/sim/sim_trace.c
@@ -21,13 +21,13 @@
     return def;
 }
 
-static double number(char** words, const char* name, double def) {
+static double number_option(char** words, const char* name, double def) {
     const char* text = option(words, name, NULL);
     return text ? g_ascii_strtod(text, NULL) : def;
 }
 
-static wg_time seconds(char** words, const char* name, double def) {
-    return (wg_time)(number(words, name, def) * WG_USEC_PER_SEC);
+static wg_time time_option(char** words, const char* name, double def) {
+    return (wg_time)(number_option(words, name, def) * WG_USEC_PER_SEC);
 }
 
 static int find_workspace(const simf_trace* t, const char* name) {
@@ -39,22 +39,22 @@
     return -1;
 }
 
-static void take_fleet(simf_trace* t, char** words) {
-    t->seed = (uint64_t)number(words, "seed", 1);
-    t->routers = (int)CLAMP(number(words, "routers", 10), 1, SIMF_ROUTERS_MAX);
-    t->targets = (int)CLAMP(number(words, "targets", 20), 1, SIMF_TARGETS_MAX);
-    t->slots = (int)number(words, "slots", 8);
-    t->pace = (wg_time)(number(words, "pace_ms", 20) * WG_USEC_PER_MSEC);
-    t->duration = seconds(words, "duration_s", 60);
-    t->delay = (wg_time)(number(words, "delay_ms", 1) * WG_USEC_PER_MSEC);
-    t->report = (wg_time)(number(words, "report_ms", 200) * WG_USEC_PER_MSEC);
-    t->queue_wait = seconds(words, "queue_s", 1000);
-    t->deadline = seconds(words, "deadline_s", 2000);
-    t->over_percent = (int)number(words, "over_percent", 0);
-    t->queue_limit = (int64_t)number(words, "queue_limit", 100000);
+static void parse_fleet(simf_trace* t, char** words) {
+    t->seed = (uint64_t)number_option(words, "seed", 1);
+    t->routers = (int)CLAMP(number_option(words, "routers", 10), 1, SIMF_ROUTERS_MAX);
+    t->targets = (int)CLAMP(number_option(words, "targets", 20), 1, SIMF_TARGETS_MAX);
+    t->slots = (int)number_option(words, "slots", 8);
+    t->pace = (wg_time)(number_option(words, "pace_ms", 20) * WG_USEC_PER_MSEC);
+    t->duration = time_option(words, "duration_s", 60);
+    t->delay = (wg_time)(number_option(words, "delay_ms", 1) * WG_USEC_PER_MSEC);
+    t->report = (wg_time)(number_option(words, "report_ms", 200) * WG_USEC_PER_MSEC);
+    t->queue_wait = time_option(words, "queue_s", 1000);
+    t->deadline = time_option(words, "deadline_s", 2000);
+    t->over_percent = (int)number_option(words, "over_percent", 0);
+    t->queue_limit = (int64_t)number_option(words, "queue_limit", 100000);
 }
 
-static bool take_workspace(simf_trace* t, char** words, int line, GError** error) {
+static bool parse_workspace(simf_trace* t, char** words, int line, GError** error) {
     if (!words[1] || !words[2] || t->workspaces_num == SIMF_WORKSPACES_MAX) {
         return fail(error, line, "want: workspace <name> <weight>, at most 64 of them");
     }
@@ -64,7 +64,7 @@
     return true;
 }
 
-static bool take_load(simf_trace* t, char** words, int line, GError** error) {
+static bool parse_load(simf_trace* t, char** words, int line, GError** error) {
     int workspace = words[1] ? find_workspace(t, words[1]) : -1;
     if (workspace < 0 || t->loads_num == SIMF_LOADS_MAX) {
         return fail(error, line, "load of an unknown workspace, or too many loads");
@@ -73,13 +73,13 @@
     const char* to = strchr(routers, '-');
     simf_load* load = &t->loads[t->loads_num++];
     *load = (simf_load){.workspace = workspace,
-                        .from = seconds(words, "from_s", 0),
-                        .to = seconds(words, "to_s", 1e6),
-                        .rate = number(words, "rate", 1),
-                        .tokens_min = (int64_t)number(words, "tokens_min", 50),
-                        .tokens_max = (int64_t)number(words, "tokens_max", 200),
-                        .estimate = (int64_t)number(words, "estimate", 0),
-                        .urgent = number(words, "urgent", 0) > 0};
+                        .from = time_option(words, "from_s", 0),
+                        .to = time_option(words, "to_s", 1e6),
+                        .rate = number_option(words, "rate", 1),
+                        .tokens_min = (int64_t)number_option(words, "tokens_min", 50),
+                        .tokens_max = (int64_t)number_option(words, "tokens_max", 200),
+                        .estimate = (int64_t)number_option(words, "estimate", 0),
+                        .urgent = number_option(words, "urgent", 0) > 0};
     load->router_first = routers[0] ? (int)g_ascii_strtoll(routers, NULL, 10) : 0;
     load->router_last = to ? (int)g_ascii_strtoll(to + 1, NULL, 10)
                            : (routers[0] ? load->router_first : t->routers - 1);
@@ -88,11 +88,12 @@
     return true;
 }
 
-static bool take_fault(simf_trace* t, char** words, int line, GError** error) {
+static bool parse_fault(simf_trace* t, char** words, int line, GError** error) {
     static const char* names[SIMF_FAULT_NUM] = {
         "",           "cut_router",  "restart_router", "lose_leader", "lose_targets",
         "set_weight", "kill_targets"};
-    simf_fault fault = {.from = seconds(words, "from_s", 0), .to = seconds(words, "to_s", 0)};
+    simf_fault fault = {.from = time_option(words, "from_s", 0),
+                        .to = time_option(words, "to_s", 0)};
     for (int i = 1; i < SIMF_FAULT_NUM; i++) {
         if (words[1] && strcmp(words[1], names[i]) == 0) {
             fault.type = (simf_fault_type)i;
@@ -101,8 +102,8 @@
     if (fault.type == SIMF_FAULT_DEFAULT || t->faults_num == SIMF_FAULTS_MAX) {
         return fail(error, line, "unknown fault, or too many");
     }
-    fault.a = (int)number(words, "first", number(words, "router", 0));
-    fault.b = (int)number(words, "last", number(words, "weight", fault.a));
+    fault.a = (int)number_option(words, "first", number_option(words, "router", 0));
+    fault.b = (int)number_option(words, "last", number_option(words, "weight", fault.a));
     const char* workspace = option(words, "workspace", NULL);
     if (workspace) {
         fault.a = find_workspace(t, workspace);
@@ -111,7 +112,7 @@
     return fault.a >= 0 || fail(error, line, "unknown workspace");
 }
 
-static bool take_expect(simf_trace* t, char** words, int line, GError** error) {
+static bool parse_expect(simf_trace* t, char** words, int line, GError** error) {
     double ignored;
     simf_result none = {0};
     bool good = words[1] && words[2] && words[3] && strchr("<>", words[2][0]) &&
@@ -126,7 +127,7 @@
     return true;
 }
 
-static bool take_line(simf_trace* t, char** words, int line, GError** error) {
+static bool parse_line(simf_trace* t, char** words, int line, GError** error) {
     if (!words[0] || words[0][0] == '#') {
         return true;
     }
@@ -135,20 +136,20 @@
         return true;
     }
     if (strcmp(words[0], "fleet") == 0) {
-        take_fleet(t, words);
+        parse_fleet(t, words);
         return true;
     }
     if (strcmp(words[0], "workspace") == 0) {
-        return take_workspace(t, words, line, error);
+        return parse_workspace(t, words, line, error);
     }
     if (strcmp(words[0], "load") == 0) {
-        return take_load(t, words, line, error);
+        return parse_load(t, words, line, error);
     }
     if (strcmp(words[0], "fault") == 0) {
-        return take_fault(t, words, line, error);
+        return parse_fault(t, words, line, error);
     }
     if (strcmp(words[0], "expect") == 0) {
-        return take_expect(t, words, line, error);
+        return parse_expect(t, words, line, error);
     }
     return fail(error, line, "unknown word");
 }
@@ -157,7 +158,7 @@
 
 bool simf_trace_parse(const char* text, simf_trace* trace, GError** error) {
     *trace = (simf_trace){0};
-    take_fleet(trace, (char*[]){(char*)"fleet", NULL});
+    parse_fleet(trace, (char*[]){(char*)"fleet", NULL});
     char** lines = g_strsplit(text, "\n", -1);
     bool good = true;
     for (int i = 0; lines[i] && good; i++) {
@@ -169,7 +170,7 @@
                 words[num++] = raw[w];
             }
         }
-        good = take_line(trace, words, i + 1, error);
+        good = parse_line(trace, words, i + 1, error);
         g_strfreev(raw);
     }
     g_strfreev(lines);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -51,8 +51,8 @@
         c.claims_repeated);
     printf("  faults: lost %lu doubled %lu cuts %lu crashes %lu freezes %lu disks %lu replaced %lu "
            "hand-overs %lu stops %lu snapshots %lu\n",
-           c.lost, c.doubled, c.cuts, c.crashes, c.freezes, c.disks_lost, c.replaced, c.hand_overs,
-           c.left, c.snapshots_sent);
+           c.lost, c.duplicated, c.link_cuts, c.crashes, c.freezes, c.disks_lost, c.replaced,
+           c.leadership_transfers, c.left, c.snapshots_sent);
     simq_shutdown(run);
 }
 
