--- a/tests/sim/sim_trace.c
+++ b/tests/sim/sim_trace.c
@@ -56,7 +56,7 @@
 
 static bool parse_workspace(simf_trace* t, char** words, int line, GError** error) {
     if (!words[1] || !words[2] || t->workspaces_num == SIMF_WORKSPACES_MAX) {
-        return fail(error, line, "want: workspace <name> <weight>, at most 64 of them");
+        return fail(error, line, "expected: workspace <name> <weight>, at most 64 workspaces");
     }
     simf_workspace* w = &t->workspaces[t->workspaces_num++];
     g_strlcpy(w->name, words[1], sizeof w->name);
@@ -67,7 +67,7 @@
 static bool parse_load(simf_trace* t, char** words, int line, GError** error) {
     int workspace = words[1] ? find_workspace(t, words[1]) : -1;
     if (workspace < 0 || t->loads_num == SIMF_LOADS_MAX) {
-        return fail(error, line, "load of an unknown workspace, or too many loads");
+        return fail(error, line, "load for an unknown workspace, or too many loads");
     }
     const char* routers = option(words, "routers", "");
     const char* to = strchr(routers, '-');
@@ -100,7 +100,7 @@
         }
     }
     if (fault.type == SIMF_FAULT_DEFAULT || t->faults_num == SIMF_FAULTS_MAX) {
-        return fail(error, line, "unknown fault, or too many");
+        return fail(error, line, "unknown fault type, or too many faults");
     }
     fault.a = (int)number_option(words, "first", number_option(words, "router", 0));
     fault.b = (int)number_option(words, "last", number_option(words, "weight", fault.a));
@@ -118,7 +118,8 @@
     bool good = words[1] && words[2] && words[3] && strchr("<>", words[2][0]) &&
                 simf_metric(&none, words[1], &ignored) && t->expects_num < SIMF_EXPECTS_MAX;
     if (!good) {
-        return fail(error, line, "want: expect <metric> < or > <value>");
+        return fail(error, line,
+                    "expected: expect <metric> < or > <value>, at most 32 expectations");
     }
     simf_expect* expect = &t->expects[t->expects_num++];
     g_strlcpy(expect->metric, words[1], sizeof expect->metric);
@@ -151,7 +152,7 @@
     if (strcmp(words[0], "expect") == 0) {
         return parse_expect(t, words, line, error);
     }
-    return fail(error, line, "unknown word");
+    return fail(error, line, "unknown statement");
 }
 
 /* ---- public functions --------------------------------------------------------------------- */
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -8,11 +8,11 @@
 #include "sim_fleet.h"
 #include "sim_quorum.h"
 
-static char failure_note[128];
+static char failure_text[128];
 
 static void on_abort(int signal) {
     (void)signal;
-    ssize_t written = write(STDERR_FILENO, failure_note, strlen(failure_note));
+    ssize_t written = write(STDERR_FILENO, failure_text, strlen(failure_text));
     (void)written;
     _exit(1);
 }
@@ -33,7 +33,7 @@
 static void run_quorum(const simq_desc* desc, uint64_t steps) {
     uint64_t seed = desc->seed;
     int replicas = desc->replicas;
-    g_snprintf(failure_note, sizeof failure_note,
+    g_snprintf(failure_text, sizeof failure_text,
                "soak: failed with seed %" G_GUINT64_FORMAT ", quorum of %d, %" G_GUINT64_FORMAT
                " steps\n",
                seed, replicas, steps);
@@ -49,8 +49,8 @@
         "%lu\n",
         c.committed, c.edits_accepted, c.edits_conflict, c.edits_resent, c.claims_granted,
         c.claims_repeated);
-    printf("  faults: lost %lu doubled %lu cuts %lu crashes %lu freezes %lu disks %lu replaced %lu "
-           "hand-overs %lu stops %lu snapshots %lu\n",
+    printf("  faults: lost %lu duplicated %lu link cuts %lu crashes %lu freezes %lu lost disks %lu "
+           "replaced %lu leadership transfers %lu planned stops %lu snapshots sent %lu\n",
            c.lost, c.duplicated, c.link_cuts, c.crashes, c.freezes, c.disks_lost, c.replaced,
            c.leadership_transfers, c.left, c.snapshots_sent);
     simq_shutdown(run);
@@ -58,7 +58,7 @@
 
 /* A fleet under random load and faults. The replay asserts leases, this the bound of the gap. */
 static void run_fleet(uint64_t seed, int seconds) {
-    g_snprintf(failure_note, sizeof failure_note,
+    g_snprintf(failure_text, sizeof failure_text,
                "soak: failed with seed %" G_GUINT64_FORMAT ", fleet for %d s\n", seed, seconds);
     int routers = 2 + (int)(wg_jitter(seed, 1) % 12);
     int targets = 4 + (int)(wg_jitter(seed, 2) % 20);
@@ -106,8 +106,8 @@
 
 int main(int argc, char** argv) {
     struct arg_int* seed = arg_int0(NULL, "seed", "<n>", "first seed");
-    struct arg_int* seeds = arg_int0(NULL, "seeds", "<n>", "how many seeds, default 1");
-    struct arg_int* steps = arg_int0(NULL, "steps", "<n>", "steps of each run");
+    struct arg_int* seeds = arg_int0(NULL, "seeds", "<n>", "number of seeds, default 1");
+    struct arg_int* steps = arg_int0(NULL, "steps", "<n>", "ticks of each run, default 100000");
     struct arg_end* end = arg_end(4);
     void* table[] = {seed, seeds, steps, end};
     if (arg_parse(argc, argv, table) > 0) {
--- a/tests/soak_hosts.c
+++ b/tests/soak_hosts.c
@@ -6,7 +6,7 @@
 
 #include "soak_run.h"
 
-static uint64_t fresh_seed(void) {
+static uint64_t random_seed(void) {
     uint64_t seed = 0;
     if (getrandom(&seed, sizeof seed, 0) != (ssize_t)sizeof seed) {
         abort();
@@ -15,21 +15,23 @@
 }
 
 int main(int argc, char** argv) {
-    struct arg_int* seed = arg_int0(NULL, "seed", "<n>", "first seed; a fresh one without it");
+    struct arg_int* seed =
+        arg_int0(NULL, "seed", "<n>", "first seed; default: a random one for each run");
     struct arg_int* seeds = arg_int0(NULL, "seeds", "<n>", "number of runs, default 1");
-    struct arg_int* seconds = arg_int0(NULL, "seconds", "<n>", "of faults in a run, default 12");
-    struct arg_int* hosts = arg_int0(NULL, "hosts", "<n>", "default 4");
+    struct arg_int* seconds =
+        arg_int0(NULL, "seconds", "<n>", "length of the fault phase, default 12");
+    struct arg_int* hosts = arg_int0(NULL, "hosts", "<n>", "number of hosts, default 4");
     struct arg_int* disks = arg_int0(NULL, "disks", "<n>", "hosts with a disk, default 3");
     struct arg_lit* harsh =
-        arg_lit0(NULL, "harsh", "the deployed waits; late processes, lost disks, replaced hosts");
+        arg_lit0(NULL, "harsh", "deployed timing; stalled processes, lost disks, replaced hosts");
     struct arg_lit* calm = arg_lit0(NULL, "calm", "no faults");
     struct arg_lit* crashes =
-        arg_lit0(NULL, "crashes", "a request that ends each target that runs it comes too");
+        arg_lit0(NULL, "crashes", "also send a request that crashes each target that runs it");
     struct arg_lit* successions =
-        arg_lit0(NULL, "successions", "harsh; a replaced host, leaders that fall, a lost disk");
+        arg_lit0(NULL, "successions", "harsh; a replaced host, stalled leaders, a lost disk");
     struct arg_lit* colds =
-        arg_lit0(NULL, "colds", "harsh; cold targets, while the hosts that grant them change");
-    struct arg_lit* rests = arg_lit0(NULL, "rests", "targets turn requests away and ask for rest");
+        arg_lit0(NULL, "colds", "harsh; cold targets while their coordinators change");
+    struct arg_lit* rests = arg_lit0(NULL, "rests", "targets refuse requests with backoff hints");
     struct arg_lit* keep = arg_lit0(NULL, "keep", "keep the folder with the logs");
     struct arg_end* end = arg_end(8);
     void* table[] = {seed,    seeds,       seconds, hosts, disks, harsh, calm,
@@ -43,7 +45,7 @@
     int runs = seeds->count ? seeds->ival[0] : 1;
     for (int i = 0; i < runs; i++) {
         soak_desc desc = {.seed =
-                              seed->count ? (uint64_t)seed->ival[0] + (uint64_t)i : fresh_seed(),
+                              seed->count ? (uint64_t)seed->ival[0] + (uint64_t)i : random_seed(),
                           .seconds = seconds->count ? seconds->ival[0] : 0,
                           .hosts = hosts->count ? hosts->ival[0] : 0,
                           .disks = disks->count ? disks->ival[0] : 0,
@@ -58,10 +60,11 @@
         soak_result r = soak_run(&desc);
         failed += !r.good;
         printf(
-            "seed %" G_GUINT64_FORMAT ": %s%s%s; %d requests, %d whole, %d refused, %d failed, "
-            "%d faults, %d a cold second, %d targets crashed, %d busy, %d excused, %d disks lost, "
+            "seed %" G_GUINT64_FORMAT ": %s%s%s; %d requests, %d complete, %d refused, %d failed, "
+            "%d faults, %d max per second at a cold target, %d targets crashed, %d overloads, %d "
+            "excused, %d disks lost, "
             "%d hosts replaced, %d configurations, %d evacuations, "
-            "late by %d ms, back after %.1f s%s%s\n",
+            "max event-loop delay %d ms, recovered in %.1f s%s%s\n",
             desc.seed, r.good ? "good" : "BROKEN: ", r.good ? "" : r.reason, "", r.requests,
             r.whole, r.refused, r.failed, r.faults, r.cold_most, r.crashes, r.busy, r.excused,
             r.disks_lost, r.replaced, r.acknowledged, r.evacuations, r.late_ms,
