--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -101,12 +101,12 @@
 /* ---- functions ------------------------------------------------------------------------------- */
 
 void hosts_give_disk(hosts* h, host* w) {
-    char near[WG_ADDRESS_MAX];
-    char far[WG_ADDRESS_MAX];
+    char listen_address[WG_ADDRESS_MAX];
+    char upstream_address[WG_ADDRESS_MAX];
     w->disk = true;
-    g_snprintf(near, sizeof near, "127.%d.1.%d:7100", h->part, w->number);
-    g_snprintf(far, sizeof far, "127.%d.9.%d:7100", h->part, w->number);
-    w->links = proxy_start(h->base, near, far);
+    g_snprintf(listen_address, sizeof listen_address, "127.%d.1.%d:7100", h->part, w->number);
+    g_snprintf(upstream_address, sizeof upstream_address, "127.%d.9.%d:7100", h->part, w->number);
+    w->links = proxy_start(h->base, listen_address, upstream_address);
 }
 
 void hosts_setup(hosts* h, struct event_base* base, int num, int disks, int targets) {
@@ -133,14 +133,14 @@
     }
     for (int i = 0; i < targets; i++) {
         host_target* t = &h->targets[i];
-        char near[WG_ADDRESS_MAX];
-        char far[WG_ADDRESS_MAX];
+        char listen_address[WG_ADDRESS_MAX];
+        char upstream_address[WG_ADDRESS_MAX];
         t->number = i + 1;
         t->service = i % 2 ? "engine" : "app";
         t->data_centre = i >= 3 ? HOSTS_EVACUABLE : "dc";
-        g_snprintf(near, sizeof near, "127.%d.5.%d:9000", h->part, i + 1);
-        g_snprintf(far, sizeof far, "127.%d.6.%d:9000", h->part, i + 1);
-        t->links = proxy_start(base, near, far);
+        g_snprintf(listen_address, sizeof listen_address, "127.%d.5.%d:9000", h->part, i + 1);
+        g_snprintf(upstream_address, sizeof upstream_address, "127.%d.6.%d:9000", h->part, i + 1);
+        t->links = proxy_start(base, listen_address, upstream_address);
     }
 }
 
@@ -245,11 +245,11 @@
 }
 
 int hosts_run_program(hosts* h, const char* program, const char* log, char** arguments) {
-    struct timeval turn = {.tv_usec = 10 * 1000};
+    struct timeval poll_interval = {.tv_usec = 10 * 1000};
     pid_t pid = start_program(h, program, log, arguments);
     int status = 0;
     while (waitpid(pid, &status, WNOHANG) == 0) {
-        event_base_loopexit(h->base, &turn);
+        event_base_loopexit(h->base, &poll_interval);
         event_base_dispatch(h->base);
     }
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -315,8 +315,8 @@
     g_array_append_val(times, at);
 }
 
-static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool leaving) {
-    hosts_unheeded u = {.target = target, .leaving = leaving};
+static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool draining) {
+    hosts_unheeded u = {.target = target, .draining = draining};
     long long since = 0;
     long long at = 0;
     if (sscanf(value, "%d %lld %lld", &u.host, &since, &at) == 3) {
@@ -340,7 +340,7 @@
     } else if (g_str_has_prefix(line, "cold ")) {
         add_time(notes->cold, value);
     } else if (g_str_has_prefix(line, "cold-most ")) {
-        notes->cold_most = MAX(notes->cold_most, atoi(value));
+        notes->cold_max = MAX(notes->cold_max, atoi(value));
     } else if (g_str_has_prefix(line, "in-rest ")) {
         add_hint_violation(notes, target, value, false);
     } else if (g_str_has_prefix(line, "after-leaving ")) {
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -47,7 +47,7 @@
     GHashTable* runs;  /* id -> number of runs */
     GArray* late;      /* wg_time, requests that arrived later than a drain allows */
     GArray* cold;      /* wg_time, requests beyond what a cold target may receive in a second */
-    int cold_most;     /* max requests that a cold target received in a second */
+    int cold_max;      /* max requests that a cold target received in a second */
     GArray* evacuable; /* wg_time, all requests to targets in HOSTS_EVACUABLE */
     GArray* unheeded;  /* hosts_unheeded */
 } hosts_notes;
@@ -57,7 +57,7 @@
 typedef struct {
     int target;    /* number */
     int host;      /* number */
-    bool leaving;  /* the target was draining; else in backoff */
+    bool draining; /* the target was draining; else in backoff */
     wg_time since; /* when the backoff or drain had to take effect */
     wg_time at;
 } hosts_unheeded;
--- a/tests/sim/hosts_operator.c
+++ b/tests/sim/hosts_operator.c
@@ -88,10 +88,10 @@
                                            .body = body});
 }
 
-/* The first host from number `turn` on that has an entry process; NULL when none has. */
-static const host* next_host(const hosts* h, int turn) {
+/* The first host from number `attempt` on that has an entry process; NULL when none has. */
+static const host* next_host(const hosts* h, int attempt) {
     for (int i = 0; i < h->num; i++) {
-        const host* w = &h->hosts[(turn + i) % h->num];
+        const host* w = &h->hosts[(attempt + i) % h->num];
         if (w->entry > 0) {
             return w;
         }
@@ -107,16 +107,17 @@
     event_base_dispatch(h->base);
 }
 
-int hosts_form_anew(hosts* h, const host* at, const char* gone) {
+int hosts_form_anew(hosts* h, const host* at, const char* removed) {
     char address[WG_ADDRESS_MAX];
     g_snprintf(address, sizeof address, "127.%d.9.%d:7300", h->part, at->number);
-    return send_request(h, &(request_desc){.address = address,
-                                           .host = "replica",
-                                           .path = "/v1/replicas",
-                                           .method = EVHTTP_REQ_POST,
-                                           .key = "operator-key-of-the-soak",
-                                           .body = g_strdup_printf(
-                                               "{\"action\":\"form-anew\",\"gone\":\"%s\"}", gone)})
+    return send_request(h,
+                        &(request_desc){.address = address,
+                                        .host = "replica",
+                                        .path = "/v1/replicas",
+                                        .method = EVHTTP_REQ_POST,
+                                        .key = "operator-key-of-the-soak",
+                                        .body = g_strdup_printf(
+                                            "{\"action\":\"form-anew\",\"gone\":\"%s\"}", removed)})
         .status;
 }
 
@@ -130,8 +131,8 @@
 
 bool hosts_put_until(hosts* h, int version, int ms) {
     wg_time until = wg_now() + (wg_time)ms * WG_USEC_PER_MSEC;
-    for (int turn = 0; wg_now() < until; turn++) {
-        if (hosts_put_version(h, next_host(h, turn), version) == 200) {
+    for (int attempt = 0; wg_now() < until; attempt++) {
+        if (hosts_put_version(h, next_host(h, attempt), version) == 200) {
             return true;
         }
         hosts_run_for(h, RETRY_GAP_MS);
@@ -141,8 +142,8 @@
 
 bool hosts_get_until(hosts* h, int version, int ms) {
     wg_time until = wg_now() + (wg_time)ms * WG_USEC_PER_MSEC;
-    for (int turn = 0; wg_now() < until; turn++) {
-        if (hosts_get_version(h, next_host(h, turn)) >= version) {
+    for (int attempt = 0; wg_now() < until; attempt++) {
+        if (hosts_get_version(h, next_host(h, attempt)) >= version) {
             return true;
         }
         hosts_run_for(h, RETRY_GAP_MS);
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -103,15 +103,15 @@
         request_t* q;
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
-            request_t* again = waited ? q : g_memdup2(q, sizeof *q);
+            request_t* retried = waited ? q : g_memdup2(q, sizeof *q);
             end_request(s, q); /* freed by its EVENT_FINISH if it ran */
             if (!waited) {
                 wgq_set_user_data(s->routers[_simf_queue_router(s, q->router)].queue, q->handle,
-                                  again);
-                again->in_slot = again->running = false;
-                again->started = 0;
+                                  retried);
+                retried->in_slot = retried->running = false;
+                retried->started = 0;
             }
-            _simf_schedule(s, s->now + s->trace->delay, EVENT_REFUSED, 0, again);
+            _simf_schedule(s, s->now + s->trace->delay, EVENT_REFUSED, 0, retried);
         }
     }
 }
--- a/tests/sim/soak_operator.c
+++ b/tests/sim/soak_operator.c
@@ -153,8 +153,8 @@
         return;
     }
     /* A configuration that was not acknowledged is sent again unchanged. */
-    bool again = s->acknowledged < s->version;
-    if (!again && s->version < VERSIONS_MAX && !s->faults_over) {
+    bool resend = s->acknowledged < s->version;
+    if (!resend && s->version < VERSIONS_MAX && !s->faults_over) {
         s->version++;
     }
     send_operator_request(s, true, s->version);
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -41,12 +41,12 @@
     host_target* t = &s->h.targets[number];
     char faults[64];
     int percent = REFUSE_PERCENT_MIN + (int)soak_random(s, REFUSE_PERCENT_SPAN);
-    int rest = BACKOFF_MS_MIN + (int)soak_random(s, BACKOFF_MS_SPAN);
+    int backoff_ms = BACKOFF_MS_MIN + (int)soak_random(s, BACKOFF_MS_SPAN);
     int busy = OVERLOAD_MS_MIN + (int)soak_random(s, OVERLOAD_MS_SPAN);
     if (t->pid <= 0 || soak_is_repairing(s, number, true)) {
         return false;
     }
-    g_snprintf(faults, sizeof faults, "refuse=%d&rest_ms=%d", percent, rest);
+    g_snprintf(faults, sizeof faults, "refuse=%d&rest_ms=%d", percent, backoff_ms);
     if (!hosts_set_target(&s->h, t, faults)) {
         return false;
     }
@@ -68,7 +68,7 @@
         }
         soak_record_violation(
             s, "host %d sent target %d a request %s at %" PRId64 ", not allowed since %" PRId64,
-            u->host, u->target, u->leaving ? "while it was draining" : "in its backoff period",
+            u->host, u->target, u->draining ? "while it was draining" : "in its backoff period",
             u->at, u->since);
     }
 }
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -83,11 +83,11 @@
 /* A failed run reports the event-loop delay of this process: on a machine that stalls, faults last
    longer than planned. */
 static void report_loop_lag(soak* s) {
-    s->result.late_ms = (int)(s->lag_monitor.late.max / WG_USEC_PER_MSEC);
+    s->result.loop_lag_ms = (int)(s->lag_monitor.late.max / WG_USEC_PER_MSEC);
     if (!s->result.good) {
         char text[64];
         g_snprintf(text, sizeof text, "; max event-loop delay of the soak process: %d ms",
-                   s->result.late_ms);
+                   s->result.loop_lag_ms);
         g_strlcat(s->result.reason, text, sizeof s->result.reason);
     }
 }
@@ -97,8 +97,8 @@
     (void)what;
     soak* s = user_data;
     wg_time now = wg_now();
-    wg_time late;
-    wg_pulse_beat(&s->lag_monitor, now, TICK, &late);
+    wg_time lag;
+    wg_pulse_beat(&s->lag_monitor, now, TICK, &lag);
     soak_reap_targets(s);
     soak_repair(s, now);
     soak_run_operator(s, now);
@@ -121,7 +121,7 @@
     }
     soak_probe(s);
     if (soak_all_passed(s)) {
-        s->result.back = now - s->last_fault;
+        s->result.recovery_time = now - s->last_fault;
         finish_after_crash_check(s, now);
     } else if (now - MAX(s->last_fault, s->faults_until) > RECOVERY_TIMEOUT) {
         char* missing = soak_describe_probes(s);
@@ -157,11 +157,11 @@
                 s, "a request reached a target of an evacuated data centre at %" PRId64, at);
         }
     }
-    s->result.cold_most = notes->cold_most;
+    s->result.cold_max = notes->cold_max;
     if (notes->cold->len > 0) {
         soak_record_violation(
             s, "a cold target received more requests in a second than its limit: %u times, max %d",
-            notes->cold->len, notes->cold_most);
+            notes->cold->len, notes->cold_max);
     }
 }
 
--- a/tests/sim/soak_run.h
+++ b/tests/sim/soak_run.h
@@ -54,16 +54,16 @@
     int refused;
     int failed;
     int faults;
-    int acknowledged; /* acknowledged configurations */
-    int evacuations;  /* acknowledged evacuations */
-    int replaced;     /* permanently replaced hosts */
-    int disks_lost;   /* disks lost in power losses */
-    int cold_most;    /* max requests that a cold target received in a second */
-    int crashes;      /* targets that a request crashed */
-    int busy;         /* overloads of targets that were injected */
-    int excused;      /* requests against a target's hint or drain, excused by a fault */
-    int late_ms;      /* max event-loop delay of the soak process, milliseconds */
-    wg_time back;     /* from the last fault until all hosts served again */
+    int acknowledged;      /* acknowledged configurations */
+    int evacuations;       /* acknowledged evacuations */
+    int replaced;          /* permanently replaced hosts */
+    int disks_lost;        /* disks lost in power losses */
+    int cold_max;          /* max requests that a cold target received in a second */
+    int crashes;           /* targets that a request crashed */
+    int busy;              /* overloads of targets that were injected */
+    int excused;           /* requests against a target's hint or drain, excused by a fault */
+    int loop_lag_ms;       /* max event-loop delay of the soak process, milliseconds */
+    wg_time recovery_time; /* from the last fault until all hosts served again */
 } soak_result;
 
 soak_result soak_run(const soak_desc* desc);
--- a/tests/soak_hosts.c
+++ b/tests/soak_hosts.c
@@ -66,9 +66,10 @@
             "%d hosts replaced, %d configurations, %d evacuations, "
             "max event-loop delay %d ms, recovered in %.1f s%s%s\n",
             desc.seed, r.good ? "good" : "BROKEN: ", r.good ? "" : r.reason, "", r.requests,
-            r.whole, r.refused, r.failed, r.faults, r.cold_most, r.crashes, r.busy, r.excused,
-            r.disks_lost, r.replaced, r.acknowledged, r.evacuations, r.late_ms,
-            (double)r.back / WG_USEC_PER_SEC, r.good ? "" : ", logs in ", r.good ? "" : r.folder);
+            r.whole, r.refused, r.failed, r.faults, r.cold_max, r.crashes, r.busy, r.excused,
+            r.disks_lost, r.replaced, r.acknowledged, r.evacuations, r.loop_lag_ms,
+            (double)r.recovery_time / WG_USEC_PER_SEC, r.good ? "" : ", logs in ",
+            r.good ? "" : r.folder);
         fflush(stdout);
     }
     printf("%d runs, %d broken\n", runs, failed);
