--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -114,7 +114,7 @@
     h->losses = 1;
     h->replica_timing = g_strdup("tick_ms=20\nlink_silence_ms=1200\n");
     WG_ASSERT(num <= HOSTS_MAX && targets <= HOST_TARGETS_MAX);
-    h->part = loopback_take(is_free_part);
+    h->part = loopback_reserve(is_free_part);
     find_programs(h);
     g_strlcpy(h->folder, "/tmp/wg-hosts-XXXXXX", sizeof h->folder);
     WG_ASSERT(mkdtemp(h->folder) != NULL);
@@ -316,7 +316,7 @@
 }
 
 static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool draining) {
-    hosts_unheeded u = {.target = target, .draining = draining};
+    hosts_hint_violation u = {.target = target, .draining = draining};
     long long since = 0;
     long long at = 0;
     if (sscanf(value, "%d %lld %lld", &u.host, &since, &at) == 3) {
@@ -355,7 +355,7 @@
                          .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
                          .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
                          .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                         .unheeded = g_array_new(FALSE, FALSE, sizeof(hosts_unheeded))};
+                         .unheeded = g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
     for (int i = 0; i < h->targets_num; i++) {
         char* path = g_strdup_printf("%s/runs-%d", h->folder, i + 1);
         char* text = NULL;
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -49,7 +49,7 @@
     GArray* cold;      /* wg_time, requests beyond what a cold target may receive in a second */
     int cold_max;      /* max requests that a cold target received in a second */
     GArray* evacuable; /* wg_time, all requests to targets in HOSTS_EVACUABLE */
-    GArray* unheeded;  /* hosts_unheeded */
+    GArray* unheeded;  /* hosts_hint_violation */
 } hosts_notes;
 
 /* A request that reached a target although the target had sent its host a backoff hint or notified
@@ -60,7 +60,7 @@
     bool draining; /* the target was draining; else in backoff */
     wg_time since; /* when the backoff or drain had to take effect */
     wg_time at;
-} hosts_unheeded;
+} hosts_hint_violation;
 
 typedef struct {
     struct event_base* base;
--- a/tests/sim/loopback.c
+++ b/tests/sim/loopback.c
@@ -12,7 +12,7 @@
     PARTS_NUM = 240
 };
 
-int loopback_take(bool (*is_free)(int part)) {
+int loopback_reserve(bool (*is_free)(int part)) {
     for (int i = 0; i < PARTS_NUM; i++) {
         int part = PART_MIN + (getpid() + i) % PARTS_NUM;
         char path[48];
@@ -31,7 +31,7 @@
     static pid_t owner; /* a forked child takes a part of its own */
     if (owner != getpid()) {
         owner = getpid();
-        part = loopback_take(NULL);
+        part = loopback_reserve(NULL);
     }
     return part;
 }
--- a/tests/sim/loopback.h
+++ b/tests/sim/loopback.h
@@ -14,7 +14,7 @@
 /* Locks a part that no other process has locked and for which `is_free`, if not NULL, returns true:
    processes of an aborted run may still use it. Each call takes another part. Aborts when none is
    left. */
-int loopback_take(bool (*is_free)(int part));
+int loopback_reserve(bool (*is_free)(int part));
 
 /* The part of this process; the first call takes it. */
 int loopback_part(void);
--- a/tests/sim/proc.c
+++ b/tests/sim/proc.c
@@ -280,7 +280,7 @@
     f->desc.engine_slots = desc->engine_slots ? desc->engine_slots : 8;
     f->desc.engine_pace_us = desc->engine_pace_us ? desc->engine_pace_us : 2000;
     f->desc.workspaces = desc->workspaces ? desc->workspaces : 3;
-    f->host = loopback_take(NULL);
+    f->host = loopback_reserve(NULL);
     signal(SIGPIPE, SIG_IGN);
     find_programs(f);
     g_strlcpy(f->folder, "/tmp/wg-fleet-XXXXXX", sizeof f->folder);
--- a/tests/sim/sim_fleet.h
+++ b/tests/sim/sim_fleet.h
@@ -3,7 +3,7 @@
     sim_fleet.h -- replays traces over lib/queue, lib/place and lib/share in simulated time
 
     Simulates routers, a leader, and targets with slots and a token pace, with message delays and
-    without sockets. Compares ways of sharing capacity on one trace:
+    without sockets. Compares policies for sharing capacity on one trace:
         - alone: each router by itself, with a fixed part of each target's slots
         - arbiter: one queue for the fleet; each request is granted by a message
         - leased: as in walnutgate: routers report accounts to the leader and receive slot leases
@@ -126,7 +126,7 @@
 /* Reads a trace; false with an error that names the line. */
 bool simf_trace_read(const char* path, simf_trace* trace, GError** error);
 bool simf_trace_parse(const char* text, simf_trace* trace, GError** error);
-simf_result simf_run(const simf_trace* trace, simf_way way);
-const char* simf_way_name(simf_way way);
+simf_result simf_run(const simf_trace* trace, simf_way policy);
+const char* simf_way_name(simf_way policy);
 /* Value of a metric by its name; false when there is none. */
 bool simf_metric(const simf_result* result, const char* name, double* value);
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -23,7 +23,7 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static bool has_excuse(const soak* s, const hosts_unheeded* u) {
+static bool has_excuse(const soak* s, const hosts_hint_violation* u) {
     for (int i = 0; i < s->disturbances_num; i++) {
         const disturbance* d = &s->disturbances[i];
         bool concerns = d->entry == u->host || d->target_links == u->target;
@@ -61,7 +61,7 @@
 
 void soak_check_hints(soak* s, const hosts_notes* notes) {
     for (guint i = 0; i < notes->unheeded->len; i++) {
-        const hosts_unheeded* u = &g_array_index(notes->unheeded, hosts_unheeded, i);
+        const hosts_hint_violation* u = &g_array_index(notes->unheeded, hosts_hint_violation, i);
         if (has_excuse(s, u)) {
             s->result.excused++;
             continue;
