--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -28,7 +28,7 @@
     g_free(path);
 }
 
-/* Processes that a run left behind when it was broken off still hold its addresses. */
+/* Processes left over from an aborted run still hold their addresses. */
 static bool is_bindable(const char* address) {
     struct sockaddr_storage at;
     int size = 0;
@@ -41,7 +41,7 @@
     return free;
 }
 
-/* Are an entry host's, a replica's and a target's first addresses free? */
+/* Are the first addresses of entry processes, replicas and targets free? */
 static bool is_free_part(int part) {
     static const char* const first[] = {"127.%d.1.1:7100", "127.%d.1.1:7101", "127.%d.9.1:7100",
                                         "127.%d.6.1:9000"};
@@ -62,7 +62,7 @@
     g_free(folder);
 }
 
-static pid_t start(const hosts* h, const char* program, const char* log, char** arguments) {
+static pid_t start_program(const hosts* h, const char* program, const char* log, char** arguments) {
     char path[320];
     char* argv[24] = {path};
     g_snprintf(path, sizeof path, "%s/%s", h->bin, program);
@@ -75,8 +75,8 @@
     posix_spawn_file_actions_addopen(&actions, 1, out, O_CREAT | O_WRONLY | O_APPEND, 0600);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
     posix_spawn_file_actions_addchdir_np(&actions, h->folder);
-    /* Else it would hold the proxies' listeners and connections: what these close would stay open,
-       and what outlives a run that was broken off would keep its addresses from others. */
+    /* An inherited descriptor of a proxy would keep connections open that the proxy closes, and
+       addresses in use after an aborted run. */
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     pid_t pid = 0;
     int failed = posix_spawn(&pid, path, &actions, NULL, argv, environ);
@@ -86,28 +86,27 @@
     return pid;
 }
 
-/* Three hosts that are there now, the first ones. */
-static char* seeds(const hosts* h) {
+/* Addresses of the first three hosts that are part of the fleet. */
+static char* seed_addresses(const hosts* h) {
     GString* list = g_string_new(NULL);
     int named = 0;
     for (int i = 0; i < h->num && named < 3; i++) {
-        if (!h->hosts[i].away) {
+        if (!h->hosts[i].absent) {
             g_string_append_printf(list, "%s127.%d.1.%d:7200", named++ ? "," : "", h->part, i + 1);
         }
     }
     return g_string_free(list, FALSE);
 }
 
-/* ---- functions --------------------------------------------------------------------------------
- */
+/* ---- functions ------------------------------------------------------------------------------- */
 
 void hosts_give_disk(hosts* h, host* w) {
-    char near[WG_ADDRESS_MAX];
-    char far[WG_ADDRESS_MAX];
+    char listen_address[WG_ADDRESS_MAX];
+    char upstream_address[WG_ADDRESS_MAX];
     w->disk = true;
-    g_snprintf(near, sizeof near, "127.%d.1.%d:7100", h->part, w->number);
-    g_snprintf(far, sizeof far, "127.%d.9.%d:7100", h->part, w->number);
-    w->links = proxy_start(h->base, near, far);
+    g_snprintf(listen_address, sizeof listen_address, "127.%d.1.%d:7100", h->part, w->number);
+    g_snprintf(upstream_address, sizeof upstream_address, "127.%d.9.%d:7100", h->part, w->number);
+    w->links = proxy_start(h->base, listen_address, upstream_address);
 }
 
 void hosts_setup(hosts* h, struct event_base* base, int num, int disks, int targets) {
@@ -115,7 +114,7 @@
     h->losses = 1;
     h->replica_timing = g_strdup("tick_ms=20\nlink_silence_ms=1200\n");
     WG_ASSERT(num <= HOSTS_MAX && targets <= HOST_TARGETS_MAX);
-    h->part = loopback_take(is_free_part);
+    h->part = loopback_reserve(is_free_part);
     find_programs(h);
     g_strlcpy(h->folder, "/tmp/wg-hosts-XXXXXX", sizeof h->folder);
     WG_ASSERT(mkdtemp(h->folder) != NULL);
@@ -134,14 +133,14 @@
     }
     for (int i = 0; i < targets; i++) {
         host_target* t = &h->targets[i];
-        char near[WG_ADDRESS_MAX];
-        char far[WG_ADDRESS_MAX];
+        char listen_address[WG_ADDRESS_MAX];
+        char upstream_address[WG_ADDRESS_MAX];
         t->number = i + 1;
         t->service = i % 2 ? "engine" : "app";
         t->data_centre = i >= 3 ? HOSTS_EVACUABLE : "dc";
-        g_snprintf(near, sizeof near, "127.%d.5.%d:9000", h->part, i + 1);
-        g_snprintf(far, sizeof far, "127.%d.6.%d:9000", h->part, i + 1);
-        t->links = proxy_start(base, near, far);
+        g_snprintf(listen_address, sizeof listen_address, "127.%d.5.%d:9000", h->part, i + 1);
+        g_snprintf(upstream_address, sizeof upstream_address, "127.%d.6.%d:9000", h->part, i + 1);
+        t->links = proxy_start(base, listen_address, upstream_address);
     }
 }
 
@@ -165,7 +164,7 @@
 void hosts_start_entry(hosts* h, host* w) {
     char name[32];
     char log[32];
-    char* list = seeds(h);
+    char* list = seed_addresses(h);
     char* text = g_strdup_printf(
         "[entry]\nname=127.%d.1.%d\ndata_centre=dc\ncallers_listen=%s\nready_listen=%s\n"
         "entry_listen=%s\norders_listen=%s\nseeds=%s\nfleet_port=7100\n"
@@ -177,7 +176,7 @@
     g_snprintf(log, sizeof log, "entry-%d.log", w->number);
     write_file(h, name, text);
     char* arguments[] = {(char*)"--settings", name, NULL};
-    w->entry = start(h, "walnutgate-entryd", log, arguments);
+    w->entry = start_program(h, "walnutgate-entryd", log, arguments);
     g_free(text);
     g_free(list);
 }
@@ -185,7 +184,7 @@
 void hosts_start_replica(hosts* h, host* w) {
     char name[32];
     char log[32];
-    char* list = seeds(h);
+    char* list = seed_addresses(h);
     char* text = g_strdup_printf(
         "[control]\nname=127.%d.1.%d\nfleet_listen=127.%d.9.%d:7100\n"
         "fleet_address=127.%d.1.%d:7100\noperators_listen=127.%d.9.%d:7300\n"
@@ -199,7 +198,7 @@
     g_snprintf(log, sizeof log, "replica-%d.log", w->number);
     write_file(h, name, text);
     char* arguments[] = {(char*)"--settings", name, NULL};
-    w->replica = start(h, "walnutgate-controld", log, arguments);
+    w->replica = start_program(h, "walnutgate-controld", log, arguments);
     g_free(text);
     g_free(list);
 }
@@ -241,16 +240,16 @@
                          (char*)"fail=10",
                          (char*)"refuse=6",
                          NULL};
-    t->pid = start(h, "fake_target", log, arguments);
+    t->pid = start_program(h, "fake_target", log, arguments);
     g_string_free(list, TRUE);
 }
 
 int hosts_run_program(hosts* h, const char* program, const char* log, char** arguments) {
-    struct timeval turn = {.tv_usec = 10 * 1000};
-    pid_t pid = start(h, program, log, arguments);
+    struct timeval poll_interval = {.tv_usec = 10 * 1000};
+    pid_t pid = start_program(h, program, log, arguments);
     int status = 0;
     while (waitpid(pid, &status, WNOHANG) == 0) {
-        event_base_loopexit(h->base, &turn);
+        event_base_loopexit(h->base, &poll_interval);
         event_base_dispatch(h->base);
     }
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -274,7 +273,7 @@
     g_free(folder);
 }
 
-static void end_process(pid_t* pid) {
+static void kill_process(pid_t* pid) {
     if (*pid > 0) {
         kill(*pid, SIGKILL);
         while (waitpid(*pid, NULL, 0) < 0 && errno == EINTR) {
@@ -286,14 +285,14 @@
 void hosts_end(hosts* h, bool keep) {
     g_clear_pointer(&h->replica_timing, g_free);
     for (int i = 0; i < h->num; i++) {
-        end_process(&h->hosts[i].entry);
-        end_process(&h->hosts[i].replica);
+        kill_process(&h->hosts[i].entry);
+        kill_process(&h->hosts[i].replica);
         if (h->hosts[i].links) {
             proxy_stop(h->hosts[i].links);
         }
     }
     for (int i = 0; i < h->targets_num; i++) {
-        end_process(&h->targets[i].pid);
+        kill_process(&h->targets[i].pid);
         proxy_stop(h->targets[i].links);
     }
     if (keep) {
@@ -316,8 +315,8 @@
     g_array_append_val(times, at);
 }
 
-static void add_unheeded(hosts_notes* notes, int target, const char* value, bool leaving) {
-    hosts_unheeded u = {.target = target, .leaving = leaving};
+static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool draining) {
+    hosts_hint_violation u = {.target = target, .draining = draining};
     long long since = 0;
     long long at = 0;
     if (sscanf(value, "%d %lld %lld", &u.host, &since, &at) == 3) {
@@ -327,7 +326,7 @@
     }
 }
 
-static void add_note(hosts_notes* notes, int target, const char* line) {
+static void add_event(hosts_notes* notes, int target, const char* line) {
     const char* value = strchr(line, ' ');
     if (!value) {
         return;
@@ -341,11 +340,11 @@
     } else if (g_str_has_prefix(line, "cold ")) {
         add_time(notes->cold, value);
     } else if (g_str_has_prefix(line, "cold-most ")) {
-        notes->cold_most = MAX(notes->cold_most, atoi(value));
+        notes->cold_max = MAX(notes->cold_max, atoi(value));
     } else if (g_str_has_prefix(line, "in-rest ")) {
-        add_unheeded(notes, target, value, false);
+        add_hint_violation(notes, target, value, false);
     } else if (g_str_has_prefix(line, "after-leaving ")) {
-        add_unheeded(notes, target, value, true);
+        add_hint_violation(notes, target, value, true);
     } else if (g_str_has_prefix(line, HOSTS_EVACUABLE " ")) {
         add_time(notes->evacuable, value);
     }
@@ -356,14 +355,14 @@
                          .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
                          .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
                          .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                         .unheeded = g_array_new(FALSE, FALSE, sizeof(hosts_unheeded))};
+                         .unheeded = g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
     for (int i = 0; i < h->targets_num; i++) {
         char* path = g_strdup_printf("%s/runs-%d", h->folder, i + 1);
         char* text = NULL;
         g_file_get_contents(path, &text, NULL, NULL);
         char** lines = g_strsplit(text ? text : "", "\n", 0);
         for (int l = 0; lines[l]; l++) {
-            add_note(&notes, i + 1, lines[l]);
+            add_event(&notes, i + 1, lines[l]);
         }
         g_strfreev(lines);
         g_free(text);
--- a/tests/sim/loopback.c
+++ b/tests/sim/loopback.c
@@ -8,18 +8,18 @@
 #include <unistd.h>
 
 enum {
-    PART_FIRST = 2,
-    PARTS = 240
+    PART_MIN = 2,
+    PARTS_NUM = 240
 };
 
-int loopback_take(bool (*is_free)(int part)) {
-    for (int i = 0; i < PARTS; i++) {
-        int part = PART_FIRST + (getpid() + i) % PARTS;
+int loopback_reserve(bool (*is_free)(int part)) {
+    for (int i = 0; i < PARTS_NUM; i++) {
+        int part = PART_MIN + (getpid() + i) % PARTS_NUM;
         char path[48];
         g_snprintf(path, sizeof path, "/tmp/wg-fleet-host-%d.lock", part);
         int fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
         if (fd >= 0 && flock(fd, LOCK_EX | LOCK_NB) == 0 && (!is_free || is_free(part))) {
-            return part; /* the lock is held until this process ends */
+            return part; /* the lock is held until this process exits */
         }
         close(fd);
     }
@@ -28,10 +28,10 @@
 
 int loopback_part(void) {
     static int part;
-    static pid_t owner; /* a child of the process takes one for itself */
+    static pid_t owner; /* a forked child takes a part of its own */
     if (owner != getpid()) {
         owner = getpid();
-        part = loopback_take(NULL);
+        part = loopback_reserve(NULL);
     }
     return part;
 }
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -1,4 +1,4 @@
-/* sim_fleet_faults.c -- what a trace does to routers, targets and the leader */
+/* sim_fleet_faults.c -- injects a trace's faults into routers, targets and the leader */
 #include <string.h>
 
 #include "sim_fleet_internal.h"
@@ -7,18 +7,18 @@
     g_ptr_array_remove_fast(s->running, q);
     if (q->in_slot) {
         _simf_target_of(s, q)->in_slots--;
-        q->in_slot = false; /* its finish event frees it */
+        q->in_slot = false; /* freed by its EVENT_FINISH */
     }
 }
 
-/* A request at work ends without an answer. */
-static void give_up_running(run_t* s, const request_t* q) {
+/* Cancels a running request without an answer. */
+static void cancel_running(run_t* s, const request_t* q) {
     router_t* r = &s->routers[_simf_queue_router(s, q->router)];
     wgq_finish(r->queue, s->now, q->handle, (int64_t)_simf_tokens_so_far(s, q));
     wgp_done(r->place, s->now, &q->choice, WGP_RESULT_CANCELLED);
 }
 
-/* The first request that runs or waits at the target, NULL none. */
+/* The first request that runs or waits at the target; NULL: none. */
 static request_t* request_at(run_t* s, const target_t* target) {
     for (guint i = 0; i < s->running->len; i++) {
         request_t* q = g_ptr_array_index(s->running, i);
@@ -39,15 +39,15 @@
         target_t* target = _simf_target_of(s, q);
         bool waited = g_queue_remove(&target->waiting, q);
         end_request(s, q);
-        if (_simf_central(s)) {
-            give_up_running(s, q); /* the one queue goes on, without this router's requests */
+        if (_simf_is_central(s)) {
+            cancel_running(s, q); /* the central queue survives the restart */
         }
         if (waited) {
             g_free(q);
         }
         _simf_target_start_next(s, target);
     }
-    if (_simf_central(s)) {
+    if (_simf_is_central(s)) {
         _simf_dispatch(s, 0);
         return;
     }
@@ -58,17 +58,17 @@
     }
     _simf_router_start(s, router);
     wgf_pacer_request(&s->routers[router].pacer);
-    _simf_plan_report(s, router);
+    _simf_schedule_report(s, router);
 }
 
 static void lose_targets(run_t* s, const simf_fault* fault, bool begin) {
     for (int g = fault->a; g <= fault->b && g < s->trace->targets; g++) {
-        s->targets[g].gone = begin;
+        s->targets[g].removed = begin;
         request_t* q;
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
             end_request(s, q);
-            give_up_running(s, q);
+            cancel_running(s, q);
             if (waited) {
                 g_free(q);
             }
@@ -78,11 +78,11 @@
         wgp_config_begin(s->routers[i].place);
         for (int g = 0; g < s->trace->targets; g++) {
             wgp_config_target(s->routers[i].place, TARGET_ID_FIRST + (uint32_t)g, SERVICE_ID, "",
-                              "", "", s->trace->slots, s->targets[g].gone, 1);
+                              "", "", s->trace->slots, s->targets[g].removed, 1);
         }
         wgp_config_end(s->routers[i].place);
         for (int g = fault->a; !begin && g <= fault->b && g < s->trace->targets; g++) {
-            /* A target that left took its slots with it. */
+            /* Slots of a removed target were lost with it. */
             wgp_target_info info;
             wgp_query_target(s->routers[i].place, g, &info);
             wgp_add_slots(s->routers[i].place, info.id,
@@ -96,27 +96,27 @@
     }
 }
 
-/* Requests at work there fail too, and go back to their queues. */
+/* Requests at the targets fail too and return to their queues. */
 static void kill_targets(run_t* s, const simf_fault* f, bool begin) {
     for (int g = f->a; g <= f->b && g < s->trace->targets; g++) {
-        s->targets[g].dead = begin;
+        s->targets[g].unreachable = begin;
         request_t* q;
         while (begin && (q = request_at(s, &s->targets[g]))) {
             bool waited = g_queue_remove(&s->targets[g].waiting, q);
-            request_t* again = waited ? q : g_memdup2(q, sizeof *q);
-            end_request(s, q); /* the finish event of one that ran frees it */
+            request_t* retried = waited ? q : g_memdup2(q, sizeof *q);
+            end_request(s, q); /* freed by its EVENT_FINISH if it ran */
             if (!waited) {
                 wgq_set_user_data(s->routers[_simf_queue_router(s, q->router)].queue, q->handle,
-                                  again);
-                again->in_slot = again->running = false;
-                again->started = 0;
+                                  retried);
+                retried->in_slot = retried->running = false;
+                retried->started = 0;
             }
-            _simf_post(s, s->now + s->trace->delay, EVENT_REFUSED, 0, again);
+            _simf_schedule(s, s->now + s->trace->delay, EVENT_REFUSED, 0, retried);
         }
     }
 }
 
-void _simf_fault(run_t* s, const simf_fault* f, bool begin) {
+void _simf_inject_fault(run_t* s, const simf_fault* f, bool begin) {
     switch (f->type) {
     case SIMF_FAULT_CUT_ROUTER:
         s->routers[f->a].cut = begin;
@@ -131,7 +131,7 @@
         if (begin && s->share) {
             wgf_shutdown(s->share);
             s->share = NULL;
-        } else if (!begin && s->way == SIMF_WAY_LEASED) {
+        } else if (!begin && s->policy == SIMF_WAY_LEASED) {
             _simf_leader_start(s);
         }
         break;
@@ -155,8 +155,9 @@
     default:
         break;
     }
-    s->faults_end = s->now;
-    s->out_of_bound_at = s->now;
-    wg_time settled = MAX(s->now, f->to) + SETTLE;
-    s->calm_from = MAX(s->calm_from, (settled + SAMPLE - 1) / SAMPLE * SAMPLE);
+    s->last_fault_end = s->now;
+    s->last_out_of_bound_at = s->now;
+    wg_time settled = MAX(s->now, f->to) + SETTLE_TIME;
+    s->settled_from =
+        MAX(s->settled_from, (settled + SAMPLE_INTERVAL - 1) / SAMPLE_INTERVAL * SAMPLE_INTERVAL);
 }
--- a/tests/sim/sim_fleet_internal.h
+++ b/tests/sim/sim_fleet_internal.h
@@ -7,11 +7,11 @@
 enum {
     SERVICE_ID = 1,
     TARGET_ID_FIRST = 10000,
-    SAMPLE = 100 * WG_USEC_PER_MSEC,
-    PLAN_GAP = 5 * WG_USEC_PER_MSEC,
-    SLOT_TERM = 2 * WG_USEC_PER_SEC,
-    SETTLE = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps have to be in their bounds again */
-    /* Bytes of messages, protobuf and framing and TCP/IP heads; checked against real processes. */
+    SAMPLE_INTERVAL = 100 * WG_USEC_PER_MSEC,
+    PLAN_DELAY = 5 * WG_USEC_PER_MSEC,
+    LEASE_TERM = 2 * WG_USEC_PER_SEC,
+    SETTLE_TIME = 5 * WG_USEC_PER_SEC, /* after a fault, until gaps are checked again */
+    /* Sizes of messages in bytes, with protobuf, framing and TCP/IP headers. */
     REPORT_BYTES = 90,
     REPLY_BYTES = 105,
     ACCOUNT_BYTES = 16,
@@ -27,23 +27,23 @@
     int64_t tokens;
     bool urgent;
     wg_time arrived;
-    wg_time started; /* tokens flow from here on; 0 not yet */
+    wg_time started; /* first token; 0: not started */
     wg_time deadline;
     wgp_choice choice;
     wgq_handle handle;
     bool running; /* at a target */
-    bool in_slot; /* of that target */
+    bool in_slot; /* occupies a slot of the target; else waits there */
 } request_t;
 
 typedef enum {
     EVENT_ARRIVAL,
     EVENT_FINISH,
-    EVENT_REPORT, /* a router looks whether to report */
-    EVENT_AT_LEADER,
-    EVENT_PLAN,
-    EVENT_AT_ROUTER,
-    EVENT_GRANTED, /* arbiter's grant reaches the router */
-    EVENT_REFUSED, /* the router learns that a target refused a request */
+    EVENT_REPORT,    /* a router reports if due */
+    EVENT_AT_LEADER, /* a report reaches the leader */
+    EVENT_PLAN,      /* the leader plans leases */
+    EVENT_AT_ROUTER, /* a reply reaches the router */
+    EVENT_GRANTED,   /* an arbiter's grant reaches the router */
+    EVENT_REFUSED,   /* a target's refusal reaches the router */
     EVENT_SAMPLE,
     EVENT_FAULT
 } event_type;
@@ -56,7 +56,7 @@
     void* data;
 } event_t;
 
-/* A report on its way. */
+/* A report in flight. */
 typedef struct {
     int router;
     uint64_t incarnation;
@@ -69,7 +69,7 @@
     wgf_held_slots* held;
 } report_t;
 
-/* A reply on its way. */
+/* A reply in flight. */
 typedef struct {
     int router;
     uint64_t incarnation;
@@ -88,13 +88,13 @@
     uint64_t incarnation;
     bool cut;
     bool report_full;
-    bool report_planned; /* an event will look whether to report */
+    bool report_scheduled; /* an EVENT_REPORT is pending */
     wgf_pacer pacer;
     wg_time lease_until;
     uint64_t applied;
-    uint64_t leader; /* whose reply it applied last */
-    uint32_t* held_told;
-    /* at the leader */
+    uint64_t leader;          /* leader whose reply it applied last */
+    uint32_t* reported_slots; /* last reported slots of each target */
+    /* the leader's state of this router */
     wgf_router at_leader;
     uint64_t seq;
     uint64_t bytes;
@@ -102,21 +102,21 @@
 
 typedef struct {
     int in_slots;
-    GQueue waiting; /* request_t* beyond its slots */
-    bool gone;
-    bool dead; /* refuses connections, and nobody is told */
+    GQueue waiting; /* request_t*, waiting for a slot */
+    bool removed;
+    bool unreachable; /* refuses connections; routers are not notified */
 } target_t;
 
-/* Service of a pair of workspaces since both have been backlogged. */
+/* Service of two workspaces when both became backlogged. */
 typedef struct {
-    bool joint;
+    bool backlogged;
     double base_a;
     double base_b;
 } pair_t;
 
 typedef struct {
     const simf_trace* trace;
-    simf_way way;
+    simf_way policy;
     wg_time now;
     uint64_t order;
     uint64_t counter;
@@ -124,44 +124,44 @@
     router_t* routers;
     target_t* targets;
     wgf_share* share;
-    uint64_t leader; /* number of the present one, 0 none */
-    wg_time counts_from;
-    bool plan_due;
+    uint64_t leader;     /* number of the current leader; 0: none */
+    wg_time counts_from; /* from then on the leader knows all leases */
+    bool plan_scheduled;
     GPtrArray* running; /* request_t* */
     int64_t weights[SIMF_WORKSPACES_MAX];
-    double delivered[SIMF_WORKSPACES_MAX]; /* tokens of finished requests */
-    double normal[SIMF_WORKSPACES_MAX];    /* tokens over weight, as of the last sample */
+    double delivered[SIMF_WORKSPACES_MAX];  /* tokens of finished requests */
+    double normalized[SIMF_WORKSPACES_MAX]; /* tokens per 100 of weight, as of the last sample */
     double last_tokens[SIMF_WORKSPACES_MAX];
     int queued[SIMF_WORKSPACES_MAX];
-    bool emptied[SIMF_WORKSPACES_MAX]; /* nothing waited at some moment since the last sample */
+    bool emptied[SIMF_WORKSPACES_MAX]; /* its queue was empty at some time since the last sample */
     pair_t pairs[SIMF_WORKSPACES_MAX][SIMF_WORKSPACES_MAX];
     GArray* gaps;
     wg_hist wait;
     wg_time urgent_wait;
     double slot_time;
     double busy_time;
-    double good_tokens;
-    double bad_tokens;
-    double largest;
+    double tokens_in_time;
+    double tokens_late;
+    double request_tokens_max;
     uint64_t refused;
     uint64_t requests;
     uint64_t finished;
     uint64_t leader_bytes;
-    wg_time faults_end;
-    wg_time out_of_bound_at;
+    wg_time last_fault_end;
+    wg_time last_out_of_bound_at;
     double over_bound; /* largest gap over the bound of its pair */
     double over_bound_calm;
-    wg_time calm_from; /* a while after the last fault's end; pairs begin anew there */
+    wg_time settled_from; /* end of the last SETTLE_TIME; pairs are measured anew from then */
 } run_t;
 
-/* functions that the files share */
+/* ---- functions ------------------------------------------------------------------------------ */
 double _simf_tokens_so_far(const run_t* s, const request_t* q);
 void _simf_take_sample(run_t* s);
-void _simf_account_time(run_t* s, wg_time until);
+void _simf_add_slot_time(run_t* s, wg_time until);
 simf_result _simf_collect(run_t* s);
-void _simf_fault(run_t* s, const simf_fault* f, bool begin);
-void _simf_post(run_t* s, wg_time at, event_type type, int a, void* data);
-bool _simf_central(const run_t* s);
+void _simf_inject_fault(run_t* s, const simf_fault* f, bool begin);
+void _simf_schedule(run_t* s, wg_time at, event_type type, int a, void* data);
+bool _simf_is_central(const run_t* s);
 int _simf_fixed_slots(const run_t* s, int router, int target);
 void _simf_router_start(run_t* s, int i);
 void _simf_share_config(run_t* s);
@@ -169,6 +169,6 @@
 void _simf_target_start_next(run_t* s, target_t* target);
 target_t* _simf_target_of(run_t* s, const request_t* q);
 int _simf_queue_router(const run_t* s, int router);
-void _simf_plan_report(run_t* s, int router);
+void _simf_schedule_report(run_t* s, int router);
 void _simf_dispatch(run_t* s, int router);
 void _simf_schedule_plan(run_t* s);
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -1,10 +1,9 @@
-/* soak_rest.c -- targets of the fault soak that turn requests away and ask for rest, and what came
-   to them against their wish
+/* soak_rest.c -- targets that refuse requests with backoff hints, and the check that hosts comply
 
-   Each target counts by the host that a request was sent to. What excuses a host is looked up for
-   each single case: its process ended, stood still or started meanwhile, or the links to the target
-   were spoilt, so that the wish may not have come. Nothing else does: no lost leader, no
-   configuration, no list of targets, no SIGHUP. */
+   Targets record violations per host. A violation is excused only if that host's entry process was
+   down, stopped or restarted, or the links to the target were impaired, so that the hint may not
+   have arrived. Other faults don't excuse it: lost leaders, new configurations, changed target
+   lists, SIGHUP. */
 #include <inttypes.h>
 
 #include "soak_internal.h"
@@ -12,22 +11,23 @@
 enum {
     REFUSE_PERCENT_MIN = 30,
     REFUSE_PERCENT_SPAN = 71,
-    REST_MS_MIN = 600,
-    REST_MS_SPAN = 3000,
-    BUSY_MS_MIN = 500,
-    BUSY_MS_SPAN = 4000,
-    /* From the answer until the wish counts, and for what a fault held up to arrive. */
-    ON_ITS_WAY = 600 * WG_USEC_PER_MSEC,
-    AFTER_FAULT = 1 * WG_USEC_PER_SEC
+    BACKOFF_MS_MIN = 600,
+    BACKOFF_MS_SPAN = 3000,
+    OVERLOAD_MS_MIN = 500,
+    OVERLOAD_MS_SPAN = 4000,
+    /* HINT_DELAY: from the answer until its hint has to be obeyed. FAULT_BACKLOG_TIME: after a
+       fault, for requests that it delayed. */
+    HINT_DELAY = 600 * WG_USEC_PER_MSEC,
+    FAULT_BACKLOG_TIME = 1 * WG_USEC_PER_SEC
 };
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static bool is_excused(const soak* s, const hosts_unheeded* u) {
+static bool has_excuse(const soak* s, const hosts_hint_violation* u) {
     for (int i = 0; i < s->disturbances_num; i++) {
         const disturbance* d = &s->disturbances[i];
         bool concerns = d->entry == u->host || d->target_links == u->target;
-        bool over = d->until != 0 && d->until + AFTER_FAULT < u->since - ON_ITS_WAY;
+        bool over = d->until != 0 && d->until + FAULT_BACKLOG_TIME < u->since - HINT_DELAY;
         if (concerns && !over && d->from <= u->at) {
             return true;
         }
@@ -37,37 +37,38 @@
 
 /* ---- functions of the soak ------------------------------------------------------------------- */
 
-bool soak_make_busy(soak* s, int number) {
+bool soak_begin_overload(soak* s, int number) {
     host_target* t = &s->h.targets[number];
     char faults[64];
-    int percent = REFUSE_PERCENT_MIN + (int)soak_draw(s, REFUSE_PERCENT_SPAN);
-    int rest = REST_MS_MIN + (int)soak_draw(s, REST_MS_SPAN);
-    int busy = BUSY_MS_MIN + (int)soak_draw(s, BUSY_MS_SPAN);
+    int percent = REFUSE_PERCENT_MIN + (int)soak_random(s, REFUSE_PERCENT_SPAN);
+    int backoff_ms = BACKOFF_MS_MIN + (int)soak_random(s, BACKOFF_MS_SPAN);
+    int busy = OVERLOAD_MS_MIN + (int)soak_random(s, OVERLOAD_MS_SPAN);
     if (t->pid <= 0 || soak_is_repairing(s, number, true)) {
         return false;
     }
-    g_snprintf(faults, sizeof faults, "refuse=%d&rest_ms=%d", percent, rest);
+    g_snprintf(faults, sizeof faults, "refuse=%d&rest_ms=%d", percent, backoff_ms);
     if (!hosts_set_target(&s->h, t, faults)) {
         return false;
     }
     s->result.busy++;
-    soak_plan_repair(s, REPAIR_BUSY, number, true, busy, soak_disturb(s));
+    soak_plan_repair(s, REPAIR_OVERLOAD, number, true, busy, soak_begin_disturbance(s));
     return true;
 }
 
-void soak_end_busy(soak* s, int number) {
+void soak_end_overload(soak* s, int number) {
     hosts_set_target(&s->h, &s->h.targets[number], "refuse=6&rest_ms=0");
 }
 
-void soak_check_unheeded(soak* s, const hosts_notes* notes) {
+void soak_check_hints(soak* s, const hosts_notes* notes) {
     for (guint i = 0; i < notes->unheeded->len; i++) {
-        const hosts_unheeded* u = &g_array_index(notes->unheeded, hosts_unheeded, i);
-        if (is_excused(s, u)) {
+        const hosts_hint_violation* u = &g_array_index(notes->unheeded, hosts_hint_violation, i);
+        if (has_excuse(s, u)) {
             s->result.excused++;
             continue;
         }
-        soak_broken(
+        soak_record_violation(
             s, "host %d sent target %d a request %s at %" PRId64 ", not allowed since %" PRId64,
-            u->host, u->target, u->leaving ? "though it leaves" : "in its rest", u->at, u->since);
+            u->host, u->target, u->draining ? "while it was draining" : "in its backoff period",
+            u->at, u->since);
     }
 }
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -1,4 +1,4 @@
-/* soak.c -- long randomised runs over the pure state machines; `make soak SEED=n STEPS=n` */
+/* soak.c -- long randomised simulations of quorum and fleet; `make soak SEED=n STEPS=n` */
 #include <argtable2.h>
 #include <signal.h>
 #include <stdio.h>
@@ -8,16 +8,16 @@
 #include "sim_fleet.h"
 #include "sim_quorum.h"
 
-static char failure_note[128];
+static char failure_text[128];
 
 static void on_abort(int signal) {
     (void)signal;
-    ssize_t written = write(STDERR_FILENO, failure_note, strlen(failure_note));
+    ssize_t written = write(STDERR_FILENO, failure_text, strlen(failure_text));
     (void)written;
     _exit(1);
 }
 
-/* Sets that change: planned stops, succession, and two replicas that join later. */
+/* Sets that change: planned stops, replaced replicas, and two replicas that join later. */
 static simq_desc changing_set(uint64_t seed, int replicas) {
     return (simq_desc){.seed = seed,
                        .replicas = replicas + 2,
@@ -33,7 +33,7 @@
 static void run_quorum(const simq_desc* desc, uint64_t steps) {
     uint64_t seed = desc->seed;
     int replicas = desc->replicas;
-    g_snprintf(failure_note, sizeof failure_note,
+    g_snprintf(failure_text, sizeof failure_text,
                "soak: failed with seed %" G_GUINT64_FORMAT ", quorum of %d, %" G_GUINT64_FORMAT
                " steps\n",
                seed, replicas, steps);
@@ -49,16 +49,16 @@
         "%lu\n",
         c.committed, c.edits_accepted, c.edits_conflict, c.edits_resent, c.claims_granted,
         c.claims_repeated);
-    printf("  faults: lost %lu doubled %lu cuts %lu crashes %lu freezes %lu disks %lu replaced %lu "
-           "hand-overs %lu stops %lu snapshots %lu\n",
-           c.lost, c.doubled, c.cuts, c.crashes, c.freezes, c.disks_lost, c.replaced, c.hand_overs,
-           c.left, c.snapshots_sent);
+    printf("  faults: lost %lu duplicated %lu link cuts %lu crashes %lu freezes %lu lost disks %lu "
+           "replaced %lu leadership transfers %lu planned stops %lu snapshots sent %lu\n",
+           c.lost, c.duplicated, c.link_cuts, c.crashes, c.freezes, c.disks_lost, c.replaced,
+           c.leadership_transfers, c.left, c.snapshots_sent);
     simq_shutdown(run);
 }
 
-/* A fleet under random load and faults; the replay asserts leases, this the bound of the gap. */
+/* A fleet under random load and faults. The replay asserts leases, this the bound of the gap. */
 static void run_fleet(uint64_t seed, int seconds) {
-    g_snprintf(failure_note, sizeof failure_note,
+    g_snprintf(failure_text, sizeof failure_text,
                "soak: failed with seed %" G_GUINT64_FORMAT ", fleet for %d s\n", seed, seconds);
     int routers = 2 + (int)(wg_jitter(seed, 1) % 12);
     int targets = 4 + (int)(wg_jitter(seed, 2) % 20);
@@ -98,7 +98,7 @@
            seed, routers, targets, seconds, result.requests, result.gap_over_bound_calm,
            result.busy);
     if (result.gap_over_bound_calm >= 1) {
-        fprintf(stderr, "%s", text->str); /* a trace that bench_fair can replay */
+        fprintf(stderr, "%s", text->str); /* bench_fair can replay this trace */
     }
     WG_ASSERT(result.gap_over_bound_calm < 1);
     g_string_free(text, TRUE);
@@ -106,8 +106,8 @@
 
 int main(int argc, char** argv) {
     struct arg_int* seed = arg_int0(NULL, "seed", "<n>", "first seed");
-    struct arg_int* seeds = arg_int0(NULL, "seeds", "<n>", "how many seeds, default 1");
-    struct arg_int* steps = arg_int0(NULL, "steps", "<n>", "steps of each run");
+    struct arg_int* seeds = arg_int0(NULL, "seeds", "<n>", "number of seeds, default 1");
+    struct arg_int* steps = arg_int0(NULL, "steps", "<n>", "ticks of each run, default 100000");
     struct arg_end* end = arg_end(4);
     void* table[] = {seed, seeds, steps, end};
     if (arg_parse(argc, argv, table) > 0) {
