--- a/bench/bench_agree.c
+++ b/bench/bench_agree.c
@@ -58,7 +58,7 @@
         double weighted_tokens[WORKSPACES];
         proc_sleep(100);
         for (int w = 0; w < WORKSPACES; w++) {
-            weighted_tokens[w] = (double)workers[w].result.whole * TOKENS * 100.0 / weights[w];
+            weighted_tokens[w] = (double)workers[w].result.complete * TOKENS * 100.0 / weights[w];
             if (step <= 20) {
                 base[w] = weighted_tokens[w];
             }
@@ -85,13 +85,13 @@
         char weight[24];
         g_snprintf(name, sizeof name, "w%d", w);
         g_snprintf(weight, sizeof weight, "weight=%d", weights[w]);
-        proc_ctl(&fleet, NULL, "table", "set", "workspaces", name, weight, NULL);
+        proc_run_ctl(&fleet, NULL, "table", "set", "workspaces", name, weight, NULL);
     }
     int64_t tokens_made = 0;
     for (int e = 1; e <= 4; e++) {
         char name[16];
         g_snprintf(name, sizeof name, "engine%d", e);
-        tokens_made -= proc_journal(proc_find(&fleet, name), "tokens");
+        tokens_made -= proc_journal_number(proc_find(&fleet, name), "tokens");
     }
     GThread* threads[WORKSPACES];
     for (int w = 0; w < WORKSPACES; w++) {
@@ -104,24 +104,24 @@
     for (int e = 1; e <= 4; e++) {
         char name[16];
         g_snprintf(name, sizeof name, "engine%d", e);
-        tokens_made += proc_journal(proc_find(&fleet, name), "tokens");
+        tokens_made += proc_journal_number(proc_find(&fleet, name), "tokens");
     }
     double sum = 0;
     for (int w = 0; w < WORKSPACES; w++) {
-        sum += (double)workers[w].result.whole;
+        sum += (double)workers[w].result.complete;
     }
     char line[80];
     for (int w = 0; w < WORKSPACES; w++) {
         g_snprintf(line, sizeof line,
                    "processes: w%d of weight %d, part of the service (want %.4f)", w, weights[w],
                    weights[w] / 600.0);
-        bench_print(line, (double)workers[w].result.whole / sum, "");
+        bench_print(line, (double)workers[w].result.complete / sum, "");
     }
     bench_print("processes: worst gap, completed tokens", gap, "tokens per 100");
     proc_process* router = proc_find(&fleet, "r1");
     bench_print("processes: control payload of r1",
-                (double)(proc_state(&fleet, router, "link.bytes_sent") +
-                         proc_state(&fleet, router, "link.bytes_received")) /
+                (double)(proc_state_number(&fleet, router, "link.bytes_sent") +
+                         proc_state_number(&fleet, router, "link.bytes_received")) /
                     (SECONDS + 4),
                 "bytes/s");
     /* The engines' own count, as timers make a token take longer than the pace that is set. */
@@ -137,7 +137,7 @@
         fprintf(stderr, "%s\n", error->message);
         return 1;
     }
-    simf_result replay = simf_run(&trace, SIMF_WAY_LEASED);
+    simf_result replay = simf_run(&trace, SIMF_POLICY_LEASED);
     bench_print("replay: worst gap, tokens as they flow", replay.gap_worst, "tokens per 100");
     bench_print("replay: slots busy while requests waited", replay.busy, "");
     bench_print("replay: tokens a second", replay.tokens / SECONDS, "tokens/s");
--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -323,7 +323,7 @@
 static bool all_routers_have(proc_fleet* fleet, int64_t version) {
     for (int i = 0; i < fleet->num; i++) {
         proc_process* p = &fleet->processes[i];
-        if (p->name[0] == 'r' && proc_state(fleet, p, "table_version") < version) {
+        if (p->name[0] == 'r' && proc_state_number(fleet, p, "table_version") < version) {
             return false;
         }
     }
@@ -348,19 +348,20 @@
         };
         double cpu = bench_process_cpu_us(leader->pid);
         double router_cpu = bench_process_cpu_us(router->pid);
-        int64_t bytes = proc_state(&fleet, leader, "links.bytes_sent") +
-                        proc_state(&fleet, leader, "links.bytes_received");
-        int64_t own = proc_state(&fleet, router, "link.bytes_sent") +
-                      proc_state(&fleet, router, "link.bytes_received");
+        int64_t bytes = proc_state_number(&fleet, leader, "links.bytes_sent") +
+                        proc_state_number(&fleet, leader, "links.bytes_received");
+        int64_t own = proc_state_number(&fleet, router, "link.bytes_sent") +
+                      proc_state_number(&fleet, router, "link.bytes_received");
         proc_sleep(SECONDS * 1000);
         x[i] = sizes[i];
         leader_cpu[i] = (bench_process_cpu_us(leader->pid) - cpu) / SECONDS / 1e4;
         router_cpu = (bench_process_cpu_us(router->pid) - router_cpu) / SECONDS / 1e4;
-        leader_bytes[i] = (double)(proc_state(&fleet, leader, "links.bytes_sent") +
-                                   proc_state(&fleet, leader, "links.bytes_received") - bytes) /
-                          SECONDS;
-        router_bytes[i] = (double)(proc_state(&fleet, router, "link.bytes_sent") +
-                                   proc_state(&fleet, router, "link.bytes_received") - own) /
+        leader_bytes[i] =
+            (double)(proc_state_number(&fleet, leader, "links.bytes_sent") +
+                     proc_state_number(&fleet, leader, "links.bytes_received") - bytes) /
+            SECONDS;
+        router_bytes[i] = (double)(proc_state_number(&fleet, router, "link.bytes_sent") +
+                                   proc_state_number(&fleet, router, "link.bytes_received") - own) /
                           SECONDS;
         char line[80];
         g_snprintf(line, sizeof line, "real fleet of %d routers, idle: leader's processor",
@@ -383,9 +384,9 @@
             char weight[32];
             char* out = NULL;
             g_snprintf(weight, sizeof weight, "weight=%d", 300 + e);
-            proc_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL);
+            proc_run_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL);
             gint64 begin = g_get_monotonic_time();
-            int64_t version = proc_number(out, "version");
+            int64_t version = proc_json_number(out, "version");
             while (!all_routers_have(&fleet, version)) {
             }
             wg_hist_add(&in_force, g_get_monotonic_time() - begin);
@@ -428,7 +429,7 @@
         simf_trace_parse(text->str, &trace, NULL);
         g_string_free(text, TRUE);
         double begin = bench_cpu_us();
-        simf_result result = simf_run(&trace, SIMF_WAY_LEASED);
+        simf_result result = simf_run(&trace, SIMF_POLICY_LEASED);
         x[i] = sizes[i];
         own[i] = result.control_bytes;
         leader[i] = result.leader_bytes;
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -37,8 +37,8 @@
         g_error_free(error);
         return 1;
     }
-    static const simf_way ways[] = {SIMF_WAY_OMNISCIENT, SIMF_WAY_ALONE, SIMF_WAY_ARBITER,
-                                    SIMF_WAY_LEASED};
+    static const simf_policy ways[] = {SIMF_POLICY_OMNISCIENT, SIMF_POLICY_ALONE,
+                                       SIMF_POLICY_ARBITER, SIMF_POLICY_LEASED};
     printf("%s (gaps in tokens per 100 of weight)\n", trace.name);
     printf("  %-10s %8s %8s %8s %8s %7s %8s %7s %8s %8s %8s %8s\n", "way", "gap p50", "gap p99",
            "worst", "/bound", "busy", "tokens", "wasted", "wait p99", "urgent", "B/s", "recovery");
@@ -46,19 +46,19 @@
     int failed = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
         simf_result r = simf_run(&trace, ways[i]);
-        if (ways[i] == SIMF_WAY_OMNISCIENT) {
+        if (ways[i] == SIMF_POLICY_OMNISCIENT) {
             best_tokens = r.tokens;
         }
         printf("  %-10s %8.0f %8.0f %8.0f %8.3f %7.4f %8.4f %7.4f %8.2f %8.2f %8.0f %8.2f\n",
-               simf_way_name(ways[i]), r.gap_median, r.gap_p99, r.gap_worst, r.gap_over_bound,
+               simf_policy_name(ways[i]), r.gap_median, r.gap_p99, r.gap_worst, r.gap_over_bound,
                r.busy, r.tokens / best_tokens, r.wasted, r.wait_p99, r.urgent_wait_worst,
                r.control_bytes, r.recovery);
         fprintf(
             csv, "%s,%s,%.1f,%.1f,%.1f,%.4f,%.5f,%.5f,%.5f,%.3f,%.3f,%.3f,%.5f,%.1f,%.1f,%.2f\n",
-            trace.name, simf_way_name(ways[i]), r.gap_median, r.gap_p99, r.gap_worst,
+            trace.name, simf_policy_name(ways[i]), r.gap_median, r.gap_p99, r.gap_worst,
             r.gap_over_bound, r.busy, r.tokens / best_tokens, r.wasted, r.wait_p99, r.wait_worst,
             r.urgent_wait_worst, r.refused, r.control_bytes, r.leader_bytes, r.recovery);
-        if (ways[i] == SIMF_WAY_LEASED) {
+        if (ways[i] == SIMF_POLICY_LEASED) {
             failed += check_expects(&trace, &r, best_tokens);
         }
         fflush(stdout);
--- a/bench/bench_faults.c
+++ b/bench/bench_faults.c
@@ -17,7 +17,7 @@
                       .tokens = 20,
                       .seed = 1,
                       .follow_entry = true,
-                      .tries = 20};
+                      .attempts_max = 20};
     for (int i = 0; i < fleet.num; i++) {
         if (fleet.processes[i].name[0] == 'r') {
             desc.hosts[desc.hosts_num++] = fleet.processes[i].address;
@@ -27,7 +27,7 @@
 }
 
 static int64_t metric(proc_process* p, const char* name) {
-    proc_answer answer = proc_ask(p->operators, "GET", "/metrics", NULL, NULL, NULL);
+    proc_answer answer = proc_request(p->operators, "GET", "/metrics", NULL, NULL, NULL);
     char* line = g_strdup_printf("%s ", name);
     const char* at = answer.body ? strstr(answer.body, line) : NULL;
     int64_t value = at ? g_ascii_strtoll(at + strlen(line), NULL, 10) : -1;
@@ -52,8 +52,8 @@
         char* out = NULL;
         g_snprintf(weight, sizeof weight, "weight=%d", 100 + e);
         gint64 begin = g_get_monotonic_time();
-        proc_ctl(&fleet, &out, "table", "set", "workspaces", "w2", weight, NULL);
-        int64_t version = proc_number(out, "version");
+        proc_run_ctl(&fleet, &out, "table", "set", "workspaces", "w2", weight, NULL);
+        int64_t version = proc_json_number(out, "version");
         g_free(out);
         for (int r = 1; r <= fleet.desc.routers; r++) {
             char name[8];
@@ -142,7 +142,7 @@
     load_run(&desc, &result);
     char line[80];
     g_snprintf(line, sizeof line, "%s: whole answers", name);
-    bench_print(line, (double)result.whole, "requests");
+    bench_print(line, (double)result.complete, "requests");
     g_snprintf(line, sizeof line, "%s: failed", name);
     bench_print(line, (double)result.failed, "requests");
     if (result.failed > 0) {
@@ -156,12 +156,12 @@
 static void measure_attempts(int percent) {
     char faults[32];
     g_snprintf(faults, sizeof faults, "fail=0&refuse=%d", percent);
-    proc_faults(proc_find(&fleet, "service1"), faults);
-    proc_faults(proc_find(&fleet, "service2"), faults);
+    proc_set_faults(proc_find(&fleet, "service1"), faults);
+    proc_set_faults(proc_find(&fleet, "service2"), faults);
     int64_t before = 0;
     int64_t requests_before = 0;
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, 3, "key-w1");
-    desc.tries = 1;
+    desc.attempts_max = 1;
     for (int r = 1; r <= fleet.desc.routers; r++) {
         char name[8];
         g_snprintf(name, sizeof name, "r%d", r);
@@ -180,8 +180,8 @@
     g_snprintf(line, sizeof line, "attempts a request, targets refuse %d%%", percent);
     bench_print(line, 1 + (double)before / (double)MIN(requests_before, -1), "");
     load_clear(&result);
-    proc_faults(proc_find(&fleet, "service1"), "fail=0&refuse=0");
-    proc_faults(proc_find(&fleet, "service2"), "fail=0&refuse=0");
+    proc_set_faults(proc_find(&fleet, "service1"), "fail=0&refuse=0");
+    proc_set_faults(proc_find(&fleet, "service2"), "fail=0&refuse=0");
 }
 
 static void measure_catch_up(void) {
@@ -193,39 +193,39 @@
             g_strdup_printf("{\"edit_id\":\"%032x\",\"rows\":[{\"kind_of_row\":\"workspace\","
                             "\"name\":\"many%d\",\"version\":0,\"weight\":5}]}",
                             n + 1, n);
-        proc_answer answer =
-            proc_ask(leader->operators, "POST", "/v1/table/edit", fleet.operator_key, NULL, body);
+        proc_answer answer = proc_request(leader->operators, "POST", "/v1/table/edit",
+                                          fleet.operator_key, NULL, body);
         WG_ASSERT(answer.status == 200);
         proc_answer_clear(&answer);
         g_free(body);
     }
-    int64_t commit = proc_state(&fleet, leader, "log.commit");
+    int64_t commit = proc_state_number(&fleet, leader, "log.commit");
     gint64 begin = g_get_monotonic_time();
     proc_start(&fleet, stopped);
-    while (proc_state(&fleet, stopped, "log.commit") < commit) {
+    while (proc_state_number(&fleet, stopped, "log.commit") < commit) {
         proc_sleep(2);
     }
     bench_print("restart after 1,000 changes: caught up after",
                 (double)(g_get_monotonic_time() - begin) / 1000, "ms");
     bench_print("log on disk after 1,000 changes",
-                (double)proc_state(&fleet, stopped, "store.log_bytes"), "bytes");
+                (double)proc_state_number(&fleet, stopped, "store.log_bytes"), "bytes");
 }
 
 static void measure_drain(void) {
-    proc_faults(proc_find(&fleet, "service2"), "leaving=1");
+    proc_set_faults(proc_find(&fleet, "service2"), "leaving=1");
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, 4, "key-w1");
     load_result result;
-    int64_t last = proc_journal(proc_find(&fleet, "service2"), "lookups");
+    int64_t last = proc_journal_number(proc_find(&fleet, "service2"), "lookups");
     load_run(&desc, &result);
     bench_print("leaving said by a target itself: requests it got after",
-                (double)(proc_journal(proc_find(&fleet, "service2"), "lookups") - last),
+                (double)(proc_journal_number(proc_find(&fleet, "service2"), "lookups") - last),
                 "requests");
-    bench_print("  of all in the time", (double)result.whole, "requests");
+    bench_print("  of all in the time", (double)result.complete, "requests");
     load_clear(&result);
-    proc_faults(proc_find(&fleet, "service2"), "leaving=0");
+    proc_set_faults(proc_find(&fleet, "service2"), "leaving=0");
     /* Draining that a target reported itself ends only by an operator's edit. */
-    proc_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=1", NULL);
-    proc_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=0", NULL);
+    proc_run_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=1", NULL);
+    proc_run_ctl(&fleet, NULL, "table", "set", "targets", "service2", "leaving=0", NULL);
     proc_sleep(500);
 }
 
--- a/bench/bench_router.c
+++ b/bench/bench_router.c
@@ -39,9 +39,9 @@
     for (int i = 0; i < threads; i++) {
         g_thread_join(handles[i]);
         const load_result* r = &workers[i].result;
-        sum.whole += r->whole;
+        sum.complete += r->complete;
         sum.failed += r->failed;
-        sum.took = MAX(sum.took, r->took);
+        sum.elapsed = MAX(sum.elapsed, r->elapsed);
         for (int b = 0; b < WG_HIST_BUCKETS; b++) {
             sum.latency.counts[b] += r->latency.counts[b];
             sum.first_token.counts[b] += r->first_token.counts[b];
@@ -68,7 +68,7 @@
 }
 
 static double rate(const load_result* r) {
-    return (double)r->whole / ((double)r->took / 1e6);
+    return (double)r->complete / ((double)r->elapsed / 1e6);
 }
 
 static double mean(const wg_hist* hist) {
@@ -87,8 +87,8 @@
     bench_print("small requests, stand-in alone", rate(&alone), "requests/s");
     bench_print("small requests, one router, saturated", rate(&routed), "requests/s");
     bench_print("  ratio to the stand-in alone", rate(&routed) / rate(&alone), "");
-    bench_print("  processor time of the router a request", cpu / (double)routed.whole, "us");
-    bench_print("  so one core carries", 1e6 * (double)routed.whole / cpu, "requests/s");
+    bench_print("  processor time of the router a request", cpu / (double)routed.complete, "us");
+    bench_print("  so one core carries", 1e6 * (double)routed.complete / cpu, "requests/s");
     bench_print("  failed", (double)routed.failed, "requests");
     desc = load_of(target, LOAD_KIND_PLAIN, 2);
     alone = run(&desc, 1);
@@ -125,7 +125,7 @@
                 (mean(&routed.first_token) - mean(&alone.first_token)) / 1000, "ms");
     bench_print("  added to the whole stream, mean",
                 (mean(&routed.latency) - mean(&alone.latency)) / 1000, "ms");
-    bench_print("  processor time of the router a token", cpu / (double)routed.whole / 50, "us");
+    bench_print("  processor time of the router a token", cpu / (double)routed.complete / 50, "us");
 }
 
 static void measure_idle_connections(void) {
@@ -169,7 +169,8 @@
             g_snprintf(sent, sizeof sent, "%sbytes_sent", prefix);
             g_snprintf(received, sizeof received, "%sbytes_received", prefix);
             double cpu_now = bench_process_cpu_us(p->pid);
-            int64_t bytes_now = proc_state(&fleet, p, sent) + proc_state(&fleet, p, received);
+            int64_t bytes_now =
+                proc_state_number(&fleet, p, sent) + proc_state_number(&fleet, p, received);
             if (sample == 1) {
                 char line[64];
                 g_snprintf(line, sizeof line, "idle %s: control payload, both ways", names[i]);
@@ -195,7 +196,7 @@
                                           .services = 1,
                                           .engine_slots = 64,
                                           .engine_pace_us = 2000});
-    proc_faults(proc_find(&fleet, "service1"), "work_us=0");
+    proc_set_faults(proc_find(&fleet, "service1"), "work_us=0");
     measure_small_requests();
     measure_streams();
     measure_idle_connections();
--- a/tests/fleet_common.h
+++ b/tests/fleet_common.h
@@ -21,7 +21,7 @@
 static int fetch_status(const char* router, const char* method, const char* path, const char* key,
                         const char* headers, const char* body) {
     proc_answer answer =
-        proc_ask(proc_find(&fleet, router)->address, method, path, key, headers, body);
+        proc_request(proc_find(&fleet, router)->address, method, path, key, headers, body);
     int status = answer.status;
     proc_answer_clear(&answer);
     return status;
@@ -45,9 +45,9 @@
 
 static void ck_no_failures(const load_result* result) {
     ck_assert_msg(result->failed == 0, "%lu failed, last: %s", result->failed, result->last_error);
-    ck_assert_uint_eq(result->wrong, 0);
-    ck_assert_uint_eq(result->doubled, 0);
-    ck_assert_uint_gt(result->whole, 0);
+    ck_assert_uint_eq(result->mismatched, 0);
+    ck_assert_uint_eq(result->token_errors, 0);
+    ck_assert_uint_gt(result->complete, 0);
 }
 
 /* Checks that no action ran twice, and that none reported as not run reached a service. */
@@ -57,11 +57,11 @@
         if (!g_str_has_prefix(p->name, "service")) {
             continue;
         }
-        ck_assert_int_le(proc_journal(p, "most_runs"), 1);
+        ck_assert_int_le(proc_journal_number(p, "most_runs"), 1);
         for (guint n = 0; n < result->not_run_ids->len; n++) {
             char* path =
                 g_strdup_printf("runs.%s", (char*)g_ptr_array_index(result->not_run_ids, n));
-            ck_assert_int_eq(proc_journal(p, path), -1);
+            ck_assert_int_eq(proc_journal_number(p, path), -1);
             g_free(path);
         }
     }
--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -92,7 +92,8 @@
     int named = 0;
     for (int i = 0; i < h->num && named < 3; i++) {
         if (!h->hosts[i].absent) {
-            g_string_append_printf(list, "%s127.%d.1.%d:7200", named++ ? "," : "", h->part, i + 1);
+            g_string_append_printf(list, "%s127.%d.1.%d:7200", named++ ? "," : "",
+                                   h->loopback_part_number, i + 1);
         }
     }
     return g_string_free(list, FALSE);
@@ -104,8 +105,10 @@
     char listen_address[WG_ADDRESS_MAX];
     char upstream_address[WG_ADDRESS_MAX];
     w->disk = true;
-    g_snprintf(listen_address, sizeof listen_address, "127.%d.1.%d:7100", h->part, w->number);
-    g_snprintf(upstream_address, sizeof upstream_address, "127.%d.9.%d:7100", h->part, w->number);
+    g_snprintf(listen_address, sizeof listen_address, "127.%d.1.%d:7100", h->loopback_part_number,
+               w->number);
+    g_snprintf(upstream_address, sizeof upstream_address, "127.%d.9.%d:7100",
+               h->loopback_part_number, w->number);
     w->links = proxy_start(h->base, listen_address, upstream_address);
 }
 
@@ -114,7 +117,7 @@
     h->losses = 1;
     h->replica_timing = g_strdup("tick_ms=20\nlink_silence_ms=1200\n");
     WG_ASSERT(num <= HOSTS_MAX && targets <= HOST_TARGETS_MAX);
-    h->part = loopback_reserve(is_free_part);
+    h->loopback_part_number = loopback_reserve(is_free_part);
     find_programs(h);
     g_strlcpy(h->folder, "/tmp/wg-hosts-XXXXXX", sizeof h->folder);
     WG_ASSERT(mkdtemp(h->folder) != NULL);
@@ -123,10 +126,12 @@
     for (int i = 0; i < num; i++) {
         host* w = &h->hosts[i];
         w->number = i + 1;
-        g_snprintf(w->callers, sizeof w->callers, "127.%d.1.%d:8000", h->part, i + 1);
-        g_snprintf(w->ready, sizeof w->ready, "127.%d.1.%d:8001", h->part, i + 1);
-        g_snprintf(w->entries, sizeof w->entries, "127.%d.1.%d:8002", h->part, i + 1);
-        g_snprintf(w->orders, sizeof w->orders, "127.%d.1.%d:7200", h->part, i + 1);
+        g_snprintf(w->callers, sizeof w->callers, "127.%d.1.%d:8000", h->loopback_part_number,
+                   i + 1);
+        g_snprintf(w->ready, sizeof w->ready, "127.%d.1.%d:8001", h->loopback_part_number, i + 1);
+        g_snprintf(w->entries, sizeof w->entries, "127.%d.1.%d:8002", h->loopback_part_number,
+                   i + 1);
+        g_snprintf(w->orders, sizeof w->orders, "127.%d.1.%d:7200", h->loopback_part_number, i + 1);
         if (i < disks) {
             hosts_give_disk(h, w);
         }
@@ -138,8 +143,10 @@
         t->number = i + 1;
         t->service = i % 2 ? "engine" : "app";
         t->data_centre = i >= 3 ? HOSTS_EVACUABLE : "dc";
-        g_snprintf(listen_address, sizeof listen_address, "127.%d.5.%d:9000", h->part, i + 1);
-        g_snprintf(upstream_address, sizeof upstream_address, "127.%d.6.%d:9000", h->part, i + 1);
+        g_snprintf(listen_address, sizeof listen_address, "127.%d.5.%d:9000",
+                   h->loopback_part_number, i + 1);
+        g_snprintf(upstream_address, sizeof upstream_address, "127.%d.6.%d:9000",
+                   h->loopback_part_number, i + 1);
         t->links = proxy_start(base, listen_address, upstream_address);
     }
 }
@@ -170,8 +177,8 @@
         "entry_listen=%s\norders_listen=%s\nseeds=%s\nfleet_port=7100\n"
         "fleet_listen=127.%d.1.%d:7101\n[keys]\nfleet_key=fleet.key\n[log]\nlog_target=stdout\n"
         "[timing]\ngrace_s=8\nstandby_ms=%d\n",
-        h->part, w->number, w->callers, w->ready, w->entries, w->orders, list, h->part, w->number,
-        h->standby_ms ? h->standby_ms : 15000);
+        h->loopback_part_number, w->number, w->callers, w->ready, w->entries, w->orders, list,
+        h->loopback_part_number, w->number, h->standby_ms ? h->standby_ms : 15000);
     g_snprintf(name, sizeof name, "entry-%d.ini", w->number);
     g_snprintf(log, sizeof log, "entry-%d.log", w->number);
     write_file(h, name, text);
@@ -192,8 +199,9 @@
         "first_start=%s\n"
         "[keys]\nfleet_key=fleet.key\noperator_key=operator.key\n[log]\nlog_target=stdout\n"
         "[timing]\n%s[state]\nsnapshot_entries=20\nlog_keep=8\nclaims_max=1024\n",
-        h->part, w->number, h->part, w->number, h->part, w->number, h->part, w->number, w->number,
-        list, h->losses, h->started_before ? "false" : "true", h->replica_timing);
+        h->loopback_part_number, w->number, h->loopback_part_number, w->number,
+        h->loopback_part_number, w->number, h->loopback_part_number, w->number, w->number, list,
+        h->losses, h->started_before ? "false" : "true", h->replica_timing);
     g_snprintf(name, sizeof name, "replica-%d.ini", w->number);
     g_snprintf(log, sizeof log, "replica-%d.log", w->number);
     write_file(h, name, text);
@@ -215,14 +223,15 @@
         const host* w = &h->hosts[(i + t->number) % h->num];
         g_string_append_printf(list, "%s%s", i ? "," : "", w->orders);
     }
-    g_snprintf(address, sizeof address, "address=127.%d.6.%d:9000", h->part, t->number);
-    g_snprintf(id, sizeof id, "id=target-%d-%d", t->number, t->keeps_id ? 0 : t->incarnation);
+    g_snprintf(address, sizeof address, "address=127.%d.6.%d:9000", h->loopback_part_number,
+               t->number);
+    g_snprintf(id, sizeof id, "id=target-%d-%d", t->number, t->reuses_id ? 0 : t->incarnation);
     g_snprintf(service, sizeof service, "service=%s", t->service);
     g_snprintf(runs, sizeof runs, "runs=runs-%d", t->number);
     g_snprintf(log, sizeof log, "target-%d.log", t->number);
     char advertised[64];
-    g_snprintf(advertised, sizeof advertised, "advertise=127.%d.%d.%d:9000", h->part,
-               h->direct_targets ? 6 : 5, t->number);
+    g_snprintf(advertised, sizeof advertised, "advertise=127.%d.%d.%d:9000",
+               h->loopback_part_number, h->direct_targets ? 6 : 5, t->number);
     char place[48];
     g_snprintf(place, sizeof place, "data_centre=%s", t->data_centre);
     char* arguments[] = {address,
@@ -236,7 +245,7 @@
                          (char*)"slots=16",
                          (char*)"work_us=3000",
                          (char*)"pace_us=4000",
-                         h->spoiled ? (char*)"cut=2" : NULL,
+                         h->target_faults ? (char*)"cut=2" : NULL,
                          (char*)"fail=10",
                          (char*)"refuse=6",
                          NULL};
@@ -255,18 +264,18 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-bool hosts_set_target(hosts* h, const host_target* t, const char* faults) {
+bool hosts_set_faults(hosts* h, const host_target* t, const char* faults) {
     char address[WG_ADDRESS_MAX];
     char* path = g_strdup_printf("/fake/set?%s", faults);
-    g_snprintf(address, sizeof address, "127.%d.6.%d:9000", h->part, t->number);
-    proc_answer answer = proc_ask(address, "POST", path, NULL, NULL, NULL);
+    g_snprintf(address, sizeof address, "127.%d.6.%d:9000", h->loopback_part_number, t->number);
+    proc_answer answer = proc_request(address, "POST", path, NULL, NULL, NULL);
     bool set = answer.status == 200;
     proc_answer_clear(&answer);
     g_free(path);
     return set;
 }
 
-void hosts_wipe(hosts* h, host* w) {
+void hosts_wipe_disk(hosts* h, host* w) {
     char* folder = g_strdup_printf("%s/data-%d", h->folder, w->number);
     WG_ASSERT(w->replica == 0);
     folder_wipe(folder);
@@ -282,7 +291,7 @@
     }
 }
 
-void hosts_end(hosts* h, bool keep) {
+void hosts_shutdown(hosts* h, bool keep) {
     g_clear_pointer(&h->replica_timing, g_free);
     for (int i = 0; i < h->num; i++) {
         kill_process(&h->hosts[i].entry);
@@ -315,18 +324,18 @@
     g_array_append_val(times, at);
 }
 
-static void add_hint_violation(hosts_notes* notes, int target, const char* value, bool draining) {
+static void add_hint_violation(hosts_events* notes, int target, const char* value, bool draining) {
     hosts_hint_violation u = {.target = target, .draining = draining};
     long long since = 0;
     long long at = 0;
     if (sscanf(value, "%d %lld %lld", &u.host, &since, &at) == 3) {
         u.since = since;
         u.at = at;
-        g_array_append_val(notes->unheeded, u);
+        g_array_append_val(notes->hint_violations, u);
     }
 }
 
-static void add_event(hosts_notes* notes, int target, const char* line) {
+static void add_event(hosts_events* notes, int target, const char* line) {
     const char* value = strchr(line, ' ');
     if (!value) {
         return;
@@ -350,12 +359,13 @@
     }
 }
 
-hosts_notes hosts_read_notes(const hosts* h) {
-    hosts_notes notes = {.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-                         .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                         .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                         .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                         .unheeded = g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
+hosts_events hosts_read_events(const hosts* h) {
+    hosts_events notes = {.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+                          .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                          .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                          .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                          .hint_violations =
+                              g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
     for (int i = 0; i < h->targets_num; i++) {
         char* path = g_strdup_printf("%s/runs-%d", h->folder, i + 1);
         char* text = NULL;
@@ -371,10 +381,10 @@
     return notes;
 }
 
-void hosts_notes_clear(hosts_notes* notes) {
+void hosts_events_clear(hosts_events* notes) {
     g_hash_table_unref(notes->runs);
     g_array_unref(notes->late);
     g_array_unref(notes->cold);
     g_array_unref(notes->evacuable);
-    g_array_unref(notes->unheeded);
+    g_array_unref(notes->hint_violations);
 }
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -39,7 +39,7 @@
     proxy* links;
     const char* service;
     const char* data_centre;
-    bool keeps_id; /* restarts under the same id */
+    bool reuses_id; /* restarts under the same id */
 } host_target;
 
 /* Events recorded by the targets; times are those of arrival, on the monotonic clock. */
@@ -49,8 +49,8 @@
     GArray* cold;      /* wg_time, requests beyond what a cold target may receive in a second */
     int cold_max;      /* max requests that a cold target received in a second */
     GArray* evacuable; /* wg_time, all requests to targets in HOSTS_EVACUABLE */
-    GArray* unheeded;  /* hosts_hint_violation */
-} hosts_notes;
+    GArray* hint_violations; /* hosts_hint_violation */
+} hosts_events;
 
 /* A request that reached a target although the target had sent its host a backoff hint or notified
    it of draining. */
@@ -64,7 +64,7 @@
 
 typedef struct {
     struct event_base* base;
-    int part; /* H in the fleet's addresses 127.H.x.y */
+    int loopback_part_number; /* H in the fleet's addresses 127.H.x.y */
     char folder[64];
     char bin[256];
     host hosts[HOSTS_MAX];
@@ -76,7 +76,7 @@
     char* replica_timing; /* settings of the replicas' group [timing] */
     int standby_ms;       /* setting `standby_ms` of entry processes; 0: the default */
     bool direct_targets;  /* hosts connect to targets without proxies */
-    bool spoiled;         /* targets abort, fail and refuse a part of their requests */
+    bool target_faults;   /* targets abort, fail and refuse a part of their requests */
 } hosts;
 
 /* Sets up addresses and proxies; starts no process. The first `disks` hosts have a disk. */
@@ -92,10 +92,10 @@
 int hosts_run_program(hosts* h, const char* program, const char* log, char** arguments);
 /* Sets faults of a running target, "name=value&name=value"; see tests/fakes/fake.h. False when it
    does not answer with 200. */
-bool hosts_set_target(hosts* h, const host_target* which, const char* faults);
+bool hosts_set_faults(hosts* h, const host_target* which, const char* faults);
 /* Empties the data folder of a replica that is not running. */
-void hosts_wipe(hosts* h, host* which);
+void hosts_wipe_disk(hosts* h, host* which);
 /* Kills everything that was started and removes the folder unless `keep`. */
-void hosts_end(hosts* h, bool keep);
-hosts_notes hosts_read_notes(const hosts* h);
-void hosts_notes_clear(hosts_notes* notes);
+void hosts_shutdown(hosts* h, bool keep);
+hosts_events hosts_read_events(const hosts* h);
+void hosts_events_clear(hosts_events* notes);
--- a/tests/sim/hosts_operator.c
+++ b/tests/sim/hosts_operator.c
@@ -107,9 +107,9 @@
     event_base_dispatch(h->base);
 }
 
-int hosts_form_anew(hosts* h, const host* at, const char* removed) {
+int hosts_recover_set(hosts* h, const host* at, const char* removed) {
     char address[WG_ADDRESS_MAX];
-    g_snprintf(address, sizeof address, "127.%d.9.%d:7300", h->part, at->number);
+    g_snprintf(address, sizeof address, "127.%d.9.%d:7300", h->loopback_part_number, at->number);
     return send_request(h,
                         &(request_desc){.address = address,
                                         .host = "replica",
--- a/tests/sim/load.c
+++ b/tests/sim/load.c
@@ -141,7 +141,7 @@
 static void record_complete(caller_t* c) {
     load_t* l = c->load;
     wg_time now = wg_now();
-    l->result->whole++;
+    l->result->complete++;
     l->result->longest_gap = MAX(l->result->longest_gap, now - l->last_complete_at);
     l->last_complete_at = now;
     wg_hist_add(&l->result->latency, now - c->begun);
@@ -158,15 +158,15 @@
     load_result* r = c->load->result;
     if (is_stream(d)) {
         if (c->token_wrong || (c->done_seen && c->tokens != d->tokens)) {
-            r->doubled++;
+            r->token_errors++;
         }
         if (!c->done_seen) {
-            r->broken++;
+            r->aborted++;
             r->failed++;
             return;
         }
     } else if (!body_contains(c, c->id)) {
-        r->wrong++;
+        r->mismatched++;
     }
     record_complete(c);
 }
@@ -218,7 +218,7 @@
     int status = request ? evhttp_request_get_response_code(request) : 0;
     r->by_status[CLAMP(status, 0, 599)]++;
     c->tries++;
-    bool more = c->tries < (c->load->desc->tries ? c->load->desc->tries : 5);
+    bool more = c->tries < (c->load->desc->attempts_max ? c->load->desc->attempts_max : 5);
     if (status == 200) {
         check_answer(c);
     } else if (status == 0) {
@@ -230,7 +230,7 @@
             schedule_retry(c, 20);
             return;
         }
-        r->broken++;
+        r->aborted++;
         record_failure(c, 0, "");
     } else {
         const char* verdict =
@@ -367,7 +367,7 @@
         next_request(c);
     }
     event_base_dispatch(l.base);
-    result->took = wg_now() - l.start_time;
+    result->elapsed = wg_now() - l.start_time;
     for (int i = 0; i < desc->callers; i++) {
         drop_connection(&l.callers[i]);
         evbuffer_free(l.callers[i].body);
--- a/tests/sim/load.h
+++ b/tests/sim/load.h
@@ -30,8 +30,8 @@
     const char* key;
     load_kind kind;
     int callers;
-    int tokens; /* tokens of a stream */
-    int tries;  /* attempts before a request counts as failed; default 5 */
+    int tokens;       /* tokens of a stream */
+    int attempts_max; /* attempts before a request counts as failed; default 5 */
     wg_time duration;
     uint64_t requests; /* stop after this number; 0: after `duration` */
     uint64_t seed;
@@ -41,12 +41,12 @@
 } load_desc;
 
 typedef struct {
-    uint64_t whole;  /* complete answers */
-    uint64_t failed; /* no complete answer after all attempts, or refused */
-    uint64_t broken; /* the connection ended without a complete answer */
+    uint64_t complete; /* complete answers */
+    uint64_t failed;   /* no complete answer after all attempts, or refused */
+    uint64_t aborted;  /* the connection ended without a complete answer */
     uint64_t retried;
-    uint64_t wrong;   /* answers to another request: must be 0 */
-    uint64_t doubled; /* complete streams with a duplicated or lost token: must be 0 */
+    uint64_t mismatched;   /* answers to another request: must be 0 */
+    uint64_t token_errors; /* complete streams with a duplicated or lost token: must be 0 */
     uint64_t by_status[600];
     uint64_t refused_connections;
     wg_hist latency;        /* microseconds, complete answers */
@@ -54,7 +54,7 @@
     GPtrArray* not_run_ids; /* ids of actions finally refused as not-run */
     GPtrArray* sent_ids;
     wg_time longest_gap; /* longest time without a complete answer */
-    wg_time took;
+    wg_time elapsed;
     char last_error[160];
 } load_result;
 
--- a/tests/sim/proc.c
+++ b/tests/sim/proc.c
@@ -38,10 +38,11 @@
     GString* list = g_string_new(NULL);
     for (int i = 0; i < f->desc.controls; i++) {
         if (operators) {
-            g_string_append_printf(list, "%s127.%d.1.%d:7200", i ? "," : "", f->host, i + 1);
+            g_string_append_printf(list, "%s127.%d.1.%d:7200", i ? "," : "",
+                                   f->loopback_part_number, i + 1);
         } else {
-            g_string_append_printf(list, "%sc%d@127.%d.1.%d:7100", i ? " " : "", i + 1, f->host,
-                                   i + 1);
+            g_string_append_printf(list, "%sc%d@127.%d.1.%d:7100", i ? " " : "", i + 1,
+                                   f->loopback_part_number, i + 1);
         }
     }
     return g_string_free(list, FALSE);
@@ -57,8 +58,8 @@
 static void add_control(proc_fleet* f, int i) {
     proc_process* p = add_process(f, "c", i);
     char* list = control_addresses(f, false);
-    g_snprintf(p->address, sizeof p->address, "127.%d.1.%d:7100", f->host, i);
-    g_snprintf(p->operators, sizeof p->operators, "127.%d.1.%d:7200", f->host, i);
+    g_snprintf(p->address, sizeof p->address, "127.%d.1.%d:7100", f->loopback_part_number, i);
+    g_snprintf(p->operators, sizeof p->operators, "127.%d.1.%d:7200", f->loopback_part_number, i);
     g_snprintf(p->settings, sizeof p->settings, "%s.ini", p->name);
     char* text = g_strdup_printf("[control]\nname=%s\ndata_centre=dc%d\nfleet_listen=%s\n"
                                  "operators_listen=%s\ndata_folder=data-%s\ncontrols=%s\n"
@@ -74,14 +75,14 @@
 static void add_router(proc_fleet* f, int i) {
     proc_process* p = add_process(f, "r", i);
     char* list = control_addresses(f, false);
-    g_snprintf(p->address, sizeof p->address, "127.%d.2.%d:8000", f->host, i);
-    g_snprintf(p->operators, sizeof p->operators, "127.%d.2.%d:7300", f->host, i);
+    g_snprintf(p->address, sizeof p->address, "127.%d.2.%d:8000", f->loopback_part_number, i);
+    g_snprintf(p->operators, sizeof p->operators, "127.%d.2.%d:7300", f->loopback_part_number, i);
     g_snprintf(p->settings, sizeof p->settings, "%s.ini", p->name);
     char* extra = g_strdup(f->desc.router_extra ? f->desc.router_extra : "");
     char* place = strstr(extra, "%d");
     if (place) {
         *place = 0;
-        char* filled = g_strdup_printf("%s%d%s", extra, f->host, place + 2);
+        char* filled = g_strdup_printf("%s%d%s", extra, f->loopback_part_number, place + 2);
         g_free(extra);
         extra = filled;
     }
@@ -99,7 +100,8 @@
 
 static void add_target(proc_fleet* f, const char* kind, int i, int subnet) {
     proc_process* p = add_process(f, kind, i);
-    g_snprintf(p->address, sizeof p->address, "127.%d.%d.%d:9000", f->host, subnet, i);
+    g_snprintf(p->address, sizeof p->address, "127.%d.%d.%d:9000", f->loopback_part_number, subnet,
+               i);
 }
 
 static void put_table(proc_fleet* f) {
@@ -131,14 +133,14 @@
     }
     write_file(f, "workspaces.csv", csv->str);
     g_string_free(csv, TRUE);
-    WG_ASSERT(proc_ctl(f, NULL, "table", "put", "services", "services.csv", NULL) == 0);
-    WG_ASSERT(proc_ctl(f, NULL, "table", "put", "targets", "targets.csv", NULL) == 0);
-    WG_ASSERT(proc_ctl(f, NULL, "table", "put", "workspaces", "workspaces.csv", NULL) == 0);
+    WG_ASSERT(proc_run_ctl(f, NULL, "table", "put", "services", "services.csv", NULL) == 0);
+    WG_ASSERT(proc_run_ctl(f, NULL, "table", "put", "targets", "targets.csv", NULL) == 0);
+    WG_ASSERT(proc_run_ctl(f, NULL, "table", "put", "workspaces", "workspaces.csv", NULL) == 0);
 }
 
 static bool router_serves(void* user_data) {
     const proc_process* p = user_data;
-    proc_answer answer = proc_ask(p->address, "GET", "/v1/app/app/warm", "key-w0", NULL, NULL);
+    proc_answer answer = proc_request(p->address, "GET", "/v1/app/app/warm", "key-w0", NULL, NULL);
     bool good = answer.status == 200;
     proc_answer_clear(&answer);
     return good;
@@ -152,8 +154,8 @@
 static bool all_replicas_vote(void* user_data) {
     voter_wait* wait = user_data;
     proc_process* leader = proc_leader(wait->fleet);
-    proc_answer answer =
-        proc_ask(leader->operators, "GET", "/debug/state", wait->fleet->operator_key, NULL, NULL);
+    proc_answer answer = proc_request(leader->operators, "GET", "/debug/state",
+                                      wait->fleet->operator_key, NULL, NULL);
     json_t* json = json_loads(answer.body ? answer.body : "", 0, NULL);
     int64_t voters = 0;
     size_t i;
@@ -232,7 +234,7 @@
     }
 }
 
-void proc_wipe(proc_fleet* f, proc_process* p) {
+void proc_wipe_disk(proc_fleet* f, proc_process* p) {
     char* folder = g_strdup_printf("%s/data-%s", f->folder, p->name);
     folder_wipe(folder);
     g_free(folder);
@@ -254,7 +256,7 @@
             if (p->pid == 0) {
                 continue;
             }
-            proc_answer answer = proc_ask(p->operators, "GET", "/metrics", NULL, NULL, NULL);
+            proc_answer answer = proc_request(p->operators, "GET", "/metrics", NULL, NULL, NULL);
             bool leads = answer.body && strstr(answer.body, "walnutgate_leads 1");
             proc_answer_clear(&answer);
             if (leads) {
@@ -280,7 +282,7 @@
     f->desc.engine_slots = desc->engine_slots ? desc->engine_slots : 8;
     f->desc.engine_pace_us = desc->engine_pace_us ? desc->engine_pace_us : 2000;
     f->desc.workspaces = desc->workspaces ? desc->workspaces : 3;
-    f->host = loopback_reserve(NULL);
+    f->loopback_part_number = loopback_reserve(NULL);
     signal(SIGPIPE, SIG_IGN);
     find_programs(f);
     g_strlcpy(f->folder, "/tmp/wg-fleet-XXXXXX", sizeof f->folder);
@@ -309,11 +311,11 @@
         proc_start(f, &f->processes[i]);
     }
     voter_wait wait = {f, desc->controls};
-    WG_ASSERT(proc_until(all_replicas_vote, &wait, 30));
+    WG_ASSERT(proc_wait_until(all_replicas_vote, &wait, 30));
     put_table(f);
     for (int i = 0; i < f->num && desc->services > 0; i++) {
         if (is_kind(&f->processes[i], "r")) {
-            WG_ASSERT(proc_until(router_serves, &f->processes[i], 30));
+            WG_ASSERT(proc_wait_until(router_serves, &f->processes[i], 30));
         }
     }
 }
@@ -375,7 +377,7 @@
     return fd;
 }
 
-char* proc_raw(const char* address, const void* bytes, size_t size, int ms, gsize* out_size) {
+char* proc_send_raw(const char* address, const void* bytes, size_t size, int ms, gsize* out_size) {
     int fd = connect_to(address);
     GString* got = g_string_new(NULL);
     if (fd >= 0) {
@@ -425,14 +427,14 @@
     return g_string_free(out, FALSE);
 }
 
-proc_answer proc_ask(const char* address, const char* method, const char* path, const char* key,
-                     const char* headers, const char* body) {
+proc_answer proc_request(const char* address, const char* method, const char* path, const char* key,
+                         const char* headers, const char* body) {
     char* request = g_strdup_printf("%s %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n%s%s%s%s"
                                     "Content-Length: %zu\r\n\r\n%s",
                                     method, path, address, key ? "Authorization: Bearer " : "",
                                     key ? key : "", key ? "\r\n" : "", headers ? headers : "",
                                     body ? strlen(body) : 0, body ? body : "");
-    char* text = proc_raw(address, request, strlen(request), 40000, NULL);
+    char* text = proc_send_raw(address, request, strlen(request), 40000, NULL);
     g_free(request);
     proc_answer answer = {.retry_after = -1};
     char* split = strstr(text, "\r\n\r\n");
@@ -458,7 +460,7 @@
     answer->body = NULL;
 }
 
-int proc_ctl(proc_fleet* f, char** out, const char* first, ...) {
+int proc_run_ctl(proc_fleet* f, char** out, const char* first, ...) {
     GPtrArray* argv = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(argv, g_strdup_printf("%s/walnutgatectl", f->bin));
     g_ptr_array_add(argv, g_strdup("--controls"));
@@ -484,7 +486,7 @@
     return status;
 }
 
-int64_t proc_number(const char* json_text, const char* path) {
+int64_t proc_json_number(const char* json_text, const char* path) {
     json_t* json = json_loads(json_text ? json_text : "", 0, NULL);
     char** names = g_strsplit(path, ".", -1);
     json_t* at = json;
@@ -500,29 +502,30 @@
     return value;
 }
 
-int64_t proc_state(proc_fleet* f, proc_process* p, const char* path) {
-    proc_answer answer = proc_ask(p->operators, "GET", "/debug/state", f->operator_key, NULL, NULL);
-    int64_t value = proc_number(answer.body, path);
+int64_t proc_state_number(proc_fleet* f, proc_process* p, const char* path) {
+    proc_answer answer =
+        proc_request(p->operators, "GET", "/debug/state", f->operator_key, NULL, NULL);
+    int64_t value = proc_json_number(answer.body, path);
     proc_answer_clear(&answer);
     return value;
 }
 
-int64_t proc_journal(proc_process* p, const char* path) {
-    proc_answer answer = proc_ask(p->address, "GET", "/fake/journal", NULL, NULL, NULL);
-    int64_t value = proc_number(answer.body, path);
+int64_t proc_journal_number(proc_process* p, const char* path) {
+    proc_answer answer = proc_request(p->address, "GET", "/fake/journal", NULL, NULL, NULL);
+    int64_t value = proc_json_number(answer.body, path);
     proc_answer_clear(&answer);
     return value;
 }
 
-void proc_faults(proc_process* p, const char* faults) {
+void proc_set_faults(proc_process* p, const char* faults) {
     char* path = g_strdup_printf("/fake/set?%s", faults);
-    proc_answer answer = proc_ask(p->address, "POST", path, NULL, NULL, "");
+    proc_answer answer = proc_request(p->address, "POST", path, NULL, NULL, "");
     WG_ASSERT(answer.status == 200);
     proc_answer_clear(&answer);
     g_free(path);
 }
 
-bool proc_until(bool (*condition)(void* user_data), void* user_data, int seconds) {
+bool proc_wait_until(bool (*condition)(void* user_data), void* user_data, int seconds) {
     gint64 until = g_get_monotonic_time() + (gint64)seconds * G_USEC_PER_SEC;
     while (!condition(user_data)) {
         if (g_get_monotonic_time() > until) {
--- a/tests/sim/proc.h
+++ b/tests/sim/proc.h
@@ -43,7 +43,7 @@
     char folder[64];
     char bin[256];
     char operator_key[65];
-    int host; /* P in the fleet's addresses 127.P.x.y */
+    int loopback_part_number; /* P in the fleet's addresses 127.P.x.y */
     proc_process processes[PROC_MAX];
     int num;
     bool keep; /* keep the folder after the run */
@@ -70,25 +70,25 @@
 /* Sends SIGKILL and waits until the process exits. */
 void proc_kill(proc_process* process);
 /* Empties a control's data folder. */
-void proc_wipe(proc_fleet* fleet, proc_process* process);
+void proc_wipe_disk(proc_fleet* fleet, proc_process* process);
 /* The control that leads; waits for one, aborts if none does. */
 proc_process* proc_leader(proc_fleet* fleet);
 
 /* Sends one request and waits for the answer. `headers`: lines "Name: value\r\n", or NULL. */
-proc_answer proc_ask(const char* address, const char* method, const char* path, const char* key,
-                     const char* headers, const char* body);
+proc_answer proc_request(const char* address, const char* method, const char* path, const char* key,
+                         const char* headers, const char* body);
 void proc_answer_clear(proc_answer* answer);
 /* Sends raw bytes and returns what arrives until the peer closes or `ms` have passed. */
-char* proc_raw(const char* address, const void* bytes, size_t size, int ms, gsize* out_size);
+char* proc_send_raw(const char* address, const void* bytes, size_t size, int ms, gsize* out_size);
 /* Runs walnutgatectl and returns its exit status; its output goes to *out unless NULL. */
-int proc_ctl(proc_fleet* fleet, char** out, const char* first, ...) G_GNUC_NULL_TERMINATED;
+int proc_run_ctl(proc_fleet* fleet, char** out, const char* first, ...) G_GNUC_NULL_TERMINATED;
 /* An integer or boolean in a JSON document, by a path such as "log.term"; -1 when it is missing. */
-int64_t proc_number(const char* json, const char* path);
-/* proc_number() on a daemon's state dump, or on the journal of a fake target. */
-int64_t proc_state(proc_fleet* fleet, proc_process* process, const char* path);
-int64_t proc_journal(proc_process* process, const char* path);
+int64_t proc_json_number(const char* json, const char* path);
+/* proc_json_number() on a daemon's state dump, or on the journal of a fake target. */
+int64_t proc_state_number(proc_fleet* fleet, proc_process* process, const char* path);
+int64_t proc_journal_number(proc_process* process, const char* path);
 /* Sets faults of a fake target: "name=value&name=value". */
-void proc_faults(proc_process* process, const char* faults);
+void proc_set_faults(proc_process* process, const char* faults);
 /* Waits until `condition` holds, at most `seconds`; returns whether it did. */
-bool proc_until(bool (*condition)(void* user_data), void* user_data, int seconds);
+bool proc_wait_until(bool (*condition)(void* user_data), void* user_data, int seconds);
 void proc_sleep(int ms);
--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -59,14 +59,14 @@
 /* ---- helpers: set-up ------------------------------------------------------------------------ */
 
 bool _simf_is_central(const run_t* s) {
-    return s->policy == SIMF_WAY_ARBITER || s->policy == SIMF_WAY_OMNISCIENT;
+    return s->policy == SIMF_POLICY_ARBITER || s->policy == SIMF_POLICY_OMNISCIENT;
 }
 
 /* Slots of a target that a router has without leases: all of them with a central queue, an equal
    part if routers are alone. */
 int _simf_fixed_slots(const run_t* s, int router, int target) {
     const simf_trace* t = s->trace;
-    if (s->policy == SIMF_WAY_LEASED) {
+    if (s->policy == SIMF_POLICY_LEASED) {
         return 0;
     }
     bool extra = (target + router) % t->routers < t->slots % t->routers;
@@ -105,7 +105,7 @@
         wgp_add_slots(r->place, id, _simf_fixed_slots(s, i, g));
     }
     wgp_config_end(r->place);
-    wgp_set_lease(r->place, s->policy == SIMF_WAY_LEASED ? 0 : WG_TIME_NEVER);
+    wgp_set_lease(r->place, s->policy == SIMF_POLICY_LEASED ? 0 : WG_TIME_NEVER);
 }
 
 void _simf_share_config(run_t* s) {
@@ -180,7 +180,7 @@
 
 void _simf_schedule_report(run_t* s, int router) {
     router_t* r = &s->routers[router];
-    if (s->policy == SIMF_WAY_LEASED && r->pacer.wanted && !r->report_scheduled) {
+    if (s->policy == SIMF_POLICY_LEASED && r->pacer.wanted && !r->report_scheduled) {
         r->report_scheduled = true;
         _simf_schedule(s, MAX(s->now, wgf_pacer_next(&r->pacer)), EVENT_REPORT, router, NULL);
     }
@@ -203,7 +203,7 @@
                            &(wgp_request){.service = SERVICE_ID, .urgent = q->urgent}, &q->choice);
     WG_ASSERT(placed);
     wgp_sent(r->place, &q->choice);
-    if (s->policy == SIMF_WAY_ARBITER) {
+    if (s->policy == SIMF_POLICY_ARBITER) {
         /* The slot is occupied while request and grant are in flight. */
         s->routers[q->router].bytes += 2 * GRANT_BYTES;
         s->leader_bytes += 2 * GRANT_BYTES;
@@ -584,7 +584,7 @@
         }
         for (int i = 0; i < s->trace->routers; i++) {
             expire_queued(s, i);
-            if (s->policy == SIMF_WAY_LEASED) {
+            if (s->policy == SIMF_POLICY_LEASED) {
                 report_if_due(s, i);
             }
         }
@@ -627,7 +627,7 @@
 
 /* ---- public functions --------------------------------------------------------------------- */
 
-simf_result simf_run(const simf_trace* trace, simf_way policy) {
+simf_result simf_run(const simf_trace* trace, simf_policy policy) {
     run_t* s = g_new0(run_t, 1);
     s->trace = trace;
     s->policy = policy;
@@ -648,7 +648,7 @@
         _simf_router_start(s, i);
         s->routers[i].pacer.sent_at -= (wg_time)(next_random(s) % (uint64_t)trace->report);
     }
-    if (policy == SIMF_WAY_LEASED) {
+    if (policy == SIMF_POLICY_LEASED) {
         _simf_leader_start(s);
     }
     _simf_schedule(s, s->now, EVENT_SAMPLE, 0, NULL);
@@ -674,7 +674,7 @@
     return result;
 }
 
-const char* simf_way_name(simf_way policy) {
-    static const char* names[SIMF_WAY_NUM] = {"", "alone", "arbiter", "leased", "omniscient"};
+const char* simf_policy_name(simf_policy policy) {
+    static const char* names[SIMF_POLICY_NUM] = {"", "alone", "arbiter", "leased", "omniscient"};
     return names[policy];
 }
--- a/tests/sim/sim_fleet.h
+++ b/tests/sim/sim_fleet.h
@@ -26,13 +26,13 @@
 };
 
 typedef enum {
-    SIMF_WAY_DEFAULT = 0,
-    SIMF_WAY_ALONE,
-    SIMF_WAY_ARBITER,
-    SIMF_WAY_LEASED,
-    SIMF_WAY_OMNISCIENT,
-    SIMF_WAY_NUM
-} simf_way;
+    SIMF_POLICY_DEFAULT = 0,
+    SIMF_POLICY_ALONE,
+    SIMF_POLICY_ARBITER,
+    SIMF_POLICY_LEASED,
+    SIMF_POLICY_OMNISCIENT,
+    SIMF_POLICY_NUM
+} simf_policy;
 
 typedef struct {
     char name[32];
@@ -126,7 +126,7 @@
 /* Reads a trace; false with an error that names the line. */
 bool simf_trace_read(const char* path, simf_trace* trace, GError** error);
 bool simf_trace_parse(const char* text, simf_trace* trace, GError** error);
-simf_result simf_run(const simf_trace* trace, simf_way policy);
-const char* simf_way_name(simf_way policy);
+simf_result simf_run(const simf_trace* trace, simf_policy policy);
+const char* simf_policy_name(simf_policy policy);
 /* Value of a metric by its name; false when there is none. */
 bool simf_metric(const simf_result* result, const char* name, double* value);
--- a/tests/sim/sim_fleet_faults.c
+++ b/tests/sim/sim_fleet_faults.c
@@ -131,7 +131,7 @@
         if (begin && s->share) {
             wgf_shutdown(s->share);
             s->share = NULL;
-        } else if (!begin && s->policy == SIMF_WAY_LEASED) {
+        } else if (!begin && s->policy == SIMF_POLICY_LEASED) {
             _simf_leader_start(s);
         }
         break;
--- a/tests/sim/sim_fleet_internal.h
+++ b/tests/sim/sim_fleet_internal.h
@@ -116,7 +116,7 @@
 
 typedef struct {
     const simf_trace* trace;
-    simf_way policy;
+    simf_policy policy;
     wg_time now;
     uint64_t order;
     uint64_t counter;
--- a/tests/sim/sim_quorum.c
+++ b/tests/sim/sim_quorum.c
@@ -483,7 +483,7 @@
     return wgr_query_stats(s->nodes[slot].node, _simq_local_time(s, &s->nodes[slot]));
 }
 
-void simq_hand_over(simq_run* s, int slot) {
+void simq_transfer_leadership(simq_run* s, int slot) {
     wgr_transfer_leadership(s->nodes[slot].node, _simq_local_time(s, &s->nodes[slot]));
     process_output(s, slot);
 }
@@ -496,7 +496,7 @@
     return wgr_leave_is_settled(s->nodes[slot].node);
 }
 
-uint64_t simq_answered(const simq_run* s) {
+uint64_t simq_acknowledged(const simq_run* s) {
     return s->acknowledged;
 }
 
--- a/tests/sim/sim_quorum.h
+++ b/tests/sim/sim_quorum.h
@@ -30,7 +30,7 @@
     uint64_t disks_lost;
     uint64_t replaced;
     uint64_t leadership_transfers;
-    uint64_t left; /* planned stops that completed */
+    uint64_t planned_stops; /* planned stops that completed */
     uint64_t snapshots_sent;
     uint64_t elections;
     uint64_t edits_accepted;
@@ -84,12 +84,12 @@
 uint64_t simq_propose_bytes(simq_run* run, int slot, size_t size);
 void simq_tick(simq_run* run);
 wgr_stats simq_stats(simq_run* run, int slot);
-void simq_hand_over(simq_run* run, int slot);
+void simq_transfer_leadership(simq_run* run, int slot);
 /* Begins a planned stop of a replica; simq_has_left() says when it is complete. */
 void simq_leave(simq_run* run, int slot);
 bool simq_has_left(simq_run* run, int slot);
 /* Highest index that a leader has acknowledged. */
-uint64_t simq_answered(const simq_run* run);
+uint64_t simq_acknowledged(const simq_run* run);
 wgt_table* simq_table(simq_run* run, int slot);
 const wgr_set* simq_set(simq_run* run, int slot);
 bool simq_believes_to_lead(simq_run* run, int slot);
--- a/tests/sim/sim_quorum_random.c
+++ b/tests/sim/sim_quorum_random.c
@@ -119,7 +119,7 @@
         break;
     case 14:
         if (simq_leader(s) >= 0) {
-            simq_hand_over(s, simq_leader(s));
+            simq_transfer_leadership(s, simq_leader(s));
             s->counts.leadership_transfers++;
         }
         break;
@@ -142,7 +142,7 @@
         node_t* n = &s->nodes[i];
         bool settled = n->up && n->stopping && wgr_leave_is_settled(n->node);
         if (settled || !n->up) {
-            s->counts.left += settled;
+            s->counts.planned_stops += settled;
             n->stopping = false;
         }
         if (settled) {
--- a/tests/sim/soak_callers.c
+++ b/tests/sim/soak_callers.c
@@ -72,7 +72,7 @@
     } else if (status == 401 || status == 404 || status == 403 || status == 400) {
         soak_record_violation(s, "%s was rejected with status %d", c->id, status);
     }
-    s->result.whole += status == 200;
+    s->result.complete += status == 200;
     s->result.refused += status == 503 || status == 429;
     s->result.failed += status != 200 && status != 503 && status != 429;
 }
--- a/tests/sim/soak_faults.c
+++ b/tests/sim/soak_faults.c
@@ -163,7 +163,7 @@
     }
     soak_kill(&w->replica);
     if (kind == 2 && may_wipe) {
-        hosts_wipe(&s->h, w);
+        hosts_wipe_disk(&s->h, w);
         s->wiped_at = wg_now();
     }
     soak_plan_repair(s, REPAIR_REPLICA, number, false, 100 + (int)soak_random(s, 2500), at);
@@ -231,10 +231,10 @@
     if (now < s->next_fault_at || s->desc.calm) {
         return;
     }
-    if (s->desc.rests && soak_random(s, OVERLOAD_ONE_IN) == 0) {
+    if (s->desc.overloads && soak_random(s, OVERLOAD_ONE_IN) == 0) {
         soak_begin_overload(s, (int)soak_random(s, (uint64_t)s->h.targets_num));
     }
-    if (s->desc.successions) {
+    if (s->desc.host_replacements) {
         soak_inject_replacement_fault(s, now);
         return;
     }
--- a/tests/sim/soak_harsh.c
+++ b/tests/sim/soak_harsh.c
@@ -88,7 +88,7 @@
         host* w = &s->h.hosts[number];
         if (w->disk && w->replica == 0 && !lost[number]) {
             lost[number] = true;
-            hosts_wipe(&s->h, w);
+            hosts_wipe_disk(&s->h, w);
             s->result.disks_lost++;
             num--;
         }
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -47,21 +47,22 @@
         return false;
     }
     g_snprintf(faults, sizeof faults, "refuse=%d&rest_ms=%d", percent, backoff_ms);
-    if (!hosts_set_target(&s->h, t, faults)) {
+    if (!hosts_set_faults(&s->h, t, faults)) {
         return false;
     }
-    s->result.busy++;
+    s->result.overloads++;
     soak_plan_repair(s, REPAIR_OVERLOAD, number, true, busy, soak_begin_disturbance(s));
     return true;
 }
 
 void soak_end_overload(soak* s, int number) {
-    hosts_set_target(&s->h, &s->h.targets[number], "refuse=6&rest_ms=0");
+    hosts_set_faults(&s->h, &s->h.targets[number], "refuse=6&rest_ms=0");
 }
 
-void soak_check_hints(soak* s, const hosts_notes* notes) {
-    for (guint i = 0; i < notes->unheeded->len; i++) {
-        const hosts_hint_violation* u = &g_array_index(notes->unheeded, hosts_hint_violation, i);
+void soak_check_hints(soak* s, const hosts_events* notes) {
+    for (guint i = 0; i < notes->hint_violations->len; i++) {
+        const hosts_hint_violation* u =
+            &g_array_index(notes->hint_violations, hosts_hint_violation, i);
         if (has_excuse(s, u)) {
             s->result.excused++;
             continue;
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -144,7 +144,7 @@
     return false;
 }
 
-static void check_arrivals(soak* s, const hosts_notes* notes) {
+static void check_arrivals(soak* s, const hosts_events* notes) {
     for (guint i = 0; i < notes->late->len; i++) {
         if (is_undisturbed_at(s, g_array_index(notes->late, wg_time, i))) {
             soak_record_violation(s, "a request reached a target too late after its drain");
@@ -166,7 +166,7 @@
 }
 
 static void check_runs(soak* s) {
-    hosts_notes notes = hosts_read_notes(&s->h);
+    hosts_events notes = hosts_read_events(&s->h);
     GHashTableIter iter;
     gpointer id;
     gpointer num;
@@ -181,7 +181,7 @@
     }
     check_arrivals(s, &notes);
     soak_check_hints(s, &notes);
-    hosts_notes_clear(&notes);
+    hosts_events_clear(&notes);
 }
 
 static void start_processes(soak* s) {
@@ -228,7 +228,7 @@
         set_up_harsh(s);
     }
     g_strlcpy(s->result.folder, s->h.folder, sizeof s->result.folder);
-    s->h.spoiled = desc->spoiled;
+    s->h.target_faults = desc->target_faults;
     start_processes(s);
     soak_callers_create(s);
     wg_time now = wg_now();
@@ -241,11 +241,11 @@
     event_base_dispatch(s->base);
     s->ended = true;
     check_runs(s);
-    if (s->result.whole == 0) {
+    if (s->result.complete == 0) {
         soak_record_violation(s, "no request was served");
     }
     soak_callers_destroy(s);
-    hosts_end(&s->h, !s->result.good || desc->keep);
+    hosts_shutdown(&s->h, !s->result.good || desc->keep);
     /* The event base is not freed: requests in flight still use its connections. Each run has its
        own base. */
     event_free(s->tick);
--- a/tests/sim/soak_run.h
+++ b/tests/sim/soak_run.h
@@ -28,21 +28,21 @@
 
 typedef struct {
     uint64_t seed;
-    int seconds;      /* length of the fault phase, default 12 */
-    int hosts;        /* default 4 */
-    int disks;        /* hosts with a disk, default 3 */
-    bool calm;        /* no faults */
-    bool drains;      /* planned drains of targets are the only faults */
-    bool harsh;       /* deployed timing; process stalls, power losses with lost disks, permanently
-                         replaced hosts */
-    bool crashes;     /* a request that crashes each target that runs it is sent repeatedly */
-    bool successions; /* harsh, these faults only: a host is replaced, leaders stall, and seconds
-                         after the replacement started all power and one disk are lost */
-    bool colds;       /* harsh, these faults only: targets restart cold while their coordinators
-                           change */
-    bool rests;       /* targets refuse requests with backoff hints, beside all other faults */
-    bool spoiled;     /* targets abort, fail and refuse a part of their requests */
-    bool keep;        /* keep the folder with the logs after a good run too */
+    int seconds;  /* length of the fault phase, default 12 */
+    int hosts;    /* default 4 */
+    int disks;    /* hosts with a disk, default 3 */
+    bool calm;    /* no faults */
+    bool drains;  /* planned drains of targets are the only faults */
+    bool harsh;   /* deployed timing; process stalls, power losses with lost disks, permanently
+                     replaced hosts */
+    bool crashes; /* a request that crashes each target that runs it is sent repeatedly */
+    bool host_replacements; /* harsh, these faults only: a host is replaced, leaders stall, and
+                         seconds after the replacement started all power and one disk are lost */
+    bool colds;         /* harsh, these faults only: targets restart cold while their coordinators
+                             change */
+    bool overloads;     /* targets refuse requests with backoff hints, beside all other faults */
+    bool target_faults; /* targets abort, fail and refuse a part of their requests */
+    bool keep;          /* keep the folder with the logs after a good run too */
 } soak_desc;
 
 typedef struct {
@@ -50,7 +50,7 @@
     char reason[400]; /* first violated guarantee */
     char folder[64];
     int requests;
-    int whole;
+    int complete;
     int refused;
     int failed;
     int faults;
@@ -60,7 +60,7 @@
     int disks_lost;        /* disks lost in power losses */
     int cold_max;          /* max requests that a cold target received in a second */
     int crashes;           /* targets that a request crashed */
-    int busy;              /* overloads of targets that were injected */
+    int overloads;         /* overloads of targets that were injected */
     int excused;           /* requests against a target's hint or drain, excused by a fault */
     int loop_lag_ms;       /* max event-loop delay of the soak process, milliseconds */
     wg_time recovery_time; /* from the last fault until all hosts served again */
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -52,7 +52,7 @@
     printf("  faults: lost %lu duplicated %lu link cuts %lu crashes %lu freezes %lu lost disks %lu "
            "replaced %lu leadership transfers %lu planned stops %lu snapshots sent %lu\n",
            c.lost, c.duplicated, c.link_cuts, c.crashes, c.freezes, c.disks_lost, c.replaced,
-           c.leadership_transfers, c.left, c.snapshots_sent);
+           c.leadership_transfers, c.planned_stops, c.snapshots_sent);
     simq_shutdown(run);
 }
 
@@ -92,7 +92,7 @@
     static simf_trace trace;
     bool good = simf_trace_parse(text->str, &trace, NULL);
     WG_ASSERT(good);
-    simf_result result = simf_run(&trace, SIMF_WAY_LEASED);
+    simf_result result = simf_run(&trace, SIMF_POLICY_LEASED);
     printf("fleet, seed %" G_GUINT64_FORMAT ": %d routers, %d targets, %d s, %" G_GUINT64_FORMAT
            " requests, gap %.3f of its bound between faults, busy %.4f\n",
            seed, routers, targets, seconds, result.requests, result.gap_over_bound_calm,
--- a/tests/soak_hosts.c
+++ b/tests/soak_hosts.c
@@ -51,11 +51,11 @@
                           .disks = disks->count ? disks->ival[0] : 0,
                           .harsh = harsh->count + successions->count + colds->count > 0,
                           .colds = colds->count > 0,
-                          .successions = successions->count > 0,
+                          .host_replacements = successions->count > 0,
                           .calm = calm->count > 0,
                           .crashes = crashes->count > 0,
-                          .rests = rests->count > 0,
-                          .spoiled = i % 2 == 1,
+                          .overloads = rests->count > 0,
+                          .target_faults = i % 2 == 1,
                           .keep = keep->count > 0};
         soak_result r = soak_run(&desc);
         failed += !r.good;
@@ -66,8 +66,8 @@
             "%d hosts replaced, %d configurations, %d evacuations, "
             "max event-loop delay %d ms, recovered in %.1f s%s%s\n",
             desc.seed, r.good ? "good" : "BROKEN: ", r.good ? "" : r.reason, "", r.requests,
-            r.whole, r.refused, r.failed, r.faults, r.cold_max, r.crashes, r.busy, r.excused,
-            r.disks_lost, r.replaced, r.acknowledged, r.evacuations, r.loop_lag_ms,
+            r.complete, r.refused, r.failed, r.faults, r.cold_max, r.crashes, r.overloads,
+            r.excused, r.disks_lost, r.replaced, r.acknowledged, r.evacuations, r.loop_lag_ms,
             (double)r.recovery_time / WG_USEC_PER_SEC, r.good ? "" : ", logs in ",
             r.good ? "" : r.folder);
         fflush(stdout);
--- a/tests/test_crashing_request.c
+++ b/tests/test_crashing_request.c
@@ -139,7 +139,7 @@
     }
     f->h.started_before = true;
     for (int i = 0; i < TARGETS; i++) {
-        f->h.targets[i].keeps_id =
+        f->h.targets[i].reuses_id =
             i % 4 == 0; /* every other one that serves the requested service */
         hosts_start_target(&f->h, &f->h.targets[i]);
     }
@@ -167,7 +167,7 @@
 }
 
 static void end(fleet* f, bool good) {
-    hosts_end(&f->h, !good);
+    hosts_shutdown(&f->h, !good);
     event_base_free(f->base);
 }
 
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -6,7 +6,7 @@
 
 static bool proof_is_rejected(void* user_data) {
     (void)user_data;
-    return proc_state(&fleet, proc_find(&fleet, "c1"), "links.proofs_bad") >= 1;
+    return proc_state_number(&fleet, proc_find(&fleet, "c1"), "links.proofs_bad") >= 1;
 }
 
 START_TEST(wrong_fleet_key_is_rejected) {
@@ -18,9 +18,10 @@
     ck_assert(g_file_set_contents(path, "another-key-altogether\n", -1, NULL));
     g_free(path);
     proc_start(&fleet, router);
-    ck_assert(proc_until(proof_is_rejected, NULL, 20));
+    ck_assert(proc_wait_until(proof_is_rejected, NULL, 20));
     proc_sleep(1500);
-    proc_answer answer = proc_ask(router->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
+    proc_answer answer =
+        proc_request(router->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     ck_assert_int_eq(answer.status, 503);
     ck_assert_str_eq(answer.verdict, "not-run");
     proc_answer_clear(&answer);
@@ -43,9 +44,9 @@
         char weight[32];
         char* out = NULL;
         g_snprintf(weight, sizeof weight, "weight=%d", 200 + round);
-        ck_assert_int_eq(proc_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL),
-                         0);
-        int64_t version = proc_number(out, "version");
+        ck_assert_int_eq(
+            proc_run_ctl(&fleet, &out, "table", "set", "workspaces", "w1", weight, NULL), 0);
+        int64_t version = proc_json_number(out, "version");
         ck_assert_int_gt(version, edits.accepted);
         edits.accepted = version;
         g_free(out);
@@ -58,14 +59,14 @@
         for (int i = 0; i < 600 && !next; i++) {
             for (int c = 0; c < 3 && !next; c++) {
                 proc_process* p = &fleet.processes[c];
-                if (p != leader && proc_state(&fleet, p, "leads") == 1) {
+                if (p != leader && proc_state_number(&fleet, p, "leads") == 1) {
                     next = p;
                 }
             }
             proc_sleep(20);
         }
         ck_assert_ptr_nonnull(next);
-        ck_assert_int_ge(proc_state(&fleet, next, "table.version"), edits.accepted);
+        ck_assert_int_ge(proc_state_number(&fleet, next, "table.version"), edits.accepted);
         if (round % 2 == 0) {
             proc_start(&fleet, leader);
         } else {
@@ -74,7 +75,7 @@
         for (int i = 1; i <= 3; i++) {
             char name[8];
             g_snprintf(name, sizeof name, "r%d", i);
-            int64_t at = proc_state(&fleet, proc_find(&fleet, name), "table_version");
+            int64_t at = proc_state_number(&fleet, proc_find(&fleet, name), "table_version");
             ck_assert_int_ge(at, edits.versions[i]);
             edits.versions[i] = at;
         }
@@ -85,7 +86,7 @@
 
 static bool router_is_ready(void* user_data) {
     proc_process* router = user_data;
-    proc_answer answer = proc_ask(router->operators, "GET", "/readyz", NULL, NULL, NULL);
+    proc_answer answer = proc_request(router->operators, "GET", "/readyz", NULL, NULL, NULL);
     bool ready = answer.status == 200;
     proc_answer_clear(&answer);
     return ready;
@@ -94,7 +95,7 @@
 static bool three_voters(void* user_data) {
     (void)user_data;
     char* out = NULL;
-    proc_ctl(&fleet, &out, "status", NULL);
+    proc_run_ctl(&fleet, &out, "status", NULL);
     int complete = 0;
     for (const char* at = out; at && (at = strstr(at, "replicas=3")); at++) {
         complete++;
@@ -114,28 +115,28 @@
         }
     }
     proc_kill(wiped);
-    proc_wipe(&fleet, wiped);
-    ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "weight=7", NULL),
-                     0);
+    proc_wipe_disk(&fleet, wiped);
+    ck_assert_int_eq(
+        proc_run_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "weight=7", NULL), 0);
     proc_start(&fleet, wiped);
     /* A replica with an empty data folder has no vote: without the third there is no majority. */
     proc_kill(third);
     proc_sleep(2500);
-    ck_assert_int_eq(proc_state(&fleet, leader, "leads"), 0);
-    ck_assert_int_eq(proc_state(&fleet, wiped, "leads"), 0);
+    ck_assert_int_eq(proc_state_number(&fleet, leader, "leads"), 0);
+    ck_assert_int_eq(proc_state_number(&fleet, wiped, "leads"), 0);
     proc_start(&fleet, third);
     proc_leader(&fleet);
     bool replace_accepted = false;
     for (int i = 0; i < 100 && !replace_accepted; i++) {
-        replace_accepted = proc_ctl(&fleet, NULL, "replica", "replace", wiped->name, NULL) == 0;
+        replace_accepted = proc_run_ctl(&fleet, NULL, "replica", "replace", wiped->name, NULL) == 0;
         proc_sleep(50);
     }
     ck_assert(replace_accepted);
-    ck_assert(proc_until(three_voters, NULL, 30));
+    ck_assert(proc_wait_until(three_voters, NULL, 30));
     /* The repaired replica set survives another failure. */
     proc_kill(third);
     char* out = NULL;
-    ck_assert_int_eq(proc_ctl(&fleet, &out, "table", "get", "workspaces", NULL), 0);
+    ck_assert_int_eq(proc_run_ctl(&fleet, &out, "table", "get", "workspaces", NULL), 0);
     ck_assert_ptr_nonnull(strstr(out, "\"weight\":7"));
     g_free(out);
     proc_fleet_kill(&fleet);
@@ -147,7 +148,7 @@
     proc_process* reinitialised =
         proc_leader(&fleet) == &fleet.processes[0] ? &fleet.processes[1] : &fleet.processes[0];
     proc_kill(reinitialised);
-    proc_wipe(&fleet, reinitialised);
+    proc_wipe_disk(&fleet, reinitialised);
     /* A new cluster initialised by mistake must not disturb the existing one. */
     char* command = g_strdup_printf("cd %s && %s/walnutgate-controld --settings %s --init",
                                     fleet.folder, fleet.bin, reinitialised->settings);
@@ -158,7 +159,7 @@
     proc_process* leader = proc_leader(&fleet);
     for (int i = 0; i < 3; i++) {
         if (&fleet.processes[i] != reinitialised) {
-            ck_assert_int_ge(proc_state(&fleet, &fleet.processes[i], "table.workspaces"), 3);
+            ck_assert_int_ge(proc_state_number(&fleet, &fleet.processes[i], "table.workspaces"), 3);
         }
     }
     (void)leader;
@@ -175,19 +176,19 @@
                      .router_extra = "[table]\nlease_lost=serve\n[control]\nclaim_wait_ms=500\n"});
     proc_kill(&fleet.processes[0]);
     proc_kill(&fleet.processes[1]);
-    proc_answer answer = proc_ask(proc_find(&fleet, "r1")->address, "POST", "/v1/app/app/act",
-                                  "key-w0", "Idempotency-Key: k\r\nX-Request-Id: k\r\n", "go");
+    proc_answer answer = proc_request(proc_find(&fleet, "r1")->address, "POST", "/v1/app/app/act",
+                                      "key-w0", "Idempotency-Key: k\r\nX-Request-Id: k\r\n", "go");
     ck_assert_int_eq(answer.status, 503);
     ck_assert_str_eq(answer.verdict, "not-run");
     ck_assert_int_ge(answer.retry_after, 1);
     proc_answer_clear(&answer);
-    ck_assert_int_eq(proc_journal(proc_find(&fleet, "service1"), "actions"), 0);
+    ck_assert_int_eq(proc_journal_number(proc_find(&fleet, "service1"), "actions"), 0);
     proc_fleet_kill(&fleet);
 }
 END_TEST
 
 static bool refuses_without_lease(void* user_data) {
-    proc_answer answer = proc_ask(user_data, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
+    proc_answer answer = proc_request(user_data, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
     bool refuses = answer.status == 503 && strstr(answer.body, "table_not_in_force");
     proc_answer_clear(&answer);
     return refuses;
@@ -198,13 +199,13 @@
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGSTOP);
     }
-    ck_assert(proc_until(refuses_without_lease, proc_find(&fleet, "r1")->address, 20));
+    ck_assert(proc_wait_until(refuses_without_lease, proc_find(&fleet, "r1")->address, 20));
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGCONT);
     }
     proc_leader(&fleet);
     load_desc desc = callers(LOAD_KIND_DEFAULT, 2, SECOND);
-    desc.tries = 100;
+    desc.attempts_max = 100;
     load_result result;
     load_run(&desc, &result);
     ck_no_failures(&result);
@@ -215,19 +216,19 @@
 
 /* Returns how many lookups reach the service while callers send requests for 1 s. */
 static int64_t lookups_at(const char* service) {
-    int64_t before = proc_journal(proc_find(&fleet, service), "lookups");
+    int64_t before = proc_journal_number(proc_find(&fleet, service), "lookups");
     load_desc desc = callers(LOAD_KIND_DEFAULT, 8, SECOND);
     load_result result;
     load_run(&desc, &result);
     ck_no_failures(&result);
     load_clear(&result);
-    return proc_journal(proc_find(&fleet, service), "lookups") - before;
+    return proc_journal_number(proc_find(&fleet, service), "lookups") - before;
 }
 
 START_TEST(draining_target_gets_no_new_requests) {
     start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 1});
     ck_assert_int_eq(
-        proc_ctl(&fleet, NULL, "table", "set", "targets", "service1", "leaving=1", NULL), 0);
+        proc_run_ctl(&fleet, NULL, "table", "set", "targets", "service1", "leaving=1", NULL), 0);
     proc_sleep(3000);
     ck_assert_int_eq(lookups_at("service1"), 0);
     proc_fleet_stop(&fleet);
@@ -258,8 +259,8 @@
 
 /* Whether the committed log of a control is shorter than the leader's. */
 static bool log_is_behind(void* user_data) {
-    int64_t commit = proc_state(&fleet, proc_leader(&fleet), "log.commit");
-    return proc_state(&fleet, user_data, "log.commit") < commit;
+    int64_t commit = proc_state_number(&fleet, proc_leader(&fleet), "log.commit");
+    return proc_state_number(&fleet, user_data, "log.commit") < commit;
 }
 
 static void limit_file_size(const proc_process* control, rlim_t bytes) {
@@ -281,21 +282,21 @@
         char name[16];
         g_snprintf(name, sizeof name, "more%d", i);
         ck_assert_int_eq(
-            proc_ctl(&fleet, NULL, "table", "set", "workspaces", name, "weight=5", NULL), 0);
+            proc_run_ctl(&fleet, NULL, "table", "set", "workspaces", name, "weight=5", NULL), 0);
     }
-    ck_assert(proc_until(log_is_behind, full, 30));
+    ck_assert(proc_wait_until(log_is_behind, full, 30));
     proc_sleep(1000);
     ck_assert(log_is_behind(full));                   /* as long as the disk is full */
     ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0); /* a failed write ends no process */
     limit_file_size(full, RLIM_INFINITY);
-    ck_assert(proc_until(three_voters, NULL, 30));
+    ck_assert(proc_wait_until(three_voters, NULL, 30));
     ck_assert_int_eq(full->pid, pid);
     ck_assert_int_eq(waitpid(pid, NULL, WNOHANG), 0);
-    int64_t commit = proc_state(&fleet, proc_leader(&fleet), "log.commit");
-    for (int i = 0; i < 400 && proc_state(&fleet, full, "log.commit") < commit; i++) {
+    int64_t commit = proc_state_number(&fleet, proc_leader(&fleet), "log.commit");
+    for (int i = 0; i < 400 && proc_state_number(&fleet, full, "log.commit") < commit; i++) {
         proc_sleep(20);
     }
-    ck_assert_int_ge(proc_state(&fleet, full, "table.workspaces"), 63);
+    ck_assert_int_ge(proc_state_number(&fleet, full, "table.workspaces"), 63);
     proc_fleet_stop(&fleet);
 }
 END_TEST
@@ -311,16 +312,16 @@
     const char* app = "/v1/app/app/x";
     ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
     ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
-    int64_t queries = proc_state(&fleet, router, "link.row_queries");
+    int64_t queries = proc_state_number(&fleet, router, "link.row_queries");
     ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
     ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
-    ck_assert_int_eq(proc_state(&fleet, router, "link.row_queries"), queries);
+    ck_assert_int_eq(proc_state_number(&fleet, router, "link.row_queries"), queries);
     /* A restarted router holds only the rows that requests needed since. */
     proc_kill(router);
     proc_start(&fleet, router);
-    ck_assert(proc_until(router_is_ready, router, 20));
+    ck_assert(proc_wait_until(router_is_ready, router, 20));
     ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w9", NULL, NULL), 200);
-    ck_assert_int_le(proc_state(&fleet, router, "table.workspaces"), 2);
+    ck_assert_int_le(proc_state_number(&fleet, router, "table.workspaces"), 2);
     /* An unknown key is accepted once an operator has added it. */
     ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     uint8_t hash[WG_KEY_HASH_SIZE];
@@ -329,10 +330,11 @@
     for (size_t i = 0; i < sizeof hash; i++) {
         g_snprintf(keys + 5 + 2 * i, 3, "%02x", hash[i]);
     }
-    ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "workspaces", "new", keys, NULL), 0);
+    ck_assert_int_eq(proc_run_ctl(&fleet, NULL, "table", "set", "workspaces", "new", keys, NULL),
+                     0);
     proc_sleep(500);
     ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 200);
-    ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "delete", "workspaces", "new", NULL), 0);
+    ck_assert_int_eq(proc_run_ctl(&fleet, NULL, "table", "delete", "workspaces", "new", NULL), 0);
     proc_sleep(500);
     ck_assert_int_eq(fetch_status("r1", "GET", app, "nobody", NULL, NULL), 401);
     proc_fleet_stop(&fleet);
@@ -344,7 +346,7 @@
     char* list =
         g_strdup_printf("{\"version\":%d,\"hosts\":[{\"address\":\"%s\",\"state\":\"%s\"}]}",
                         (int)version, proc_find(&fleet, "service2")->address, state);
-    proc_answer answer = proc_ask(platform->address, "POST", "/fake/hosts", NULL, NULL, list);
+    proc_answer answer = proc_request(platform->address, "POST", "/fake/hosts", NULL, NULL, list);
     ck_assert_int_eq(answer.status, 200);
     proc_answer_clear(&answer);
     g_free(list);
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -31,17 +31,18 @@
     g_free(header);
     g_free(large);
     /* Internal headers that a caller sends have no effect. */
-    proc_answer answer = proc_ask(proc_find(&fleet, "r1")->address, "GET", app, "key-w0",
-                                  "Walnutgate-Workspace: w1\r\nTarget-Leaving: 1\r\n", NULL);
+    proc_answer answer = proc_request(proc_find(&fleet, "r1")->address, "GET", app, "key-w0",
+                                      "Walnutgate-Workspace: w1\r\nTarget-Leaving: 1\r\n", NULL);
     ck_assert_int_eq(answer.status, 200);
     ck_assert_str_eq(answer.verdict, "ran");
     proc_answer_clear(&answer);
     /* Above the rate limit the answer is 429 with Retry-After. */
     ck_assert_int_eq(
-        proc_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "rate=1", "burst=1", NULL), 0);
+        proc_run_ctl(&fleet, NULL, "table", "set", "workspaces", "w1", "rate=1", "burst=1", NULL),
+        0);
     int limited = 0;
     for (int i = 0; i < 20; i++) {
-        answer = proc_ask(proc_find(&fleet, "r1")->address, "GET", app, "key-w1", NULL, NULL);
+        answer = proc_request(proc_find(&fleet, "r1")->address, "GET", app, "key-w1", NULL, NULL);
         if (answer.status == 429) {
             limited++;
             ck_assert_int_ge(answer.retry_after, 1);
@@ -72,25 +73,25 @@
                            proc_find(&fleet, "c1")->operators, proc_find(&fleet, "c1")->address};
     for (size_t p = 0; p < G_N_ELEMENTS(ports); p++) {
         for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-            g_free(proc_raw(ports[p], requests[i], strlen(requests[i]) + (i == 3), 100, NULL));
+            g_free(proc_send_raw(ports[p], requests[i], strlen(requests[i]) + (i == 3), 100, NULL));
         }
         for (uint64_t n = 0; n < 30; n++) {
             uint8_t noise[512];
             for (size_t b = 0; b < sizeof noise; b++) {
                 noise[b] = (uint8_t)wg_jitter(n, b);
             }
-            g_free(proc_raw(ports[p], noise, sizeof noise, 5, NULL));
+            g_free(proc_send_raw(ports[p], noise, sizeof noise, 5, NULL));
         }
     }
     /* Pipelined requests are answered in order. */
-    char* text = proc_raw(ports[0], requests[7], strlen(requests[7]), 500, NULL);
+    char* text = proc_send_raw(ports[0], requests[7], strlen(requests[7]), 500, NULL);
     const char* x = strstr(text, "\"/x\"");
     const char* y = strstr(text, "\"/y\"");
     const char* z = strstr(text, "\"/z\"");
     ck_assert(x && y && z && x < y && y < z);
     g_free(text);
     ck_assert_int_eq(fetch_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
-    ck_assert_int_ge(proc_state(&fleet, proc_find(&fleet, "c1"), "links.frames_bad"), 1);
+    ck_assert_int_ge(proc_state_number(&fleet, proc_find(&fleet, "c1"), "links.frames_bad"), 1);
     proc_fleet_stop(&fleet);
 }
 END_TEST
@@ -107,7 +108,8 @@
                                      "GET /v1/app/app/smuggled HTTP/1.1\r\nHost: a\r\n"
                                      "Authorization: Bearer key-w0\r\n\r\n",
                                      lengths[i]);
-        char* answer = proc_raw(proc_find(&fleet, "r1")->address, text, strlen(text), 1000, NULL);
+        char* answer =
+            proc_send_raw(proc_find(&fleet, "r1")->address, text, strlen(text), 1000, NULL);
         ck_assert_msg(strstr(answer, "HTTP/1.1 400") == answer, "%s gave %.60s", lengths[i],
                       answer);
         ck_assert_msg(strstr(answer, "smuggled") == NULL, "%s", lengths[i]);
@@ -145,14 +147,14 @@
 
 START_TEST(actions_run_at_most_once) {
     start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
-    proc_faults(proc_find(&fleet, "service1"), "cut=20&refuse=10");
-    proc_faults(proc_find(&fleet, "service2"), "fail=10&late_us=3000");
+    proc_set_faults(proc_find(&fleet, "service1"), "cut=20&refuse=10");
+    proc_set_faults(proc_find(&fleet, "service2"), "fail=10&late_us=3000");
     load_desc desc = callers(LOAD_KIND_ACTION, 16, 6 * SECOND);
     desc.on_tick = kill_and_restart_routers;
     load_result result;
     load_run(&desc, &result);
-    ck_assert_uint_gt(result.whole, 100);
-    ck_assert_uint_eq(result.wrong, 0);
+    ck_assert_uint_gt(result.complete, 100);
+    ck_assert_uint_eq(result.mismatched, 0);
     ck_actions_ran_once(&result);
     load_clear(&result);
     proc_fleet_kill(&fleet);
@@ -168,8 +170,8 @@
 static gpointer resend_thread(gpointer data) {
     resend_call* r = data;
     proc_answer answer =
-        proc_ask(proc_find(&fleet, r->router)->address, "POST", "/v1/app/app/act", "key-w0",
-                 "Idempotency-Key: same\r\nX-Request-Id: same\r\n", "go");
+        proc_request(proc_find(&fleet, r->router)->address, "POST", "/v1/app/app/act", "key-w0",
+                     "Idempotency-Key: same\r\nX-Request-Id: same\r\n", "go");
     r->status = answer.status;
     g_strlcpy(r->verdict, answer.verdict, sizeof r->verdict);
     proc_answer_clear(&answer);
@@ -178,8 +180,8 @@
 
 START_TEST(one_key_through_three_routers_runs_once) {
     start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
-    proc_faults(proc_find(&fleet, "service1"), "work_us=300000");
-    proc_faults(proc_find(&fleet, "service2"), "work_us=300000");
+    proc_set_faults(proc_find(&fleet, "service1"), "work_us=300000");
+    proc_set_faults(proc_find(&fleet, "service2"), "work_us=300000");
     resend_call resends[6] = {{.router = "r1"}, {.router = "r2"}, {.router = "r3"},
                               {.router = "r1"}, {.router = "r2"}, {.router = "r3"}};
     GThread* threads[6];
@@ -194,8 +196,8 @@
         ck_assert_str_ne(resends[i].verdict, "not-run");
     }
     ck_assert_int_ge(succeeded, 1);
-    ck_assert_int_eq(proc_journal(proc_find(&fleet, "service1"), "actions") +
-                         proc_journal(proc_find(&fleet, "service2"), "actions"),
+    ck_assert_int_eq(proc_journal_number(proc_find(&fleet, "service1"), "actions") +
+                         proc_journal_number(proc_find(&fleet, "service2"), "actions"),
                      1);
     /* A later resend through another router gets the answer of the first request. */
     resend_call later = {.router = "r2"};
@@ -207,23 +209,23 @@
 
 START_TEST(every_caller_gets_its_own_complete_answer_or_an_error) {
     start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 3});
-    proc_faults(proc_find(&fleet, "engine1"), "cut=40");
-    proc_faults(proc_find(&fleet, "engine2"), "no_marker=20&refuse=20");
-    proc_faults(proc_find(&fleet, "service1"), "cut=30&late_us=20000");
+    proc_set_faults(proc_find(&fleet, "engine1"), "cut=40");
+    proc_set_faults(proc_find(&fleet, "engine2"), "no_marker=20&refuse=20");
+    proc_set_faults(proc_find(&fleet, "service1"), "cut=30&late_us=20000");
     load_desc streams = callers(LOAD_KIND_STREAM, 16, 4 * SECOND);
     load_result result;
     load_run(&streams, &result);
-    ck_assert_uint_eq(result.wrong, 0);
-    ck_assert_uint_eq(result.doubled, 0);
-    ck_assert_uint_gt(result.whole, 50);
-    int64_t resumes = proc_state(&fleet, proc_find(&fleet, "r1"), "requests.resumes") +
-                      proc_state(&fleet, proc_find(&fleet, "r2"), "requests.resumes");
+    ck_assert_uint_eq(result.mismatched, 0);
+    ck_assert_uint_eq(result.token_errors, 0);
+    ck_assert_uint_gt(result.complete, 50);
+    int64_t resumes = proc_state_number(&fleet, proc_find(&fleet, "r1"), "requests.resumes") +
+                      proc_state_number(&fleet, proc_find(&fleet, "r2"), "requests.resumes");
     ck_assert_int_gt(resumes, 0);
     load_clear(&result);
     load_desc lookups = callers(LOAD_KIND_DEFAULT, 16, 3 * SECOND);
     load_run(&lookups, &result);
-    ck_assert_uint_eq(result.wrong, 0);
-    ck_assert_uint_gt(result.whole, 50);
+    ck_assert_uint_eq(result.mismatched, 0);
+    ck_assert_uint_gt(result.complete, 50);
     load_clear(&result);
     proc_fleet_stop(&fleet);
 }
@@ -276,7 +278,7 @@
     if (*next_daemon > 0) {
         /* An operator waits until the daemon restarted before is ready. */
         proc_process* last = &fleet.processes[*next_daemon - 1];
-        proc_answer answer = proc_ask(last->operators, "GET", "/readyz", NULL, NULL, NULL);
+        proc_answer answer = proc_request(last->operators, "GET", "/readyz", NULL, NULL, NULL);
         bool ready = answer.status == 200;
         proc_answer_clear(&answer);
         if (!ready) {
@@ -293,12 +295,12 @@
     load_desc desc = callers(LOAD_KIND_STREAM, 12, 25 * SECOND);
     desc.on_tick = rolling_restart;
     desc.user_data = &next_daemon;
-    desc.tries = 40;
+    desc.attempts_max = 40;
     load_result result;
     load_run(&desc, &result);
     ck_assert_int_eq(next_daemon, 6);
     ck_no_failures(&result);
-    ck_assert_uint_eq(result.broken, 0);
+    ck_assert_uint_eq(result.aborted, 0);
     load_clear(&result);
     proc_fleet_stop(&fleet);
 }
@@ -312,15 +314,17 @@
                                     "Authorization: Bearer key-w0\r\nContent-Length: %zu\r\n\r\n%s",
                                     strlen(body), body);
     for (int i = 0; i < 5; i++) {
-        g_free(proc_raw(proc_find(&fleet, "r1")->address, request, strlen(request), 300, NULL));
+        g_free(
+            proc_send_raw(proc_find(&fleet, "r1")->address, request, strlen(request), 300, NULL));
     }
     g_free(request);
-    for (int i = 0; i < 200 && proc_journal(proc_find(&fleet, "engine1"), "running") > 0; i++) {
+    for (int i = 0; i < 200 && proc_journal_number(proc_find(&fleet, "engine1"), "running") > 0;
+         i++) {
         proc_sleep(20);
     }
-    ck_assert_int_eq(proc_journal(proc_find(&fleet, "engine1"), "running"), 0);
-    ck_assert_int_eq(proc_journal(proc_find(&fleet, "engine1"), "cancelled"), 5);
-    ck_assert_int_eq(proc_state(&fleet, proc_find(&fleet, "r1"), "requests.at_work"), 0);
+    ck_assert_int_eq(proc_journal_number(proc_find(&fleet, "engine1"), "running"), 0);
+    ck_assert_int_eq(proc_journal_number(proc_find(&fleet, "engine1"), "cancelled"), 5);
+    ck_assert_int_eq(proc_state_number(&fleet, proc_find(&fleet, "r1"), "requests.at_work"), 0);
     proc_fleet_stop(&fleet);
 }
 END_TEST
@@ -381,8 +385,8 @@
         "POST /v1/app/app/x HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc"};
     for (size_t i = 0; i < G_N_ELEMENTS(partial_requests); i++) {
         gint64 begin = g_get_monotonic_time();
-        g_free(proc_raw(proc_find(&fleet, "r1")->address, partial_requests[i],
-                        strlen(partial_requests[i]), 30000, NULL));
+        g_free(proc_send_raw(proc_find(&fleet, "r1")->address, partial_requests[i],
+                             strlen(partial_requests[i]), 30000, NULL));
         ck_assert_int_lt(g_get_monotonic_time() - begin, 25 * G_USEC_PER_SEC);
     }
     ck_assert_int_eq(fetch_status("r1", "GET", "/v1/app/app/x", "key-w0", NULL, NULL), 200);
@@ -441,7 +445,7 @@
 static void open_resetting_target(resetting_target* t, char address[64]) {
     struct sockaddr_in in = {.sin_family = AF_INET, .sin_port = htons(9000)};
     char ip[32];
-    g_snprintf(ip, sizeof ip, "127.%d.9.1", fleet.host);
+    g_snprintf(ip, sizeof ip, "127.%d.9.1", fleet.loopback_part_number);
     g_snprintf(address, 64, "%s:9000", ip);
     inet_pton(AF_INET, ip, &in.sin_addr);
     t->listener = socket(AF_INET, SOCK_STREAM, 0);
@@ -460,8 +464,8 @@
     };
     for (int i = 0;; i++) {
         int before = target->connections;
-        proc_answer answer = proc_ask(proc_find(&fleet, "r1")->address, "POST", "/v1/app/raw/act",
-                                      "key-w0", key, "go");
+        proc_answer answer = proc_request(proc_find(&fleet, "r1")->address, "POST",
+                                          "/v1/app/raw/act", "key-w0", key, "go");
         if (answer.status != 503 || i == ATTEMPTS_MAX) {
             return answer;
         }
@@ -484,11 +488,11 @@
     open_resetting_target(&target, address);
     char* column = g_strdup_printf("address=%s", address);
     GThread* thread = g_thread_new("target", resetting_target_thread, &target);
-    ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "services", "raw", "kind=app",
-                              "repeatable=GET", NULL),
+    ck_assert_int_eq(proc_run_ctl(&fleet, NULL, "table", "set", "services", "raw", "kind=app",
+                                  "repeatable=GET", NULL),
                      0);
-    ck_assert_int_eq(proc_ctl(&fleet, NULL, "table", "set", "targets", "raw1", "service=raw",
-                              column, "slots=8", NULL),
+    ck_assert_int_eq(proc_run_ctl(&fleet, NULL, "table", "set", "targets", "raw1", "service=raw",
+                                  column, "slots=8", NULL),
                      0);
     proc_sleep(500);
     for (target.read_bytes = 0; target.read_bytes < REQUEST_BYTES; target.read_bytes++) {
@@ -512,7 +516,7 @@
         proc_answer_clear(&answer);
     }
     target.stop = true;
-    g_free(proc_raw(address, "x", 1, 100, NULL));
+    g_free(proc_send_raw(address, "x", 1, 100, NULL));
     g_thread_join(thread);
     close(target.listener);
     g_free(column);
--- a/tests/test_hosts.c
+++ b/tests/test_hosts.c
@@ -6,7 +6,7 @@
     soak_result r =
         soak_run(&(soak_desc){.seed = seed, .seconds = seconds, .hosts = hosts, .disks = disks});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
-    ck_assert_int_gt(r.whole, 100);
+    ck_assert_int_gt(r.complete, 100);
     ck_assert_int_gt(r.acknowledged, 0);
 }
 
@@ -20,10 +20,11 @@
 
 /* Aborted streams resume at targets that may answer 500, refuse, or abort again. */
 START_TEST(guarantees_hold_while_targets_fail) {
-    soak_result r = soak_run(&(soak_desc){.seed = 3, .seconds = 5, .calm = true, .spoiled = true});
+    soak_result r =
+        soak_run(&(soak_desc){.seed = 3, .seconds = 5, .calm = true, .target_faults = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
     ck_assert_int_gt(r.failed, 0);
-    ck_assert_int_gt(r.whole, r.failed);
+    ck_assert_int_gt(r.complete, r.failed);
 }
 END_TEST
 
@@ -32,7 +33,7 @@
     soak_result r = soak_run(&(soak_desc){.seed = 5, .seconds = 6, .drains = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
     ck_assert_int_gt(r.faults, 1);
-    ck_assert_int_gt(r.whole, 100);
+    ck_assert_int_gt(r.complete, 100);
 }
 END_TEST
 
@@ -50,7 +51,7 @@
     soak_result r = soak_run(&(soak_desc){
         .seed = seed, .seconds = seconds, .hosts = hosts, .disks = disks, .harsh = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
-    ck_assert_int_gt(r.whole, 100);
+    ck_assert_int_gt(r.complete, 100);
     ck_assert_int_gt(r.acknowledged, 0);
     return r;
 }
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -44,7 +44,7 @@
 }
 
 static void finish(hosts* h, struct event_base* base, bool good) {
-    hosts_end(h, !good);
+    hosts_shutdown(h, !good);
     event_base_free(base);
 }
 
@@ -56,7 +56,7 @@
        again before the second one ends. */
     for (int i = 1; i < HOSTS; i++) {
         kill_and_wait(&h.hosts[i].replica);
-        hosts_wipe(&h, &h.hosts[i]);
+        hosts_wipe_disk(&h, &h.hosts[i]);
     }
     for (int i = 1; i < HOSTS; i++) {
         hosts_start_replica(&h, &h.hosts[i]);
@@ -82,14 +82,15 @@
 static char* replica_names(const hosts* h, int first, int last) {
     GString* list = g_string_new(NULL);
     for (int i = first; i <= last; i++) {
-        g_string_append_printf(list, "%s127.%d.1.%d", i > first ? "," : "", h->part, i);
+        g_string_append_printf(list, "%s127.%d.1.%d", i > first ? "," : "", h->loopback_part_number,
+                               i);
     }
     return g_string_free(list, FALSE);
 }
 
 static int recover_set(hosts* h, int first, int last) {
     char* removed = replica_names(h, first, last);
-    int status = hosts_form_anew(h, &h->hosts[0], removed);
+    int status = hosts_recover_set(h, &h->hosts[0], removed);
     g_free(removed);
     return status;
 }
@@ -99,7 +100,7 @@
     for (int i = 1; i < HOSTS; i++) {
         kill_and_wait(&h->hosts[i].replica);
         if (wiped) {
-            hosts_wipe(h, &h->hosts[i]);
+            hosts_wipe_disk(h, &h->hosts[i]);
         }
     }
     hosts_run_for(h, LEASE_MS);
@@ -157,8 +158,8 @@
     hosts_run_for(&h, LEASE_MS);
     char* removed = replica_names(&h, 2, 3);
     char controls[2 * WG_ADDRESS_MAX];
-    g_snprintf(controls, sizeof controls, "--controls=127.%d.9.2:7300,127.%d.9.1:7300", h.part,
-               h.part);
+    g_snprintf(controls, sizeof controls, "--controls=127.%d.9.2:7300,127.%d.9.1:7300",
+               h.loopback_part_number, h.loopback_part_number);
     char* arguments[] = {controls,         (char*)"--key-file=operator.key",
                          (char*)"replica", (char*)"form-anew",
                          removed,          NULL};
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -36,7 +36,7 @@
     wait_leader(run);
     uint64_t index = simq_edit(run, "w", 5, 0, 1);
     simq_run_for(run, SECOND / 10);
-    ck_assert_uint_ge(simq_answered(run), index);
+    ck_assert_uint_ge(simq_acknowledged(run), index);
     simq_shutdown(run);
 }
 END_TEST
@@ -126,7 +126,7 @@
         wait_leader(run);
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         simq_run_for(run, SECOND);
-        ck_assert_uint_ge(simq_answered(run), index);
+        ck_assert_uint_ge(simq_acknowledged(run), index);
         simq_crash_all(run);
         for (int i = 0; i < 3; i++) {
             simq_restart(run, i);
@@ -153,7 +153,7 @@
         simq_lose_disk(run, seed % 3);
         simq_run_for(run, 120 * MSEC);
         ck_assert_int_ge(simq_leader(run), 0);
-        ck_assert_uint_ge(simq_answered(run), index);
+        ck_assert_uint_ge(simq_acknowledged(run), index);
         simq_settle(run, 20 * SECOND);
         simq_shutdown(run);
     }
@@ -229,7 +229,7 @@
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
         int leader = wait_leader(run);
         simq_run_for(run, SECOND);
-        simq_hand_over(run, leader);
+        simq_transfer_leadership(run, leader);
         ck_assert(!simq_believes_to_lead(run, leader));
         /* The previous leader receives nothing from the new one. */
         simq_cut(run, nth_other(leader, 0, 3), leader, true);
@@ -291,10 +291,10 @@
     int lost = nth_other(leader, 0, 3);
     int third = nth_other(leader, 1, 3);
     for (uint64_t i = 0; i < 100; i++) {
-        simq_edit(run, "w", (int64_t)i + 1, simq_answered(run), i + 1);
+        simq_edit(run, "w", (int64_t)i + 1, simq_acknowledged(run), i + 1);
         simq_run_for(run, 20 * MSEC);
     }
-    uint64_t answered = simq_answered(run);
+    uint64_t answered = simq_acknowledged(run);
     simq_lose_disk(run, lost);
     simq_run_for(run, 3 * SECOND);
     /* With the third replica down, an empty replica must not complete a majority. */
@@ -401,7 +401,7 @@
         simq_run_for(run, 20 * MSEC);
     }
     int leader = simq_leader(run);
-    simq_hand_over(run, leader);
+    simq_transfer_leadership(run, leader);
     simq_run_for(run, SECOND);
     ck_assert_int_ne(wait_leader(run), leader);
     simq_edit(run, "w", 5, 0, 1);
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -89,7 +89,7 @@
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         ck_assert_uint_gt(index, 0);
         simq_run_for(run, 200 * MSEC);
-        ck_assert_uint_ge(simq_answered(run), index);
+        ck_assert_uint_ge(simq_acknowledged(run), index);
         crash_all_and_lose_disks(run, plan, seed, failed);
         simq_run_for(run, 3 * SECOND);
         int leader = simq_leader(run);
@@ -219,7 +219,7 @@
         simq_crash(run, leaving);
         uint64_t index = simq_edit(run, "w", 5, 0, 1);
         simq_run_for(run, 200 * MSEC);
-        ck_assert_uint_ge(simq_answered(run), index);
+        ck_assert_uint_ge(simq_acknowledged(run), index);
         bool failed[SLOTS_MAX] = {false};
         failed[leaving] = true;
         crash_all_and_lose_disks(run, &(fault_plan){.voters = 4, .lost = 1}, seed, failed);
@@ -321,7 +321,7 @@
         simq_steps(run, 20000);
         simq_settle(run, 30 * SECOND);
         simq_counts counts = simq_query_counts(run);
-        ck_assert_uint_gt(counts.left, 0);
+        ck_assert_uint_gt(counts.planned_stops, 0);
         ck_assert_uint_gt(counts.replaced, 0);
         ck_assert_uint_gt(counts.committed, 1000);
         simq_shutdown(run);
--- a/tests/test_replaced_hosts.c
+++ b/tests/test_replaced_hosts.c
@@ -54,7 +54,7 @@
             signal_and_wait(&w->entry, SIGKILL);
         }
     }
-    hosts_wipe(h, lost);
+    hosts_wipe_disk(h, lost);
     hosts_run_for(h, DOWN_MS);
     for (int i = 0; i < ALL_HOSTS; i++) {
         if (was_running[i]) {
@@ -65,7 +65,7 @@
 
 static void finish(hosts* h, struct event_base* base, int version) {
     bool back = hosts_get_until(h, version, RECOVERY_MS);
-    hosts_end(h, !back);
+    hosts_shutdown(h, !back);
     event_base_free(base);
     ck_assert_msg(back, "version %d cannot be read after a lost disk; logs in %s", version,
                   h->folder);
--- a/tests/test_resting_targets.c
+++ b/tests/test_resting_targets.c
@@ -106,8 +106,8 @@
     for (int i = 0; i < HOSTS; i++) {
         ck_assert(hosts_serves_until(&f->h, &f->h.hosts[i], FORM_MS));
     }
-    ck_assert(hosts_set_target(&f->h, first_target(f), "refuse=0&fail=0"));
-    ck_assert(hosts_set_target(&f->h, second_target(f), "refuse=0&fail=0&work_us=60000"));
+    ck_assert(hosts_set_faults(&f->h, first_target(f), "refuse=0&fail=0"));
+    ck_assert(hosts_set_faults(&f->h, second_target(f), "refuse=0&fail=0&work_us=60000"));
     send_for(f, HOSTS, 500);
     hosts_run_for(&f->h, 200);
     f->got = (answers){0};
@@ -115,9 +115,9 @@
 
 /* Requests that targets received in spite of a backoff or draining hint. */
 static int unheeded(fleet* f) {
-    hosts_notes notes = hosts_read_notes(&f->h);
-    int num = (int)notes.unheeded->len;
-    hosts_notes_clear(&notes);
+    hosts_events notes = hosts_read_events(&f->h);
+    int num = (int)notes.hint_violations->len;
+    hosts_events_clear(&notes);
     return num;
 }
 
@@ -128,7 +128,7 @@
 }
 
 static void end(fleet* f, bool good) {
-    hosts_end(&f->h, !good);
+    hosts_shutdown(&f->h, !good);
     event_base_free(f->base);
 }
 
@@ -138,7 +138,7 @@
 static void check_backoff(const char* what, int hosts_num) {
     fleet f;
     begin(&f);
-    ck_assert(hosts_set_target(&f.h, first_target(&f), "refuse=100&rest_ms=3000"));
+    ck_assert(hosts_set_faults(&f.h, first_target(&f), "refuse=100&rest_ms=3000"));
     send_for(&f, hosts_num, RUN_MS);
     hosts_run_for(&f.h, 300);
     int num = unheeded(&f);
@@ -164,7 +164,7 @@
 START_TEST(target_that_refuses_all_does_not_draw_requests) {
     fleet f;
     begin(&f);
-    ck_assert(hosts_set_target(&f.h, first_target(&f), "refuse=100"));
+    ck_assert(hosts_set_faults(&f.h, first_target(&f), "refuse=100"));
     send_for(&f, HOSTS, RUN_MS);
     hosts_run_for(&f.h, 300);
     bool good = f.got.complete >= f.got.sent * COMPLETE_PERCENT / 100;
@@ -178,7 +178,7 @@
 START_TEST(reported_draining_stops_requests) {
     fleet f;
     begin(&f);
-    ck_assert(hosts_set_target(&f.h, first_target(&f), "leaving=1"));
+    ck_assert(hosts_set_faults(&f.h, first_target(&f), "leaving=1"));
     send_for(&f, HOSTS, RUN_MS);
     hosts_run_for(&f.h, 300);
     int num = unheeded(&f);
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -18,7 +18,7 @@
 }
 
 static int64_t lookups_at(const char* service) {
-    return proc_journal(proc_find(&fleet, service), "lookups");
+    return proc_journal_number(proc_find(&fleet, service), "lookups");
 }
 
 START_TEST(target_in_backoff_gets_no_requests) {
@@ -28,16 +28,16 @@
     load_clear(&result);
     proc_process* target = proc_find(&fleet, "service1");
     ck_assert_int_gt(lookups_at("service1"), 0);
-    proc_faults(target, "refuse=100&rest_ms=3000");
+    proc_set_faults(target, "refuse=100&rest_ms=3000");
     result = run_load(2 * BACKOFF_S);
-    int64_t num = proc_journal(target, "unheeded");
+    int64_t num = proc_journal_number(target, "unheeded");
     printf("%lu complete, %lu failed; %d backoff periods with more than two requests\n",
-           result.whole, result.failed, (int)num);
+           result.complete, result.failed, (int)num);
     fflush(stdout);
     ck_no_failures(&result);
     load_clear(&result);
     ck_assert_int_eq(num, 0);
-    proc_faults(target, "refuse=0");
+    proc_set_faults(target, "refuse=0");
     proc_sleep(BACKOFF_S * 1000 + 500);
     int64_t before = lookups_at("service1");
     result = run_load(1);
@@ -53,12 +53,12 @@
         COMPLETE_PERCENT = 95
     };
     start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
-    proc_faults(proc_find(&fleet, "service1"), "refuse=100");
+    proc_set_faults(proc_find(&fleet, "service1"), "refuse=100");
     load_result result = run_load(6);
-    uint64_t all = result.whole + result.failed;
-    printf("%lu complete, %lu failed\n", result.whole, result.failed);
+    uint64_t all = result.complete + result.failed;
+    printf("%lu complete, %lu failed\n", result.complete, result.failed);
     fflush(stdout);
-    ck_assert_uint_ge(result.whole, all * COMPLETE_PERCENT / 100);
+    ck_assert_uint_ge(result.complete, all * COMPLETE_PERCENT / 100);
     load_clear(&result);
     proc_fleet_stop(&fleet);
 }
@@ -69,13 +69,13 @@
     for (int i = 1; i <= 2; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "service%d", i);
-        proc_faults(proc_find(&fleet, name), "refuse=100&rest_ms=20000");
+        proc_set_faults(proc_find(&fleet, name), "refuse=100&rest_ms=20000");
     }
     load_result result = run_load(1); /* puts both targets in backoff */
     load_clear(&result);
     wg_time at = wg_now();
-    proc_answer answer =
-        proc_ask(proc_find(&fleet, "r1")->address, "GET", "/v1/app/app/x", "key-w0", NULL, NULL);
+    proc_answer answer = proc_request(proc_find(&fleet, "r1")->address, "GET", "/v1/app/app/x",
+                                      "key-w0", NULL, NULL);
     int64_t elapsed = (wg_now() - at) / MSEC;
     ck_assert_int_eq(answer.status, 503);
     ck_assert_str_eq(answer.verdict, "not-run");
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -244,8 +244,8 @@
         GError* error = NULL;
         ck_assert_msg(simf_trace_read(path, &trace, &error), "%s", error ? error->message : "");
         g_free(path);
-        simf_result best = simf_run(&trace, SIMF_WAY_OMNISCIENT);
-        simf_result result = simf_run(&trace, SIMF_WAY_LEASED);
+        simf_result best = simf_run(&trace, SIMF_POLICY_OMNISCIENT);
+        simf_result result = simf_run(&trace, SIMF_POLICY_LEASED);
         for (int e = 0; e < trace.expects_num; e++) {
             double value = 0;
             ck_assert(simf_metric(&result, trace.expects[e].metric, &value));
@@ -292,7 +292,7 @@
                               "fault restart_router router=0 from_s=40\n");
         static simf_trace trace;
         ck_assert(simf_trace_parse(text->str, &trace, NULL));
-        simf_result result = simf_run(&trace, SIMF_WAY_LEASED);
+        simf_result result = simf_run(&trace, SIMF_POLICY_LEASED);
         ck_assert_msg(result.gap_over_bound < 1, "seed %d: gap is %g of its bound", (int)seed,
                       result.gap_over_bound);
         ck_assert_double_lt(result.control_bytes, 6000);
--- a/tests/test_soak_crashes.c
+++ b/tests/test_soak_crashes.c
@@ -7,7 +7,7 @@
     soak_result r = soak_run(&(soak_desc){
         .seed = seed, .seconds = 12, .hosts = 5, .disks = 3, .harsh = harsh, .crashes = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
-    ck_assert_int_gt(r.whole, 100);
+    ck_assert_int_gt(r.complete, 100);
     ck_assert_int_ge(r.crashes, 1);
 }
 
--- a/tests/test_soak_rests.c
+++ b/tests/test_soak_rests.c
@@ -6,10 +6,10 @@
 
 static void run(uint64_t seed, bool harsh) {
     soak_result r = soak_run(&(soak_desc){
-        .seed = seed, .seconds = 12, .hosts = 5, .disks = 3, .harsh = harsh, .rests = true});
+        .seed = seed, .seconds = 12, .hosts = 5, .disks = 3, .harsh = harsh, .overloads = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
-    ck_assert_int_gt(r.whole, 100);
-    ck_assert_int_ge(r.busy, 1);
+    ck_assert_int_gt(r.complete, 100);
+    ck_assert_int_ge(r.overloads, 1);
 }
 
 START_TEST(backoff_hints_are_followed_under_faults) {
--- a/tests/test_successions.c
+++ b/tests/test_successions.c
@@ -6,8 +6,8 @@
 #include "wg_test.h"
 
 static void run_host_replacements(uint64_t seed) {
-    soak_result r = soak_run(
-        &(soak_desc){.seed = seed, .hosts = 4, .disks = 3, .harsh = true, .successions = true});
+    soak_result r = soak_run(&(soak_desc){
+        .seed = seed, .hosts = 4, .disks = 3, .harsh = true, .host_replacements = true});
     ck_assert_msg(r.good, "seed %d: %s; logs in %s", (int)seed, r.reason, r.folder);
     ck_assert_int_eq(r.replaced, 1);
     ck_assert_int_eq(r.disks_lost, 1);
