--- a/lib/balance/wg_balance.h
+++ b/lib/balance/wg_balance.h
@@ -20,7 +20,8 @@
           that a fleet that starts cold is not loaded as if it were warm
         - the more hosts decide on the same outdated loads, the fewer targets beside the homes each
           host samples at random, so that they do not all pick the same one, and the more slowly
-          the load that other hosts reported for a target decays
+          the load that other hosts reported for a target decays, since a target that was just
+          overloaded is likely to be overloaded again
         - prompt speed is learned from times to the first event, the service time of requests
           without a prompt from complete answers; a failing target is ejected for jittered periods
           that grow with each failure
--- a/lib/control/wg_control.c
+++ b/lib/control/wg_control.c
@@ -131,14 +131,14 @@
     }
 }
 
-/* Adopts the peer's cluster if this control belongs to none or its store is blank. */
+/* Adopts the peer's cluster if this control belongs to none or its store is empty. */
 static bool _wgco_join_cluster(wgco_control* c, const wgn_peer* peer) {
     uint64_t own = wgs_query_content(c->store)->cluster;
     if (peer->cluster == 0 || own == peer->cluster) {
         return true;
     }
     if (own != 0 && !wgs_is_empty(c->store)) {
-        return false; /* only a blank store may change its cluster */
+        return false; /* only an empty store may change its cluster */
     }
     GError* error = NULL;
     if (!wgs_save_cluster(c->store, peer->cluster, &error)) {
--- a/lib/control/wg_control_quarantine.c
+++ b/lib/control/wg_control_quarantine.c
@@ -3,8 +3,8 @@
    Entry hosts report the requests that were in progress at targets that crashed. This evidence is
    not replicated: each new leader collects it again from the hosts. A quarantine is committed in
    the replicated log, so it survives leader changes and restarts, and reaches all hosts with the
-   next state. Hosts cannot contain such a request alone: each host that does not know it would
-   send it to another target. */
+   next state. Counting the failures against the targets does not contain such a request: each
+   host that does not know it would send it to another target. */
 #include "wg_control_internal.h"
 
 #include <string.h>
--- a/lib/control/wg_control_start.c
+++ b/lib/control/wg_control_start.c
@@ -12,7 +12,7 @@
 enum {
     _WGCO_LOSSES_MAX = (WGR_REPLICAS_MAX - 1) / 2, /* limited by the size of a replica set */
     /* Interval between attempts to open the data folder; short compared with the time that a change
-       may take to be acknowledged. */
+       may take to be acknowledged, long compared with an attempt. */
     WG_DISK_RETRY_INTERVAL = 200 * WG_USEC_PER_MSEC
 };
 
--- a/lib/entry/wg_entry.c
+++ b/lib/entry/wg_entry.c
@@ -81,7 +81,7 @@
     WG_LOG_LINES_MAX = 200, /* lines about requests, per second */
     WG_STOP_CLOSE_DELAY = 300 * WG_USEC_PER_MSEC,
     WG_STOP_REFUSE_AFTER = 2800 * WG_USEC_PER_MSEC,
-    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* to exit before being killed */
+    WG_STOP_MARGIN = 250 * WG_USEC_PER_MSEC /* time to exit before the grace period ends */
 };
 
 /* ---- helpers -------------------------------------------------------------------------------- */
--- a/lib/entry/wg_entry.h
+++ b/lib/entry/wg_entry.h
@@ -4,9 +4,9 @@
 
     WHAT IT DOES
         Accepts callers' HTTP requests, determines route and workspace, selects a registered
-        target, and relays its answer as it arrives. Answers callers'
-        requests for the list of entry hosts ("entry answers", GET /v1/entry). Forwards orders
-        of operators and heartbeats of targets to the leader.
+        target, and relays its answer as it arrives. Answers callers' requests for the list of
+        entry hosts ("entry answers", GET /v1/entry). Forwards orders of operators and heartbeats
+        of targets to the leader.
 
     FEATURES
         - strict parsing of request heads; ambiguous ones are refused
--- a/lib/entry/wg_entry_check.c
+++ b/lib/entry/wg_entry_check.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 enum {
-    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; equal to that of requests */
+    WG_CHECK_TIMEOUT = 250 * WG_USEC_PER_MSEC, /* to connect; the same as for requests */
     /* A connection that stays open for this long counts as accepted. */
     WG_CHECK_OPEN_TIME = 30 * WG_USEC_PER_MSEC,
     WG_CHECK_RETRY_DELAY = 50 * WG_USEC_PER_MSEC, /* until an ending process has exited */
--- a/lib/entry/wg_entry_client.c
+++ b/lib/entry/wg_entry_client.c
@@ -155,7 +155,8 @@
 }
 
 /* Whether there is input that was not examined yet. On an overloaded host such a connection must be
-   treated neither as idle nor as slow. */
+   treated neither as idle nor as slow: a request that was sent in time would get no answer or be
+   refused as too slow. */
 static bool wg_client_has_unread(const wg_client* client) {
     char byte;
     return evbuffer_get_length(bufferevent_get_input(client->bev)) > client->bytes_examined ||
--- a/lib/entry/wg_entry_internal.h
+++ b/lib/entry/wg_entry_internal.h
@@ -28,7 +28,8 @@
     WG_OUTPUT_HIGH_WATER = 256 * 1024,  /* unsent bytes at which reading from the target pauses */
     WG_EVENT_ID_MAX = 32,
     WG_COORDINATORS_MAX = 16,
-    /* Lists kept; hosts that start together join one by one, each with a new list. */
+    /* Previous lists that are kept. Hosts that start together join one by one, each with a new
+       list. */
     WG_PREVIOUS_COORDINATORS_MAX = 16
 };
 
@@ -91,14 +92,13 @@
     wg_time deadline;   /* deadline set by the caller, or WG_TIME_NEVER */
     wg_prompt prompt;
     bool has_prompt;
-    wg_balance_request
-        selection;            /* what the request needs of a target, and targets excluded so far */
-    wg_balance_choice choice; /* target of the current attempt, with the load accounted to it */
-    wg_balance_choice proposed; /* selected, but not sent yet */
-    uint64_t admit_ticket;      /* ticket of the pending admission request; 0: none */
-    wg_time admit_expires_at;   /* without an answer until then, this host decides alone */
-    uint64_t admission_ticket;  /* ticket of the admission held; 0: none */
-    bool admission_read;        /* the coordinator was notified that the prompt was processed */
+    wg_balance_request selection; /* needs of the request, and targets excluded so far */
+    wg_balance_choice choice;     /* target of the current attempt, with the load accounted to it */
+    wg_balance_choice proposed;   /* selected, but not sent yet */
+    uint64_t admit_ticket;        /* ticket of the pending admission request; 0: none */
+    wg_time admit_expires_at;     /* without an answer until then, this host decides alone */
+    uint64_t admission_ticket;    /* ticket of the admission held; 0: none */
+    bool admission_read;          /* the coordinator was notified that the prompt was processed */
     uint64_t coordinator_rank; /* rank of the coordinator of the pending request or the admission */
     int admit_requests;        /* admission requests of the current selection */
     int admit_requests_total;  /* admission requests of all selections */
--- a/lib/entry/wg_entry_upstream.c
+++ b/lib/entry/wg_entry_upstream.c
@@ -198,8 +198,7 @@
     wg_call_attempt_failed(call, up, reason);
 }
 
-/* Targets echo the request id; a different id means that the answer belongs to an earlier request.
- */
+/* Targets echo the request id; with a different id, the answer belongs to an earlier request. */
 static bool wg_upstream_matches_call(const wg_upstream* up) {
     wg_text echoed = wg_message_field(&up->head, up->entry->names->request_id);
     return !echoed.text || !up->call->id[0] ||
--- a/lib/member/wg_member.h
+++ b/lib/member/wg_member.h
@@ -9,7 +9,7 @@
     FEATURES
         - a restarted router has a new incarnation; messages of previous incarnations are ignored
         - a router without heartbeats for gone_after is marked unreachable; a router that is leaving
-   is excluded from answers immediately
+          is excluded from answers immediately
         - each change has a version, so that copies receive only changes
         - rendezvous hashing (Thaler and Ravishankar 1998) by workspace keeps a workspace on few
           routers, local data centre first
--- a/lib/retry/wg_retry.h
+++ b/lib/retry/wg_retry.h
@@ -4,12 +4,11 @@
 
     WHAT IT DOES
         Allows retries for a fraction of the first sends, plus a small slack that all hosts share
-        equally. Over any window the fleet's retries stay below
-        percent/100 * first sends + slack.
+        equally. Over any window the fleet's retries stay below percent/100 * first sends + slack.
 
     USE
         1. wg_retry r = {0};
-        2. wg_retry_record_first_send(&r, &rules);   // a first send
+        2. wg_retry_record_first_send(&r, &rules);   // for each first send
         3. if (wg_retry_take(&r, &rules)) { send again }
 */
 #include "wg_base.h"
--- a/lib/share/wg_share.h
+++ b/lib/share/wg_share.h
@@ -44,8 +44,8 @@
     WGF_FLOWS_DEFAULT = 32768,
     WGF_ACCOUNTS_DEFAULT = 262144,
     WGF_SLOT_LEASE_DEFAULT = 2 * WG_USEC_PER_SEC,
-    WGF_UNUSED_RESERVE_PERCENT = 25, /* of unused slots: reserve that the leader doesn't grant */
-    WGF_GRANTS_MAX = 256,            /* in one set of orders; the next one carries the rest */
+    WGF_UNUSED_RESERVE_PERCENT = 25, /* part of the unused slots that isn't granted */
+    WGF_GRANTS_MAX = 256,            /* grants per set of orders; others follow in the next */
     WGF_SCALE = 1000000              /* virtual time is cost * WGF_SCALE / weight */
 };
 
--- a/tests/sim/sim_fleet.c
+++ b/tests/sim/sim_fleet.c
@@ -63,7 +63,7 @@
 }
 
 /* Slots of a target that a router has without leases: all of them with a central queue, an equal
-   part if routers are alone. */
+   part with the policy `alone`. */
 int _simf_fixed_slots(const run_t* s, int router, int target) {
     const simf_trace* t = s->trace;
     if (s->policy == SIMF_POLICY_LEASED) {
--- a/tests/sim/sim_fleet_measure.c
+++ b/tests/sim/sim_fleet_measure.c
@@ -130,8 +130,7 @@
     if (s->last_fault_end > 0) {
         result.recovery = (double)(s->last_out_of_bound_at - s->last_fault_end) / 1e6;
     }
-    /* Tokens of requests that still run count too, so that policies are compared at the same time.
-     */
+    /* Tokens of running requests count too, so that policies are compared at the same time. */
     for (guint i = 0; i < s->running->len; i++) {
         result.tokens += _simf_tokens_so_far(s, g_ptr_array_index(s->running, i));
     }
--- a/tests/sim/sim_quorum.h
+++ b/tests/sim/sim_quorum.h
@@ -58,7 +58,8 @@
 
 simq_run* simq_setup(const simq_desc* desc);
 void simq_shutdown(simq_run* run);
-/* Runs `steps` ticks with random edits and claims, and with faults if the desc says so. */
+/* Runs `steps` ticks with random edits and claims; with random faults if `faults` is set, with
+   planned stops if `gone_after` is set. */
 void simq_steps(simq_run* run, uint64_t steps);
 /* Ends all faults and asserts that all replicas are voters and agree within `within`. */
 void simq_settle(simq_run* run, wg_time within);
@@ -66,7 +67,7 @@
 /* Hash over the delivered messages; equal for equal seeds. */
 uint64_t simq_query_trace(const simq_run* run);
 
-/* For focused tests. */
+/* Functions for tests of single situations. */
 int simq_leader(simq_run* run);                     /* slot of the leader, or -1 */
 void simq_run_for(simq_run* run, wg_time duration); /* no random faults */
 void simq_cut(simq_run* run, int from, int to, bool cut);
--- a/tests/sim/sim_quorum_random.c
+++ b/tests/sim/sim_quorum_random.c
@@ -67,7 +67,7 @@
         simq_crash_all(s);
         s->counts.crashes += (uint64_t)s->desc.replicas;
         break;
-    case 21: /* all crash and restart at once, perhaps but one */
+    case 21: /* all crash and restart at once, except perhaps one */
         simq_crash_all(s);
         for (int i = 0; i < s->desc.replicas; i++) {
             if (i != a || a == b) {
@@ -131,7 +131,7 @@
     }
 }
 
-/* Begins a planned stop now and then; stops the replica once it has left the set. */
+/* Begins planned stops at random; stops the replica once it has left the set. */
 static void random_stop(simq_run* s) {
     int slot = (int)(_simq_random(s) % (uint64_t)s->desc.replicas);
     if (s->nodes[slot].up && _simq_one_in(s, 200)) {
--- a/tests/sim/soak_faults.c
+++ b/tests/sim/soak_faults.c
@@ -226,7 +226,7 @@
 
 void soak_inject_fault(soak* s, wg_time now) {
     enum {
-        OVERLOAD_ONE_IN = 3 /* of the faults of a run with `rests` */
+        OVERLOAD_ONE_IN = 3 /* of the faults of a run with `overloads` */
     };
     if (now < s->next_fault_at || s->desc.calm) {
         return;
--- a/tests/sim/soak_internal.h
+++ b/tests/sim/soak_internal.h
@@ -123,7 +123,7 @@
     wg_lag_monitor lag_monitor; /* of the soak process */
     wg_time loss_until;   /* the last lost disk or replaced host counts as a loss until then */
     bool catching_up;     /* a lost disk or replaced host still counts as a loss */
-    wg_time next_loss_at; /* successions: when a disk is lost; 0: no host was replaced yet */
+    wg_time next_loss_at; /* host_replacements: when a disk is lost; 0: no host replaced */
 };
 
 /* ---- soak_run.c ---- */
@@ -157,7 +157,7 @@
 void soak_record_replica_start(soak* s);
 
 /* ---- soak_succession.c ---- */
-/* Injects the next fault of a run with `successions`. */
+/* Injects the next fault of a run with `host_replacements`. */
 void soak_inject_replacement_fault(soak* s, wg_time now);
 
 /* ---- soak_cold.c ---- */
--- a/tests/sim/soak_operator.c
+++ b/tests/sim/soak_operator.c
@@ -118,11 +118,10 @@
                         "/v1/evacuations/" HOSTS_EVACUABLE);
 }
 
-/* Repeats the last request until it is acknowledged, then at random begins or ends an evacuation.
- */
+/* Repeats a request until it is acknowledged, then begins or ends an evacuation at random. */
 static void run_evacuations(soak* s) {
     enum {
-        CHANGE_ONE_IN = 10 /* operator periods */
+        CHANGE_ONE_IN = 10 /* of the operator's periods */
     };
     if (s->evacuation_in_flight || !s->formed) {
         return;
--- a/tests/sim/soak_run.h
+++ b/tests/sim/soak_run.h
@@ -36,8 +36,8 @@
     bool harsh;   /* deployed timing; process stalls, power losses with lost disks, permanently
                      replaced hosts */
     bool crashes; /* a request that crashes each target that runs it is sent repeatedly */
-    bool host_replacements; /* harsh, these faults only: a host is replaced, leaders stall, and
-                         seconds after the replacement started all power and one disk are lost */
+    bool host_replacements; /* harsh, these faults only: a host is replaced, leaders stall, and all
+                               power and one disk are lost seconds after the replacement started */
     bool colds;         /* harsh, these faults only: targets restart cold while their coordinators
                              change */
     bool overloads;     /* targets refuse requests with backoff hints, beside all other faults */
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -17,7 +17,7 @@
     _exit(1);
 }
 
-/* Sets that change: planned stops, replaced replicas, and two replicas that join later. */
+/* A replica set that changes: planned stops, replaced replicas, two replicas that join later. */
 static simq_desc changing_set(uint64_t seed, int replicas) {
     return (simq_desc){.seed = seed,
                        .replicas = replicas + 2,
@@ -56,7 +56,8 @@
     simq_shutdown(run);
 }
 
-/* A fleet under random load and faults. The replay asserts leases, this the bound of the gap. */
+/* Replays a fleet under random load and faults. simf_run() asserts that leases never exceed the
+   slots of a target; this function asserts the bound of the service gap between faults. */
 static void run_fleet(uint64_t seed, int seconds) {
     g_snprintf(failure_text, sizeof failure_text,
                "soak: failed with seed %" G_GUINT64_FORMAT ", fleet for %d s\n", seed, seconds);
