--- a/tests/sim/hosts.c
+++ b/tests/sim/hosts.c
@@ -324,67 +324,67 @@
     g_array_append_val(times, at);
 }
 
-static void add_hint_violation(hosts_events* notes, int target, const char* value, bool draining) {
-    hosts_hint_violation u = {.target = target, .draining = draining};
+static void add_hint_violation(hosts_events* events, int target, const char* value, bool draining) {
+    hosts_hint_violation violation = {.target = target, .draining = draining};
     long long since = 0;
     long long at = 0;
-    if (sscanf(value, "%d %lld %lld", &u.host, &since, &at) == 3) {
-        u.since = since;
-        u.at = at;
-        g_array_append_val(notes->hint_violations, u);
+    if (sscanf(value, "%d %lld %lld", &violation.host, &since, &at) == 3) {
+        violation.since = since;
+        violation.at = at;
+        g_array_append_val(events->hint_violations, violation);
     }
 }
 
-static void add_event(hosts_events* notes, int target, const char* line) {
+static void add_event(hosts_events* events, int target, const char* line) {
     const char* value = strchr(line, ' ');
     if (!value) {
         return;
     }
     value++;
     if (g_str_has_prefix(line, "run ")) {
-        int num = GPOINTER_TO_INT(g_hash_table_lookup(notes->runs, value));
-        g_hash_table_insert(notes->runs, g_strdup(value), GINT_TO_POINTER(num + 1));
+        int num = GPOINTER_TO_INT(g_hash_table_lookup(events->runs, value));
+        g_hash_table_insert(events->runs, g_strdup(value), GINT_TO_POINTER(num + 1));
     } else if (g_str_has_prefix(line, "late ")) {
-        add_time(notes->late, value);
+        add_time(events->late, value);
     } else if (g_str_has_prefix(line, "cold ")) {
-        add_time(notes->cold, value);
+        add_time(events->cold, value);
     } else if (g_str_has_prefix(line, "cold-most ")) {
-        notes->cold_max = MAX(notes->cold_max, atoi(value));
+        events->cold_max = MAX(events->cold_max, atoi(value));
     } else if (g_str_has_prefix(line, "in-rest ")) {
-        add_hint_violation(notes, target, value, false);
+        add_hint_violation(events, target, value, false);
     } else if (g_str_has_prefix(line, "after-leaving ")) {
-        add_hint_violation(notes, target, value, true);
+        add_hint_violation(events, target, value, true);
     } else if (g_str_has_prefix(line, HOSTS_EVACUABLE " ")) {
-        add_time(notes->evacuable, value);
+        add_time(events->evacuable, value);
     }
 }
 
 hosts_events hosts_read_events(const hosts* h) {
-    hosts_events notes = {.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
-                          .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                          .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                          .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
-                          .hint_violations =
-                              g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
+    hosts_events events = {.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+                           .late = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                           .cold = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                           .evacuable = g_array_new(FALSE, FALSE, sizeof(wg_time)),
+                           .hint_violations =
+                               g_array_new(FALSE, FALSE, sizeof(hosts_hint_violation))};
     for (int i = 0; i < h->targets_num; i++) {
         char* path = g_strdup_printf("%s/runs-%d", h->folder, i + 1);
         char* text = NULL;
         g_file_get_contents(path, &text, NULL, NULL);
         char** lines = g_strsplit(text ? text : "", "\n", 0);
         for (int l = 0; lines[l]; l++) {
-            add_event(&notes, i + 1, lines[l]);
+            add_event(&events, i + 1, lines[l]);
         }
         g_strfreev(lines);
         g_free(text);
         g_free(path);
     }
-    return notes;
+    return events;
 }
 
-void hosts_events_clear(hosts_events* notes) {
-    g_hash_table_unref(notes->runs);
-    g_array_unref(notes->late);
-    g_array_unref(notes->cold);
-    g_array_unref(notes->evacuable);
-    g_array_unref(notes->hint_violations);
+void hosts_events_clear(hosts_events* events) {
+    g_hash_table_unref(events->runs);
+    g_array_unref(events->late);
+    g_array_unref(events->cold);
+    g_array_unref(events->evacuable);
+    g_array_unref(events->hint_violations);
 }
--- a/tests/sim/hosts.h
+++ b/tests/sim/hosts.h
@@ -98,4 +98,4 @@
 /* Kills everything that was started and removes the folder unless `keep`. */
 void hosts_shutdown(hosts* h, bool keep);
 hosts_events hosts_read_events(const hosts* h);
-void hosts_events_clear(hosts_events* notes);
+void hosts_events_clear(hosts_events* events);
--- a/tests/sim/soak_internal.h
+++ b/tests/sim/soak_internal.h
@@ -178,7 +178,7 @@
 bool soak_begin_overload(soak* s, int number);
 void soak_end_overload(soak* s, int number);
 /* Checks the requests that reached targets against a backoff hint or while draining. */
-void soak_check_hints(soak* s, const hosts_events* notes);
+void soak_check_hints(soak* s, const hosts_events* events);
 
 /* ---- soak_callers.c ---- */
 void soak_callers_create(soak* s);
--- a/tests/sim/soak_rest.c
+++ b/tests/sim/soak_rest.c
@@ -23,12 +23,12 @@
 
 /* ---- helpers --------------------------------------------------------------------------------- */
 
-static bool has_excuse(const soak* s, const hosts_hint_violation* u) {
+static bool has_excuse(const soak* s, const hosts_hint_violation* violation) {
     for (int i = 0; i < s->disturbances_num; i++) {
         const disturbance* d = &s->disturbances[i];
-        bool concerns = d->entry == u->host || d->target_links == u->target;
-        bool over = d->until != 0 && d->until + FAULT_BACKLOG_TIME < u->since - HINT_DELAY;
-        if (concerns && !over && d->from <= u->at) {
+        bool concerns = d->entry == violation->host || d->target_links == violation->target;
+        bool over = d->until != 0 && d->until + FAULT_BACKLOG_TIME < violation->since - HINT_DELAY;
+        if (concerns && !over && d->from <= violation->at) {
             return true;
         }
     }
@@ -59,17 +59,18 @@
     hosts_set_faults(&s->h, &s->h.targets[number], "refuse=6&rest_ms=0");
 }
 
-void soak_check_hints(soak* s, const hosts_events* notes) {
-    for (guint i = 0; i < notes->hint_violations->len; i++) {
-        const hosts_hint_violation* u =
-            &g_array_index(notes->hint_violations, hosts_hint_violation, i);
-        if (has_excuse(s, u)) {
+void soak_check_hints(soak* s, const hosts_events* events) {
+    for (guint i = 0; i < events->hint_violations->len; i++) {
+        const hosts_hint_violation* violation =
+            &g_array_index(events->hint_violations, hosts_hint_violation, i);
+        if (has_excuse(s, violation)) {
             s->result.excused++;
             continue;
         }
         soak_record_violation(
             s, "host %d sent target %d a request %s at %" PRId64 ", not allowed since %" PRId64,
-            u->host, u->target, u->draining ? "while it was draining" : "in its backoff period",
-            u->at, u->since);
+            violation->host, violation->target,
+            violation->draining ? "while it was draining" : "in its backoff period", violation->at,
+            violation->since);
     }
 }
--- a/tests/sim/soak_run.c
+++ b/tests/sim/soak_run.c
@@ -144,33 +144,33 @@
     return false;
 }
 
-static void check_arrivals(soak* s, const hosts_events* notes) {
-    for (guint i = 0; i < notes->late->len; i++) {
-        if (is_undisturbed_at(s, g_array_index(notes->late, wg_time, i))) {
+static void check_arrivals(soak* s, const hosts_events* events) {
+    for (guint i = 0; i < events->late->len; i++) {
+        if (is_undisturbed_at(s, g_array_index(events->late, wg_time, i))) {
             soak_record_violation(s, "a request reached a target too late after its drain");
         }
     }
-    for (guint i = 0; i < notes->evacuable->len; i++) {
-        wg_time at = g_array_index(notes->evacuable, wg_time, i);
+    for (guint i = 0; i < events->evacuable->len; i++) {
+        wg_time at = g_array_index(events->evacuable, wg_time, i);
         if (is_evacuated_at(s, at) && is_undisturbed_at(s, at)) {
             soak_record_violation(
                 s, "a request reached a target of an evacuated data centre at %" PRId64, at);
         }
     }
-    s->result.cold_max = notes->cold_max;
-    if (notes->cold->len > 0) {
+    s->result.cold_max = events->cold_max;
+    if (events->cold->len > 0) {
         soak_record_violation(
             s, "a cold target received more requests in a second than its limit: %u times, max %d",
-            notes->cold->len, notes->cold_max);
+            events->cold->len, events->cold_max);
     }
 }
 
 static void check_runs(soak* s) {
-    hosts_events notes = hosts_read_events(&s->h);
+    hosts_events events = hosts_read_events(&s->h);
     GHashTableIter iter;
     gpointer id;
     gpointer num;
-    g_hash_table_iter_init(&iter, notes.runs);
+    g_hash_table_iter_init(&iter, events.runs);
     while (g_hash_table_iter_next(&iter, &id, &num)) {
         if (g_hash_table_contains(s->unsafe_ids, id) && GPOINTER_TO_INT(num) > 1) {
             soak_record_violation(s, "%s ran %d times", (char*)id, GPOINTER_TO_INT(num));
@@ -179,9 +179,9 @@
             soak_record_violation(s, "%s ran although it was refused as not run", (char*)id);
         }
     }
-    check_arrivals(s, &notes);
-    soak_check_hints(s, &notes);
-    hosts_events_clear(&notes);
+    check_arrivals(s, &events);
+    soak_check_hints(s, &events);
+    hosts_events_clear(&events);
 }
 
 static void start_processes(soak* s) {
--- a/tests/sim/soak_succession.c
+++ b/tests/sim/soak_succession.c
@@ -54,8 +54,8 @@
     }
     if (now < s->next_loss_at) {
         stall_random_replica(s);
-        wg_time lead = STALL_GAP_MS_MIN + (wg_time)soak_random(s, STALL_GAP_MS_SPAN);
-        s->next_fault_at = MIN(now + lead * WG_USEC_PER_MSEC, s->next_loss_at);
+        wg_time gap = STALL_GAP_MS_MIN + (wg_time)soak_random(s, STALL_GAP_MS_SPAN);
+        s->next_fault_at = MIN(now + gap * WG_USEC_PER_MSEC, s->next_loss_at);
         return;
     }
     soak_power_off_all(s, soak_random(s, 2), 1);
