--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -118,7 +118,7 @@
 
 run_all() {
     trap 'down >/dev/null 2>&1 || true' EXIT
-    say "start: 3 controls, 3 routers, 3 target stand-ins"
+    say "start: 3 controls, 3 routers, 3 fake targets"
     up
     "${ctl[@]}" status
     say "which entry hosts to use"
@@ -129,10 +129,10 @@
         -d '{"model":"logbook-assistant","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"73"}]}' \
         http://127.0.2.1:8001/v1/chat/completions | tee "$run/stream.txt"
     grep -q 'data: \[DONE\]' "$run/stream.txt" || fail "the stream has no end marker"
-    [[ $(grep -c '"t[1-5] "' "$run/stream.txt") == 5 ]] || fail "the stream is not whole"
+    [[ $(grep -c '"t[1-5] "' "$run/stream.txt") == 5 ]] || fail "the stream is incomplete"
     say "an application lookup"
     lookup 2
-    say "a call that may not be repeated, sent twice with one key through two routers"
+    say "a call that must not be repeated, sent twice with one key through two routers"
     for i in 1 3; do
         curl -sf -X POST -H "Authorization: Bearer demo-key-referees" -H "Idempotency-Key: qsl-1" \
             -H "X-Request-Id: qsl-1" -d ok "http://127.0.2.$i:800$i/v1/app/confirmations/confirm"
@@ -150,7 +150,7 @@
         http://127.0.2.1:8001/v1/app/confirmations/x) == 401 ]] || fail "wrong key was not 401"
     [[ $(curl -s -o /dev/null -w '%{http_code}' -H "Authorization: Bearer demo-key-referees" \
         http://127.0.2.1:8001/v1/app/nothing/x) == 404 ]] || fail "unknown service was not 404"
-    echo "401 and 404, as they should be"
+    echo "401 and 404, as expected"
     say "300 requests of 10 workspaces at once: service after 3 s"
     fairness
     say "state of a control"
@@ -158,7 +158,7 @@
     say "planned stop of everything"
     down
     trap - EXIT
-    echo "demo: all steps did what they should"
+    echo "demo: all checks passed"
 }
 
 case "${1:-run}" in
