--- a/lib/entry/wg_entry.h
+++ b/lib/entry/wg_entry.h
@@ -63,7 +63,7 @@
 
 /* Names of header fields, paths and query parameters on the wire. */
 typedef struct {
-    const char* request_id;        /* id of a caller's request; echoed by targets */
+    const char* request_id;        /* id of one attempt of a caller; echoed by targets */
     const char* key;               /* key of the workspace */
     const char* deadline;          /* milliseconds until the caller's deadline */
     const char* prompt_parts;      /* ID:TOKENS, comma-separated */
