--- a/tests/fleet_common.h
+++ b/tests/fleet_common.h
@@ -14,7 +14,7 @@
    -Wno-unused-function. */
 static proc_fleet fleet;
 
-static void start(const proc_desc* desc) {
+static void start_fleet(const proc_desc* desc) {
     proc_fleet_start(&fleet, desc);
 }
 
@@ -27,7 +27,7 @@
     return status;
 }
 
-static load_desc callers(load_kind kind, int num, wg_time duration) {
+static load_desc caller_load(load_kind kind, int num, wg_time duration) {
     load_desc desc = {.kind = kind,
                       .callers = num,
                       .duration = duration,
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -10,7 +10,7 @@
 }
 
 START_TEST(wrong_fleet_key_is_rejected) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     proc_process* router = proc_find(&fleet, "r1");
     proc_signal(router, SIGTERM);
     ck_assert_int_eq(proc_wait(router), 0);
@@ -37,7 +37,7 @@
 } edits;
 
 START_TEST(accepted_edits_survive_leader_kills) {
-    start(&(proc_desc){.controls = 3, .routers = 3, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 3, .services = 1, .engines = 1});
     memset(&edits, 0, sizeof edits);
     for (int round = 0; round < 4; round++) {
         proc_process* leader = proc_leader(&fleet);
@@ -105,7 +105,7 @@
 }
 
 START_TEST(lost_disk_is_replaced_by_one_command) {
-    start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
     proc_process* wiped = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     proc_process* third = NULL;
@@ -144,7 +144,7 @@
 END_TEST
 
 START_TEST(folder_of_another_cluster_is_refused) {
-    start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* reinitialised =
         proc_leader(&fleet) == &fleet.processes[0] ? &fleet.processes[1] : &fleet.processes[0];
     proc_kill(reinitialised);
@@ -168,7 +168,7 @@
 END_TEST
 
 START_TEST(without_a_majority_actions_are_refused_as_not_run) {
-    start(
+    start_fleet(
         &(proc_desc){.controls = 3,
                      .routers = 1,
                      .services = 1,
@@ -195,7 +195,7 @@
 }
 
 START_TEST(router_without_a_leader_refuses_requests) {
-    start(&(proc_desc){.controls = 3, .routers = 2, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 2, .services = 1, .engines = 1});
     for (int i = 0; i < 3; i++) {
         proc_signal(&fleet.processes[i], SIGSTOP);
     }
@@ -204,7 +204,7 @@
         proc_signal(&fleet.processes[i], SIGCONT);
     }
     proc_leader(&fleet);
-    load_desc desc = callers(LOAD_KIND_DEFAULT, 2, SECOND);
+    load_desc desc = caller_load(LOAD_KIND_DEFAULT, 2, SECOND);
     desc.attempts_max = 100;
     load_result result;
     load_run(&desc, &result);
@@ -217,7 +217,7 @@
 /* Returns how many lookups reach the service while callers send requests for 1 s. */
 static int64_t lookups_at(const char* service) {
     int64_t before = proc_journal_number(proc_find(&fleet, service), "lookups");
-    load_desc desc = callers(LOAD_KIND_DEFAULT, 8, SECOND);
+    load_desc desc = caller_load(LOAD_KIND_DEFAULT, 8, SECOND);
     load_result result;
     load_run(&desc, &result);
     ck_no_failures(&result);
@@ -226,7 +226,7 @@
 }
 
 START_TEST(draining_target_gets_no_new_requests) {
-    start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 1});
     ck_assert_int_eq(
         proc_run_ctl(&fleet, NULL, "table", "set", "targets", "service1", "leaving=1", NULL), 0);
     proc_sleep(3000);
@@ -236,7 +236,7 @@
 END_TEST
 
 START_TEST(daemons_report_startup_errors) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     char* command = g_strdup_printf("cd %s && %s/walnutgate-routerd --settings r1.ini 2>why.txt",
                                     fleet.folder, fleet.bin);
     int status = system(command);
@@ -273,7 +273,7 @@
 /* A control whose disk is full stops replicating while the others continue, and rejoins without a
    restart when there is space again. */
 START_TEST(full_disk_stops_only_its_control) {
-    start(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 1, .services = 1, .engines = 1});
     proc_process* leader = proc_leader(&fleet);
     proc_process* full = &fleet.processes[leader == &fleet.processes[0] ? 1 : 0];
     pid_t pid = full->pid;
@@ -302,12 +302,12 @@
 END_TEST
 
 START_TEST(rows_on_demand) {
-    start(&(proc_desc){.controls = 3,
-                       .routers = 2,
-                       .services = 1,
-                       .engines = 1,
-                       .workspaces = 20,
-                       .router_extra = "[table]\nrows=demand\n"});
+    start_fleet(&(proc_desc){.controls = 3,
+                             .routers = 2,
+                             .services = 1,
+                             .engines = 1,
+                             .workspaces = 20,
+                             .router_extra = "[table]\nrows=demand\n"});
     proc_process* router = proc_find(&fleet, "r1");
     const char* app = "/v1/app/app/x";
     ck_assert_int_eq(fetch_status("r1", "GET", app, "key-w7", NULL, NULL), 200);
@@ -354,12 +354,12 @@
 }
 
 START_TEST(older_host_list_is_ignored) {
-    start(&(proc_desc){.controls = 1,
-                       .routers = 1,
-                       .services = 2,
-                       .engines = 1,
-                       .router_extra = "[platform]\nhosts_ms=200\n"
-                                       "hosts_url=http://127.%d.4.1:9000/fake/hosts\n"});
+    start_fleet(&(proc_desc){.controls = 1,
+                             .routers = 1,
+                             .services = 2,
+                             .engines = 1,
+                             .router_extra = "[platform]\nhosts_ms=200\n"
+                                             "hosts_url=http://127.%d.4.1:9000/fake/hosts\n"});
     set_hosts(5, "live");
     ck_assert_int_gt(lookups_at("service2"), 0);
     set_hosts(6, "leaving");
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -3,12 +3,12 @@
 #include "fleet_common.h"
 
 START_TEST(answers_and_refusals) {
-    start(&(proc_desc){.controls = 1,
-                       .routers = 1,
-                       .engines = 1,
-                       .services = 1,
-                       .router_extra = "[limits]\nbody_max=2048\nhead_max=4096\n"});
-    load_desc desc = callers(LOAD_KIND_STREAM, 4, SECOND);
+    start_fleet(&(proc_desc){.controls = 1,
+                             .routers = 1,
+                             .engines = 1,
+                             .services = 1,
+                             .router_extra = "[limits]\nbody_max=2048\nhead_max=4096\n"});
+    load_desc desc = caller_load(LOAD_KIND_STREAM, 4, SECOND);
     load_result result;
     load_run(&desc, &result);
     ck_no_failures(&result);
@@ -56,7 +56,7 @@
 END_TEST
 
 START_TEST(malformed_input_does_not_stop_daemons) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 1});
     static const char* requests[] = {
         "\r\n\r\n",
         "GET\r\n\r\n",
@@ -101,7 +101,7 @@
     static const char* const lengths[] = {"Content-Length: 4\r\nContent-Length: 90\r\n",
                                           "Content-Length: +4\r\n", "Content-Length : 4\r\n",
                                           "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n"};
-    start(&(proc_desc){.controls = 1, .routers = 1, .services = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .services = 1});
     for (size_t i = 0; i < G_N_ELEMENTS(lengths); i++) {
         char* text = g_strdup_printf("POST /v1/app/app/confirm HTTP/1.1\r\nHost: a\r\n%s"
                                      "Authorization: Bearer key-w0\r\n\r\nxxxx"
@@ -146,10 +146,10 @@
 }
 
 START_TEST(actions_run_at_most_once) {
-    start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
     proc_set_faults(proc_find(&fleet, "service1"), "cut=20&refuse=10");
     proc_set_faults(proc_find(&fleet, "service2"), "fail=10&late_us=3000");
-    load_desc desc = callers(LOAD_KIND_ACTION, 16, 6 * SECOND);
+    load_desc desc = caller_load(LOAD_KIND_ACTION, 16, 6 * SECOND);
     desc.on_tick = kill_and_restart_routers;
     load_result result;
     load_run(&desc, &result);
@@ -179,7 +179,7 @@
 }
 
 START_TEST(one_key_through_three_routers_runs_once) {
-    start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 1});
     proc_set_faults(proc_find(&fleet, "service1"), "work_us=300000");
     proc_set_faults(proc_find(&fleet, "service2"), "work_us=300000");
     resend_call resends[6] = {{.router = "r1"}, {.router = "r2"}, {.router = "r3"},
@@ -208,11 +208,11 @@
 END_TEST
 
 START_TEST(every_caller_gets_its_own_complete_answer_or_an_error) {
-    start(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 3});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 2, .services = 2, .engines = 3});
     proc_set_faults(proc_find(&fleet, "engine1"), "cut=40");
     proc_set_faults(proc_find(&fleet, "engine2"), "no_marker=20&refuse=20");
     proc_set_faults(proc_find(&fleet, "service1"), "cut=30&late_us=20000");
-    load_desc streams = callers(LOAD_KIND_STREAM, 16, 4 * SECOND);
+    load_desc streams = caller_load(LOAD_KIND_STREAM, 16, 4 * SECOND);
     load_result result;
     load_run(&streams, &result);
     ck_assert_uint_eq(result.mismatched, 0);
@@ -222,7 +222,7 @@
                       proc_state_number(&fleet, proc_find(&fleet, "r2"), "requests.resumes");
     ck_assert_int_gt(resumes, 0);
     load_clear(&result);
-    load_desc lookups = callers(LOAD_KIND_DEFAULT, 16, 3 * SECOND);
+    load_desc lookups = caller_load(LOAD_KIND_DEFAULT, 16, 3 * SECOND);
     load_run(&lookups, &result);
     ck_assert_uint_eq(result.mismatched, 0);
     ck_assert_uint_gt(result.complete, 50);
@@ -241,9 +241,9 @@
 
 /* Lookups may be repeated: when their target is killed, the other one answers. */
 START_TEST(killed_target_fails_no_lookup) {
-    start(&(proc_desc){.controls = 1, .routers = 3, .services = 2, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 3, .services = 2, .engines = 1});
     bool done = false;
-    load_desc desc = callers(LOAD_KIND_DEFAULT, 16, 4 * SECOND);
+    load_desc desc = caller_load(LOAD_KIND_DEFAULT, 16, 4 * SECOND);
     desc.on_tick = kill_target;
     desc.user_data = &done;
     load_result result;
@@ -290,9 +290,9 @@
 }
 
 START_TEST(rolling_restart_fails_no_request) {
-    start(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 2});
+    start_fleet(&(proc_desc){.controls = 3, .routers = 3, .services = 2, .engines = 2});
     int next_daemon = 0;
-    load_desc desc = callers(LOAD_KIND_STREAM, 12, 25 * SECOND);
+    load_desc desc = caller_load(LOAD_KIND_STREAM, 12, 25 * SECOND);
     desc.on_tick = rolling_restart;
     desc.user_data = &next_daemon;
     desc.attempts_max = 40;
@@ -307,7 +307,7 @@
 END_TEST
 
 START_TEST(caller_disconnect_cancels_the_request) {
-    start(&(proc_desc){
+    start_fleet(&(proc_desc){
         .controls = 1, .routers = 1, .services = 1, .engines = 1, .engine_pace_us = 50000});
     const char* body = "{\"model\":\"model\",\"stream\":true,\"max_tokens\":10000,\"messages\":[]}";
     char* request = g_strdup_printf("POST /v1/chat/completions HTTP/1.1\r\n"
@@ -342,7 +342,7 @@
 
 /* When a caller does not read, the router stops reading from the target. */
 START_TEST(slow_caller_does_not_fill_memory) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     proc_process* router = proc_find(&fleet, "r1");
     int64_t before = resident_bytes(router);
     char ip[64];
@@ -375,11 +375,11 @@
 END_TEST
 
 START_TEST(slow_senders_are_closed) {
-    start(&(proc_desc){.controls = 1,
-                       .routers = 1,
-                       .services = 1,
-                       .engines = 1,
-                       .router_extra = "[limits]\nidle_s=1\n"});
+    start_fleet(&(proc_desc){.controls = 1,
+                             .routers = 1,
+                             .services = 1,
+                             .engines = 1,
+                             .router_extra = "[limits]\nidle_s=1\n"});
     const char* partial_requests[] = {
         "GET /v1/app/app/x HT", "GET /v1/app/app/x HTTP/1.1\r\nX-Slow: a",
         "POST /v1/app/app/x HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc"};
@@ -482,7 +482,7 @@
     enum {
         REQUEST_BYTES = 330
     };
-    start(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .services = 1, .engines = 1});
     resetting_target target = {0};
     char address[64] = "address=";
     open_resetting_target(&target, address);
--- a/tests/test_router_rest.c
+++ b/tests/test_router_rest.c
@@ -11,7 +11,7 @@
 };
 
 static load_result run_load(int seconds) {
-    load_desc desc = callers(LOAD_KIND_DEFAULT, CALLERS, seconds * SECOND);
+    load_desc desc = caller_load(LOAD_KIND_DEFAULT, CALLERS, seconds * SECOND);
     load_result result;
     load_run(&desc, &result);
     return result;
@@ -22,7 +22,7 @@
 }
 
 START_TEST(target_in_backoff_gets_no_requests) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     load_result result = run_load(1);
     ck_no_failures(&result);
     load_clear(&result);
@@ -52,7 +52,7 @@
     enum {
         COMPLETE_PERCENT = 95
     };
-    start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     proc_set_faults(proc_find(&fleet, "service1"), "refuse=100");
     load_result result = run_load(6);
     uint64_t all = result.complete + result.failed;
@@ -65,7 +65,7 @@
 END_TEST
 
 START_TEST(callers_are_refused_at_once_while_all_targets_back_off) {
-    start(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
+    start_fleet(&(proc_desc){.controls = 1, .routers = 1, .engines = 1, .services = 2});
     for (int i = 1; i <= 2; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "service%d", i);
