--- a/bench/bench_agree.c
+++ b/bench/bench_agree.c
@@ -124,7 +124,7 @@
                          proc_state_number(&fleet, router, "link.bytes_received")) /
                     (SECONDS + 4),
                 "bytes/s");
-    /* The engines' own count, as timers make a token take longer than the pace that is set. */
+    /* Counted by the engines, because timers make a token take longer than the configured pace. */
     bench_print("processes: tokens made a second", (double)tokens_made / SECONDS, "tokens/s");
     static simf_trace trace;
     GError* error = NULL;
--- a/tests/fake_control.h
+++ b/tests/fake_control.h
@@ -13,7 +13,7 @@
     int links_up;
     int links_down;
     int reports;
-    int refusals;                /* number of coming orders to answer with "not the leader" */
+    int refusals;                /* number of following orders to answer with "not the leader" */
     int evacuations;             /* orders to begin or end an evacuation */
     char evacuated[WG_NAME_MAX]; /* data centre of the last evacuation order */
     bool evacuation_begins;
--- a/tests/fakes/fake_sender.h
+++ b/tests/fakes/fake_sender.h
@@ -99,7 +99,7 @@
     return sender_find(name ? name : "");
 }
 
-/* Checks a request against what its host was asked for; while the target is draining, adds the
+/* Checks a request against the hints that its host received; while the target is draining, adds the
    notice to the answer. */
 static sender_violation sender_check(struct evhttp_request* request) {
     wg_time now = wg_now();
--- a/tests/one_entry.h
+++ b/tests/one_entry.h
@@ -23,7 +23,7 @@
 static fake_control leader;
 static wg_entry* entry;
 static char* target_address;
-static struct evconnlistener* listener; /* of the target; NULL: the target has stopped */
+static struct evconnlistener* listener; /* listener of the target; NULL: the target has stopped */
 
 /* Bytes that the target received, and the connection on which the last of them came. */
 static GString* target_received;
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -161,14 +161,15 @@
 }
 END_TEST
 
-/* With `spares_shared`, shared parts that the target would have to read count against the limit. */
+/* With `counts_missing`, shared parts that the target would have to read count against the limit.
+ */
 START_TEST(shared_parts_can_count_as_ahead) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.limits.ahead = 30 * MSEC;
     r.limits.counts_missing = true;
-    ck_assert(!wg_admit_decide(admit, 0, &r)
-                   .granted); /* the 6300 shared tokens take longer than the limit */
+    /* The 6300 shared tokens take longer than the limit. */
+    ck_assert(!wg_admit_decide(admit, 0, &r).granted);
     r.copied = 6300;
     ck_assert(wg_admit_decide(admit, 0, &r).granted);
     wg_admit_end(admit, 0, 1, 1, false);
@@ -206,8 +207,9 @@
     wg_admit_end(admit, 400 * MSEC, 4, 1, true);
     ck_assert(!decide(900 * MSEC, 4, 2).granted); /* second, longer ejection */
     ck_assert(decide(1100 * MSEC, 4, 2).granted);
+    /* The first event resets the failure count, so one more failure ejects nothing. */
     wg_admit_first_event(admit, 1200 * MSEC, 4, 2);
-    wg_admit_end(admit, 1200 * MSEC, 4, 2, true); /* it had answered: failure count starts again */
+    wg_admit_end(admit, 1200 * MSEC, 4, 2, true);
     ck_assert(decide(1210 * MSEC, 4, 3).granted);
     wg_admit_shutdown(admit);
 }
--- a/tests/test_backoff.c
+++ b/tests/test_backoff.c
@@ -113,8 +113,8 @@
 }
 END_TEST
 
-/* Hosts that were refused at once must return at different times, or the target would refuse most
-   of them again. */
+/* Hosts that were refused at the same time must return at different times, or the target would
+   refuse most of them again. */
 START_TEST(hosts_return_from_backoff_at_different_times) {
     enum {
         HOSTS = 100
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -414,7 +414,8 @@
 END_TEST
 
 /* Third homes that often lack their prefixes are given up for the two homes of the fleet, because
-   reading a prefix again costs more than a remote request. */
+   reading a prefix again costs more than a remote request. They are used again once they hold their
+   prefixes. */
 START_TEST(third_homes_without_their_prefixes_are_given_up) {
     begin_two_data_centres(10);
     ck_assert_int_eq(chosen_local_num(3000), 200);
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -9,7 +9,7 @@
     ROUTES_MANY = 18000
 };
 
-/* A configuration whose route `changed` has a different time-out; -1: no route. */
+/* A configuration whose route `changed` has a different timeout; -1: no route. */
 static GBytes* document(int routes, int changed) {
     GString* out = g_string_new("{\"version\":7,\"routes\":[");
     for (int i = 0; i < routes; i++) {
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -114,8 +114,8 @@
         callers[i] = connect_caller();
         ck_assert_int_eq(request_status(callers[i]), 503);
     }
-    ck_assert_int_eq(request_status(callers[0]),
-                     503); /* callers[1] has now been idle for longest */
+    /* After this request callers[1] has been idle for longest. */
+    ck_assert_int_eq(request_status(callers[0]), 503);
     callers[CALLERS_MAX] = connect_caller();
     ck_assert_int_eq(request_status(callers[CALLERS_MAX]), 503);
     ck_assert(is_closed(callers[1]));
--- a/tests/test_entry_flooded.c
+++ b/tests/test_entry_flooded.c
@@ -13,8 +13,8 @@
     TICK_MS = 60,    /* a little more than the tick of an entry host */
     BUSY_NUM = 150,
     BUSY_MS = 1,
-    STOP_MIN_MS =
-        3300, /* minimum length of a planned stop: three times entry_keep_s, and the close delay */
+    /* Minimum length of a planned stop: three times entry_keep_s, and the close delay. */
+    STOP_MIN_MS = 3300,
     /* Flood requests that may be answered before the work of a disconnected caller is stopped: the
        loop's limit between two checks for higher priorities, for each of the two steps. */
     ANSWERED_BEFORE_MAX = 2 * 64
@@ -64,7 +64,7 @@
     run_turns(50);
 }
 
-/* Sends a request of each caller, without running the loop. */
+/* Sends `request` on each connection without running the loop. */
 static void flood_send(const char* request) {
     for (int i = 0; i < FLOOD_NUM; i++) {
         ck_assert_int_eq(send(flood[i], request, strlen(request), MSG_NOSIGNAL),
@@ -102,7 +102,7 @@
     }
 }
 
-static int answered_before; /* flood answers when the work was stopped; -1: it runs */
+static int answered_before; /* flood answers when the target connection closed; -1: still open */
 
 static void on_work_stopped(struct bufferevent* bev, short what, void* user_data) {
     (void)bev;
@@ -221,8 +221,8 @@
     event_active(*(struct event**)user_data, EV_TIMEOUT, 1);
 }
 
-/* The deadline passed to a target must include the time that a request waited unread; otherwise
-   targets work on after the caller's deadline. */
+/* The time that a request waited unread must be deducted from the deadline passed to a target;
+   otherwise targets work on after the caller's deadline. */
 START_TEST(deadline_includes_time_unread) {
     static const char request[] =
         "GET /a/x HTTP/1.1\r\nHost: h\r\nWalnutgate-Deadline-Ms: 20000\r\n\r\n";
--- a/tests/test_fleet_control.c
+++ b/tests/test_fleet_control.c
@@ -257,7 +257,7 @@
 }
 END_TEST
 
-/* Whether the committed log of a control is shorter than the leader's. */
+/* Whether the commit index of a control is below the leader's. */
 static bool log_is_behind(void* user_data) {
     int64_t commit = proc_state_number(&fleet, proc_leader(&fleet), "log.commit");
     return proc_state_number(&fleet, user_data, "log.commit") < commit;
--- a/tests/test_fleet_requests.c
+++ b/tests/test_fleet_requests.c
@@ -276,7 +276,7 @@
         return;
     }
     if (*next_daemon > 0) {
-        /* An operator waits until the daemon restarted before is ready. */
+        /* As an operator does, waits until the daemon restarted last is ready. */
         proc_process* last = &fleet.processes[*next_daemon - 1];
         proc_answer answer = proc_request(last->operators, "GET", "/readyz", NULL, NULL, NULL);
         bool ready = answer.status == 200;
@@ -406,7 +406,7 @@
 static void reset_after(int fd, int bytes) {
     char byte;
     struct timeval read_timeout = {.tv_usec = 50000}; /* ends the loop when the request is read */
-    /* Wait for the first byte without a time-out: if none was sent, the router may rightly report
+    /* Wait for the first byte without a timeout: if none was sent, the router may rightly report
        not-run and send the request on a new connection. */
     ssize_t peeked = recv(fd, &byte, 1, MSG_PEEK);
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
--- a/tests/test_hosts.c
+++ b/tests/test_hosts.c
@@ -56,7 +56,7 @@
     return r;
 }
 
-/* Stalled processes, power losses with lost disks, and replaced hosts, with the deployed time-outs.
+/* Stalled processes, power losses with lost disks, and replaced hosts, with the deployed timeouts.
    How many faults of a kind occur depends on the speed of the machine too. */
 START_TEST(guarantees_hold_under_harsh_faults) {
     soak_result r = run_harsh(2222, 20, 5, 5);
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -217,7 +217,7 @@
    The host must send the order again, or the operator's request fails with 503. */
 START_TEST(an_order_that_was_refused_is_sent_again) {
     enum {
-        ORDER_TURNS = 600 /* loop turns of 1 ms, fewer than the 900 ms time-out of the order */
+        ORDER_TURNS = 600 /* loop turns of 1 ms, fewer than the 900 ms timeout of the order */
     };
     fake_control leader;
     begin();
--- a/tests/test_net.c
+++ b/tests/test_net.c
@@ -144,7 +144,7 @@
     event_base_dispatch(base);
 }
 
-/* A process that was stalled for longer than the silence deadline keeps its links: it must not take
+/* A process that was stalled for longer than `receive_deadline` keeps its links: it must not take
    its own lag for unresponsive peers. */
 START_TEST(stalled_process_keeps_its_links) {
     base = event_base_new();
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -52,7 +52,7 @@
 }
 END_TEST
 
-/* A retry has all admission requests, whatever the usage of its workspace. */
+/* A retry may request the maximum number of admissions, whatever the usage of its workspace. */
 START_TEST(retry_has_all_admission_requests) {
     wg_policy_terms far_above = terms(5000);
     far_above.sent_before = true;
@@ -60,7 +60,8 @@
 }
 END_TEST
 
-/* With relaxed limits, workspaces below their fair share may be late instead of refused. */
+/* Requests of workspaces far below their fair share may be late instead of refused; relaxed limits
+   double the time that they may take. */
 START_TEST(workspaces_below_their_share_may_be_late) {
     wg_policy_terms t = terms(400);
     ck_assert(wg_policy_may_be_late(&t));
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -236,8 +236,8 @@
     RUN_REQUEST_STEPS_MAX = 200, /* maximum steps of a request */
     RUN_DOWN_STEPS = 300,        /* steps from a crash to the restart of the target */
     RUN_OUTAGE_STEPS = 60,       /* steps of an outage */
-    RUN_KNOWN_AFTER_STEPS =
-        300, /* steps after the third crash, until all hosts have to refuse the request */
+    /* steps after the third crash, until all hosts have to refuse the request */
+    RUN_KNOWN_AFTER_STEPS = 300,
     RUN_LATE_MAX = 3
 };
 
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -161,7 +161,7 @@
 END_TEST
 
 /* A voter that did not restart may be a leader that still holds its lease: the others wait for the
-   normal election time-out. */
+   normal election timeout. */
 START_TEST(running_voter_delays_the_election) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed, .replicas = 3});
@@ -185,8 +185,8 @@
 }
 END_TEST
 
-/* With the time-outs of deploy/replica.ini, lost messages and delays longer than the shortest
-   election time-out do not unseat a running leader. */
+/* With the timeouts of deploy/replica.ini, lost messages and delays longer than the shortest
+   election timeout do not unseat a running leader. */
 START_TEST(short_timeouts_keep_a_leader_on_a_bad_network) {
     uint64_t elections = 0;
     for (int seed = 0; seed < 20; seed++) {
@@ -206,7 +206,7 @@
 }
 END_TEST
 
-/* A failed leader is replaced within twice the longest election time-out. */
+/* A failed leader is replaced within twice the longest election timeout. */
 START_TEST(short_timeouts_replace_a_failed_leader_soon) {
     for (int seed = 0; seed < 20; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
@@ -427,7 +427,6 @@
 }
 END_TEST
 
-/* Runs for longer than the retention period of claims. */
 START_TEST(random_runs_outlast_the_retention_of_claims) {
     simq_run* run = simq_setup(&(simq_desc){.seed = 90711, .replicas = 3, .faults = true});
     simq_steps(run, 200000);
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -13,7 +13,7 @@
     REPLACEMENT = 3,
     RUNS = 300,                 /* seeds of each test; the environment variable RUNS overrides it */
     COMPLETION_LIMIT_MS = 3000, /* limit from the replacement's catching up to a complete set */
-    STALL_MS_MIN = 550, /* shortest stall of a leader, beyond the longest election time-out */
+    STALL_MS_MIN = 550, /* shortest stall of a leader, beyond the longest election timeout */
     STALL_MS_SPAN = 350,
     LEAD_MS_MIN = 500, /* shortest time from an election to the next stall */
     LEAD_MS_SPAN = 1500
@@ -41,7 +41,7 @@
 
 static replacement_run begin(int seed) {
     replacement_run p = {.seed = (uint64_t)seed};
-    /* The time-outs of deploy/replica.ini. */
+    /* The timeouts of deploy/replica.ini. */
     p.run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                     .replicas = VOTERS + 1,
                                     .voters = VOTERS,
@@ -75,7 +75,7 @@
     }
 }
 
-/* Removes one voter for good and starts an empty replica within a second. */
+/* Crashes one voter for good and starts an empty replica within a second. */
 static void replace_voter(replacement_run* p) {
     simq_crash(p->run, p->failed);
     run_with_stalls(p, random_below(p, 1000) * MSEC);
--- a/tests/test_quorum_stalls.c
+++ b/tests/test_quorum_stalls.c
@@ -8,7 +8,7 @@
 enum {
     VOTERS = 3,
     SEEDS = 40,
-    STALL_MS = 700,   /* longer than the longest election time-out, 500 ms */
+    STALL_MS = 700,   /* longer than the longest election timeout, 500 ms */
     RECOVERY_MS = 100 /* enough for a heartbeat round, too short for an election */
 };
 
@@ -99,8 +99,8 @@
 START_TEST(stalled_leader_removes_no_replica) {
     enum {
         LEARNER = 3,
-        LONG_STALL_MS =
-            1300 /* longer than the time without contact after which a replica is removed */
+        /* longer than the time without contact after which a replica is removed */
+        LONG_STALL_MS = 1300
     };
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -18,7 +18,7 @@
 } fault_plan;
 
 static simq_run* begin(const fault_plan* plan, int seed) {
-    /* The time-outs of deploy/replica.ini. */
+    /* The timeouts of deploy/replica.ini. */
     simq_run* run = simq_setup(&(simq_desc){.seed = (uint64_t)seed,
                                             .replicas = plan->voters + plan->replaced,
                                             .voters = plan->voters,
@@ -147,8 +147,8 @@
     return num;
 }
 
-/* A replacement must not get a vote beside a voter that fails while the replacement starts and
-   still counts as reachable. */
+/* A voter that fails while its replacement starts still counts as reachable for a short time; the
+   replacement must not get a vote beside it. */
 START_TEST(replacement_does_not_vote_beside_a_failing_voter) {
     static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     enum {
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -328,8 +328,8 @@
 START_TEST(deregistered_target_may_register_again) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive_incarnation(r, 0, 1000, WG_TARGET_DRAINING, 5);
-    receive_incarnation(r, SECOND, 0, WG_TARGET_REMOVED,
-                        0); /* a deregistration may lack the incarnation */
+    /* A deregistration may lack the incarnation. */
+    receive_incarnation(r, SECOND, 0, WG_TARGET_REMOVED, 0);
     ck_assert_int_eq(receive_incarnation(r, 2 * SECOND, 1000, WG_TARGET_READY, 900),
                      WG_HEARTBEAT_OUTDATED);
     ck_assert_int_eq(receive_incarnation(r, 3 * SECOND, 2000, WG_TARGET_READY, 1),
