--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -136,7 +136,7 @@
 }
 END_TEST
 
-START_TEST(what_is_copied_is_not_read) {
+START_TEST(copied_parts_are_not_read) {
     admit = wg_admit_setup(&(wg_admit_desc){0});
     wg_admit_request r = request(1, 1, 2900);
     r.copied = 6300;
@@ -324,7 +324,7 @@
 WG_TEST_MAIN("admit", fresh_account_includes_reported_parts, admissions_to_many_hosts_are_bounded,
              admissions_to_a_cold_target_keep_its_rate, two_coordinators_keep_a_cold_target_bounded,
              shared_parts_are_read_once, least_recently_used_parts_are_evicted,
-             what_is_copied_is_not_read, refusal_reserves_nothing, shared_parts_can_count_as_ahead,
+             copied_parts_are_not_read, refusal_reserves_nothing, shared_parts_can_count_as_ahead,
              large_prompts_have_a_limit_of_their_own, failing_target_is_ejected,
              no_target_is_ejected_if_all_fail, slots_limit_running_requests,
              fresh_account_uses_the_given_floor, reading_speed_is_learnt, accounts_return_to_zero)
--- a/tests/test_backoff.c
+++ b/tests/test_backoff.c
@@ -64,7 +64,7 @@
 END_TEST
 
 /* A clock difference of an hour between host and target must not change the period. */
-START_TEST(a_date_counts_from_the_date_of_the_answer) {
+START_TEST(retry_date_counts_from_the_date_of_the_answer) {
     wg_backoff_hint hint = hint_of(503, "Retry-After", "Sun, 06 Nov 1994 08:49:40 GMT");
     wg_backoff_read_field(&hint, "Target-Leaving", text_of("Date"),
                           text_of("Sun, 06 Nov 1994 08:49:37 GMT"));
@@ -188,7 +188,7 @@
 END_TEST
 
 WG_TEST_MAIN("backoff", retry_after_is_parsed_in_all_formats, unreadable_hint_has_no_period,
-             longest_of_several_hints_counts, a_date_counts_from_the_date_of_the_answer,
+             longest_of_several_hints_counts, retry_date_counts_from_the_date_of_the_answer,
              only_status_503_starts_a_backoff, backoff_is_never_shortened,
              hosts_return_from_backoff_at_different_times, draining_is_final,
              unreadable_hint_is_reported_once_per_target, backoff_entries_are_bounded)
--- a/tests/test_balance.c
+++ b/tests/test_balance.c
@@ -323,7 +323,7 @@
 
 /* Plain requests may queue at a target beyond its slots as long as they can be answered within the
    limit. */
-START_TEST(a_plain_request_waits_at_a_target_that_answers_in_time) {
+START_TEST(plain_request_queues_at_a_target_that_answers_in_time) {
     begin_plain();
     wg_time limit = 4 * WORK_MS * MSEC;
     int sent = 0;
@@ -393,7 +393,7 @@
 
 /* A prefix that is cheaper to copy than the request is to send to a remote data centre has a third
    home in the local one. */
-START_TEST(a_small_prefix_has_a_home_in_each_data_centre) {
+START_TEST(small_prefix_has_a_home_in_each_data_centre) {
     begin_two_data_centres(10);
     ck_assert_int_eq(chosen_local_num(3000), 200);
     ck_assert_int_lt(chosen_local_num(1000), 180);
@@ -653,9 +653,9 @@
              new_home_copies_from_the_previous, denied_home_is_a_copy_source,
              newer_load_replaces_the_reported_one, load_of_other_hosts_decays,
              hosts_do_not_all_choose_the_least_loaded, removed_target_moves_only_its_own_prefixes,
-             draining_targets_get_nothing, a_small_prefix_has_a_home_in_each_data_centre,
+             draining_targets_get_nothing, small_prefix_has_a_home_in_each_data_centre,
              third_homes_without_their_prefixes_are_given_up,
-             a_plain_request_waits_at_a_target_that_answers_in_time,
+             plain_request_queues_at_a_target_that_answers_in_time,
              service_time_excludes_queue_time, targets_of_an_evacuated_data_centre_get_nothing,
              accounts_return_to_zero, failing_targets_are_ejected_and_return,
              replaced_target_gets_nothing_until_its_record_changes,
--- a/tests/test_control_disk.c
+++ b/tests/test_control_disk.c
@@ -174,7 +174,7 @@
 END_TEST
 
 /* A damaged data file ends the process instead of being retried. */
-START_TEST(a_damaged_folder_ends_the_process) {
+START_TEST(damaged_folder_ends_the_process) {
     begin_as_leader();
     put_version(10);
     fail_with(EIO, 0);
@@ -192,4 +192,4 @@
 
 WG_TEST_MAIN("control disk", control_gives_up_leadership_while_writes_fail,
              control_leads_once_the_disk_works, control_with_a_failing_disk_can_be_stopped,
-             a_damaged_folder_ends_the_process)
+             damaged_folder_ends_the_process)
--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -102,7 +102,7 @@
 }
 END_TEST
 
-START_TEST(a_document_beyond_the_limit_is_refused) {
+START_TEST(document_beyond_the_limit_is_refused) {
     uint8_t* zeros = g_malloc0(WG_DOCUMENT_MAX + 1);
     GBytes* large = g_bytes_new_take(zeros, WG_DOCUMENT_MAX + 1);
     GBytes* packed = wg_document_pack(large, NULL);
@@ -116,4 +116,4 @@
 
 WG_TEST_MAIN("document", one_changed_route_takes_few_bytes_whatever_the_size,
              complete_document_shrinks, another_base_or_damaged_bytes_are_refused,
-             a_document_beyond_the_limit_is_refused)
+             document_beyond_the_limit_is_refused)
--- a/tests/test_entry_promises.c
+++ b/tests/test_entry_promises.c
@@ -61,7 +61,7 @@
 }
 END_TEST
 
-START_TEST(a_request_ends_at_the_timeout_of_its_route) {
+START_TEST(request_ends_at_the_timeout_of_its_route) {
     char answer[1024];
     begin();
     wg_time since = wg_now();
@@ -181,7 +181,7 @@
     run_turns(20);
 }
 
-START_TEST(an_evacuated_data_centre_gets_no_request) {
+START_TEST(evacuated_data_centre_gets_no_request) {
     char answer[1024];
     begin();
     lead_targets("dc", 0, 2);
@@ -485,10 +485,9 @@
 WG_TEST_MAIN("entry promises", usage_decays_without_a_leader,
              target_connections_reduce_the_caller_limit,
              events_of_streams_do_not_try_waiting_requests, target_deadline_is_the_remaining_time,
-             a_request_ends_at_the_timeout_of_its_route,
-             caller_disconnect_cancels_the_target_request,
+             request_ends_at_the_timeout_of_its_route, caller_disconnect_cancels_the_target_request,
              request_of_a_disconnected_caller_is_not_sent, planned_stop_aborts_no_request,
-             older_configuration_is_ignored, an_evacuated_data_centre_gets_no_request,
+             older_configuration_is_ignored, evacuated_data_centre_gets_no_request,
              cold_target_gets_no_more_than_its_rate, cold_target_is_not_queried_for_cached_prompts,
              started_host_sends_nothing_to_cold_targets,
              evacuation_order_is_forwarded_to_the_leader,
--- a/tests/test_entry_quarantine.c
+++ b/tests/test_entry_quarantine.c
@@ -179,7 +179,7 @@
 /* ---- quarantines from the leader --------------------------------------------------------------
  */
 
-START_TEST(a_quarantined_request_is_refused_at_once) {
+START_TEST(quarantined_request_is_refused_at_once) {
     char answer[1024];
     uint64_t list[] = {fingerprint_of("/a/x")};
     begin();
@@ -280,6 +280,6 @@
              replaced_target_after_a_closed_connection_is_evidence,
              request_to_a_crashed_target_is_no_evidence, evidence_is_reported_again_on_a_new_link,
              host_refuses_crashing_requests_by_its_own_evidence,
-             a_quarantined_request_is_refused_at_once, quarantine_aborts_unanswered_requests,
+             quarantined_request_is_refused_at_once, quarantine_aborts_unanswered_requests,
              request_that_ends_well_is_reported, earlier_good_end_is_reported,
              operator_lists_and_releases_quarantines)
--- a/tests/test_forward.c
+++ b/tests/test_forward.c
@@ -77,7 +77,7 @@
 END_TEST
 
 /* Last-Event-Id of the caller is passed on until this host has a later one. */
-START_TEST(the_last_event_is_the_newest) {
+START_TEST(newest_last_event_id_is_sent) {
     char* sent = forward("Last-Event-Id: 4\r\n", "");
     ck_assert_int_eq(occurrences(sent, "Last-Event-Id: 4\r\n"), 1);
     g_free(sent);
@@ -108,4 +108,4 @@
 END_TEST
 
 WG_TEST_MAIN("forward", fields_that_the_system_sets_are_withheld, system_fields_are_sent_once,
-             the_last_event_is_the_newest, trailers_are_not_forwarded)
+             newest_last_event_id_is_sent, trailers_are_not_forwarded)
--- a/tests/test_hosts.c
+++ b/tests/test_hosts.c
@@ -10,7 +10,7 @@
     ck_assert_int_gt(r.acknowledged, 0);
 }
 
-START_TEST(a_calm_fleet_serves_all) {
+START_TEST(fleet_without_faults_serves_all_requests) {
     soak_result r = soak_run(&(soak_desc){.seed = 1, .seconds = 4, .calm = true});
     ck_assert_msg(r.good, "%s; logs in %s", r.reason, r.folder);
     ck_assert_int_eq(r.refused, 0);
@@ -88,7 +88,7 @@
 }
 END_TEST
 
-WG_TEST_MAIN("hosts", a_calm_fleet_serves_all, guarantees_hold_while_targets_fail,
+WG_TEST_MAIN("hosts", fleet_without_faults_serves_all_requests, guarantees_hold_while_targets_fail,
              drained_targets_get_nothing, guarantees_hold_under_faults,
              guarantees_hold_with_four_replicas, guarantees_hold_under_harsh_faults,
              guarantees_hold_with_a_harsh_seed_that_failed,
--- a/tests/test_leader_links.c
+++ b/tests/test_leader_links.c
@@ -82,7 +82,7 @@
 
 /* An entry host stays connected for LEADERLESS_TIME to a control that knows no leader, since the
    control learns of a new leader sooner than the host finds it by connecting to others. */
-START_TEST(an_entry_host_waits_where_no_leader_is_known_yet) {
+START_TEST(entry_host_waits_where_no_leader_is_known_yet) {
     int attempts = 0;
     while (!host_waits_for_leader()) {
         ck_assert_int_lt(attempts++, ATTEMPTS_MAX);
@@ -215,7 +215,7 @@
 
 /* A stalled leader may refuse an order and then renew its lease without announcing that it lost it.
    The host must send the order again, or the operator's request fails with 503. */
-START_TEST(an_order_that_was_refused_is_sent_again) {
+START_TEST(refused_order_is_sent_again) {
     enum {
         ORDER_TURNS = 600 /* loop turns of 1 ms, fewer than the 900 ms timeout of the order */
     };
@@ -472,7 +472,7 @@
 
 WG_TEST_MAIN("leader links", hosts_get_the_leader_address_once_known,
              connecting_replica_is_dialled_back_at_once, new_coordinator_requests_cache_lists,
-             cache_lists_are_parsed_strictly, an_entry_host_waits_where_no_leader_is_known_yet,
+             cache_lists_are_parsed_strictly, entry_host_waits_where_no_leader_is_known_yet,
              entry_host_does_not_wait_at_another_entry_host,
-             control_without_a_leader_is_disconnected, an_order_that_was_refused_is_sent_again,
+             control_without_a_leader_is_disconnected, refused_order_is_sent_again,
              hosts_without_a_member_list_get_it_at_once)
--- a/tests/test_leader_states.c
+++ b/tests/test_leader_states.c
@@ -251,7 +251,7 @@
 
 /* An evacuation is sent to all hosts, may be ordered twice, and survives restarts of the control,
    from its log and from a snapshot. */
-START_TEST(an_evacuation_outlives_its_leader) {
+START_TEST(evacuation_survives_restarts_of_the_control) {
     begin();
     settings.snapshot_entries = 8;
     local_entry host;
@@ -362,7 +362,7 @@
 }
 END_TEST
 
-START_TEST(a_quarantine_outlives_its_leader) {
+START_TEST(quarantine_survives_restarts_of_the_control) {
     begin();
     settings.snapshot_entries = 8;
     local_entry host;
@@ -411,7 +411,7 @@
 END_TEST
 
 WG_TEST_MAIN("leader states", crashes_reported_by_two_hosts_add_up,
-             a_quarantine_outlives_its_leader, quarantine_expires,
+             quarantine_survives_restarts_of_the_control, quarantine_expires,
              configuration_is_sent_as_a_difference, configuration_in_flight_is_not_resent,
              simultaneous_changes_are_sent_together, stalled_leader_reports_no_target_unresponsive,
-             an_evacuation_outlives_its_leader)
+             evacuation_survives_restarts_of_the_control)
--- a/tests/test_lost_majority.c
+++ b/tests/test_lost_majority.c
@@ -149,7 +149,7 @@
 
 /* walnutgatectl is given two running controls and recovers the set from the one with the newest
    log. */
-START_TEST(the_command_finds_the_newest_log) {
+START_TEST(recovery_command_finds_the_newest_log) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -239,6 +239,6 @@
 END_TEST
 
 WG_TEST_MAIN("lost_majority", hosts_that_start_without_a_majority_serve, operator_recovers_the_set,
-             wiped_replicas_join_the_recovered_set, the_command_finds_the_newest_log,
+             wiped_replicas_join_the_recovered_set, recovery_command_finds_the_newest_log,
              recovery_is_refused_while_a_majority_may_return, previous_majority_is_kept_out,
              previous_majority_is_not_followed)
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -188,7 +188,7 @@
     return m;
 }
 
-START_TEST(members_come_and_go) {
+START_TEST(members_join_and_leave) {
     wgm_members* m = wgm_setup(&(wgm_desc){.members_max = 4}, NULL);
     wgm_member a = member("a", 1, WGM_STATE_UP, "x");
     ck_assert_int_eq(wgm_record_heartbeat(m, 0, &a), WGM_EVENT_UP);
@@ -426,7 +426,7 @@
 
 WG_TEST_MAIN("parts", stale_handles_are_detected, histogram_quantiles_are_close,
              bad_frames_are_refused, proof_depends_on_key_label_and_hellos,
-             bad_settings_name_file_group_and_key, claims_are_granted_once, members_come_and_go,
+             bad_settings_name_file_group_and_key, claims_are_granted_once, members_join_and_leave,
              entry_hosts_are_few_local_and_stable, only_leased_slots_are_used,
              older_list_does_not_undo_draining,
              target_in_backoff_gets_no_requests_and_keeps_one_slot,
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-START_TEST(a_refusal_comes_within_a_quarter_of_the_objective) {
+START_TEST(refusal_comes_within_a_quarter_of_the_objective) {
     ck_assert_int_eq(wg_policy_queue_time_max(1000 * MSEC), 110 * MSEC);
     ck_assert_int_eq(wg_policy_queue_time_max(10 * MSEC), 5 * MSEC);
 }
@@ -110,5 +110,5 @@
 WG_TEST_MAIN("policy", tightest_objective_limits_all_waits, workspaces_above_the_level_wait_less,
              retry_has_all_admission_requests, workspaces_below_their_share_may_be_late,
              uncharged_requests_have_full_wait_tolerance,
-             a_refusal_comes_within_a_quarter_of_the_objective,
+             refusal_comes_within_a_quarter_of_the_objective,
              retry_after_is_past_the_backoff_and_spread)
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -24,7 +24,7 @@
     return value;
 }
 
-START_TEST(the_same_request_has_one_fingerprint) {
+START_TEST(same_request_has_one_fingerprint) {
     uint64_t value = fingerprint(1, "/a?b", "w", "body", "");
     ck_assert_uint_ne(value, 0);
     ck_assert_uint_eq(fingerprint(1, "/a?b", "w", "bo", "dy"), value);
@@ -78,7 +78,7 @@
 }
 END_TEST
 
-START_TEST(a_request_that_ended_well_is_no_suspect) {
+START_TEST(request_that_ended_well_is_no_suspect) {
     wg_suspects* s = wg_suspects_setup(&(wg_suspects_desc){.cleared_time = 30 * SECOND});
     ck_assert(!is_due_after(s, SECOND, 7, 1, true));
     ck_assert(wg_suspects_clear(s, 2 * SECOND, 7));
@@ -155,7 +155,7 @@
     return wg_quarantine_apply(q, now, &in, &dropped);
 }
 
-START_TEST(a_quarantine_begins_and_ends_once) {
+START_TEST(quarantine_begins_and_ends_once) {
     wg_quarantine* q = wg_quarantine_setup(&(wg_quarantine_desc){0});
     ck_assert(!change(q, 0, 7, "w", false));
     ck_assert(change(q, 5 * SECOND, 7, "w", true));
@@ -510,9 +510,9 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quarantine", the_same_request_has_one_fingerprint, three_crashes_make_a_request_due,
-             two_early_crashes_make_a_request_due, a_request_that_ended_well_is_no_suspect,
+WG_TEST_MAIN("quarantine", same_request_has_one_fingerprint, three_crashes_make_a_request_due,
+             two_early_crashes_make_a_request_due, request_that_ended_well_is_no_suspect,
              evidence_expires, workspace_evicts_its_own_suspects_first,
-             evidence_can_be_reported_again, a_quarantine_begins_and_ends_once,
+             evidence_can_be_reported_again, quarantine_begins_and_ends_once,
              workspace_has_a_quota_of_the_list, snapshot_and_copy_match_the_original,
              random_runs_keep_the_bounds)
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -41,7 +41,7 @@
 }
 END_TEST
 
-START_TEST(nobody_starves_under_a_flood) {
+START_TEST(no_workspace_starves_under_a_flood) {
     wgq_queue* q = wgq_setup(&(wgq_desc){.requests_max = 20000}, NULL);
     for (int i = 0; i < 10000; i++) {
         push(q, 0, 1, 100, false);
@@ -208,7 +208,7 @@
 }
 END_TEST
 
-START_TEST(urgent_goes_first_within_its_own_share) {
+START_TEST(urgent_requests_go_first_within_their_share) {
     wgq_queue* q = wgq_setup(&(wgq_desc){0}, NULL);
     wgq_handle picked;
     for (int i = 0; i < 50; i++) {
@@ -234,7 +234,7 @@
 }
 END_TEST
 
-START_TEST(expired_and_stale_handles) {
+START_TEST(expired_and_stale_handles_are_ignored) {
     wgq_queue* q = wgq_setup(&(wgq_desc){.requests_max = 4}, NULL);
     wgq_refusal refusal;
     wgq_handle handle = wgq_push(
@@ -349,7 +349,7 @@
 
 WG_TEST_MAIN("queue", cost_estimate_of_long_requests_grows, head_of_line_wait_is_bounded,
              flood_does_not_lengthen_others_waits, service_follows_weights,
-             nobody_starves_under_a_flood, idle_time_earns_no_credit,
+             no_workspace_starves_under_a_flood, idle_time_earns_no_credit,
              fleet_virtual_time_includes_service_elsewhere, served_totals_never_decrease,
              refusals_by_limits_give_retry_after, request_that_cannot_be_served_in_time_is_refused,
-             urgent_goes_first_within_its_own_share, expired_and_stale_handles)
+             urgent_requests_go_first_within_their_share, expired_and_stale_handles_are_ignored)
--- a/tests/test_quorum.c
+++ b/tests/test_quorum.c
@@ -53,7 +53,7 @@
 }
 END_TEST
 
-START_TEST(five_replicas_survive_any_two) {
+START_TEST(five_replicas_survive_two_failures) {
     simq_run* run = setup_without_faults(5);
     int leader = wait_leader(run);
     simq_edit(run, "w", 5, 0, 1);
@@ -69,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(no_majority_no_leader) {
+START_TEST(no_leader_without_a_majority) {
     simq_run* run = setup_without_faults(3);
     int leader = wait_leader(run);
     simq_crash(run, nth_other(leader, 0, 3));
@@ -384,7 +384,7 @@
 }
 END_TEST
 
-START_TEST(two_editors_one_wins_and_a_resend_gets_the_first_answer) {
+START_TEST(one_of_two_edits_wins_and_a_resend_gets_the_first_answer) {
     simq_run* run = setup_without_faults(3);
     wait_leader(run);
     simq_edit(run, "w", 5, 0, 1);
@@ -447,14 +447,14 @@
 END_TEST
 
 WG_TEST_MAIN("quorum", one_replica_leads_itself, one_replica_leads_itself_at_once_after_a_restart,
-             five_replicas_survive_any_two, no_majority_no_leader, promise_to_a_leader_is_kept,
-             promise_survives_a_restart, simultaneous_start_elects_at_once,
-             simultaneous_start_with_a_lost_disk_elects_at_once, running_voter_delays_the_election,
-             short_timeouts_keep_a_leader_on_a_bad_network,
+             five_replicas_survive_two_failures, no_leader_without_a_majority,
+             promise_to_a_leader_is_kept, promise_survives_a_restart,
+             simultaneous_start_elects_at_once, simultaneous_start_with_a_lost_disk_elects_at_once,
+             running_voter_delays_the_election, short_timeouts_keep_a_leader_on_a_bad_network,
              short_timeouts_replace_a_failed_leader_soon, leadership_transfer_ends_the_lease_first,
              stalled_leader_does_not_lead_when_it_resumes,
              partitioned_replica_does_not_unseat_the_leader, one_way_cut_of_a_leader_ends_its_lease,
              lost_disk_votes_only_after_replacement, older_terms_are_not_committed_by_counting,
-             two_editors_one_wins_and_a_resend_gets_the_first_answer,
+             one_of_two_edits_wins_and_a_resend_gets_the_first_answer,
              random_runs_are_consistent_and_reproducible,
              random_runs_outlast_the_retention_of_claims, bad_descs_name_the_field)
--- a/tests/test_quorum_leaders_change.c
+++ b/tests/test_quorum_leaders_change.c
@@ -126,13 +126,13 @@
     return lost;
 }
 
-START_TEST(a_disk_may_be_lost_five_seconds_after_a_replacement) {
+START_TEST(disk_may_be_lost_five_seconds_after_a_replacement) {
     int lost = count_majority_losses(5);
     ck_assert_msg(lost == 0, "majority lost for good with %d of %d seeds", lost, runs());
 }
 END_TEST
 
-START_TEST(a_disk_may_be_lost_ten_seconds_after_a_replacement) {
+START_TEST(disk_may_be_lost_ten_seconds_after_a_replacement) {
     int lost = count_majority_losses(10);
     ck_assert_msg(lost == 0, "majority lost for good with %d of %d seeds", lost, runs());
 }
@@ -208,7 +208,7 @@
 
 /* The time since the last contact counts from the start of a replica, not from the first election:
    otherwise the failed voter is removed too late, and the next loss takes the majority. */
-START_TEST(contact_age_counts_from_the_start) {
+START_TEST(time_since_contact_counts_from_the_start) {
     int late = 0;
     for (int seed = 0; seed < runs(); seed++) {
         replacement_run p = begin(seed);
@@ -233,7 +233,7 @@
 END_TEST
 
 /* The time since the last contact also counts during an outage without a leader. */
-START_TEST(contact_age_counts_during_an_outage) {
+START_TEST(time_since_contact_counts_during_an_outage) {
     enum {
         PARTITION_MS = 3000
     };
@@ -302,8 +302,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("quorum_leaders_change", a_disk_may_be_lost_five_seconds_after_a_replacement,
-             a_disk_may_be_lost_ten_seconds_after_a_replacement,
-             set_is_complete_within_a_bounded_time, contact_age_counts_from_the_start,
-             contact_age_counts_during_an_outage,
+WG_TEST_MAIN("quorum_leaders_change", disk_may_be_lost_five_seconds_after_a_replacement,
+             disk_may_be_lost_ten_seconds_after_a_replacement,
+             set_is_complete_within_a_bounded_time, time_since_contact_counts_from_the_start,
+             time_since_contact_counts_during_an_outage,
              new_leader_gives_an_unresponsive_voter_time_to_answer)
--- a/tests/test_quorum_successor.c
+++ b/tests/test_quorum_successor.c
@@ -177,7 +177,7 @@
 
 /* A learner that has not answered since it was added is given time to start: it must not be removed
    from the set and added again. */
-START_TEST(a_learner_has_time_to_answer) {
+START_TEST(learner_has_time_to_answer) {
     static const fault_plan plan = {.voters = 3, .replaced = 1, .lost = 1};
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(&plan, seed);
@@ -269,7 +269,7 @@
 END_TEST
 
 /* An unresponsive voter is removed without a replacement, but only while enough voters remain. */
-START_TEST(a_set_never_gets_too_small) {
+START_TEST(set_keeps_enough_voters) {
     for (int seed = 0; seed < SEEDS; seed++) {
         simq_run* run = begin(&(fault_plan){.voters = 6, .replaced = 0, .lost = 2}, seed);
         int failed[2] = {pick_follower(run, seed, 6), pick_follower(run, seed + 1, 6)};
@@ -330,7 +330,7 @@
 END_TEST
 
 WG_TEST_MAIN("quorum_successor", replaced_replica_has_no_vote, lost_replacement_costs_no_majority,
-             replacement_does_not_vote_beside_a_failing_voter, a_learner_has_time_to_answer,
+             replacement_does_not_vote_beside_a_failing_voter, learner_has_time_to_answer,
              leaving_voter_loses_its_vote_at_once, voter_that_left_rejoins,
-             needed_voter_stays_in_the_set, a_set_never_gets_too_small, short_stall_keeps_the_vote,
+             needed_voter_stays_in_the_set, set_keeps_enough_voters, short_stall_keeps_the_vote,
              random_runs_are_consistent_with_replacements)
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-START_TEST(a_new_incarnation_ends_the_one_at_its_address) {
+START_TEST(new_incarnation_ends_the_one_at_its_address) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "a", WG_TARGET_READY, 1);
     receive(r, 1, "b", WG_TARGET_READY, 1);
@@ -108,7 +108,7 @@
 
 /* The first heartbeat of a crashed target may arrive after that of its replacement; the target that
    continues to send heartbeats keeps the address. */
-START_TEST(a_first_heartbeat_that_comes_late_does_not_end_a_live_target) {
+START_TEST(late_first_heartbeat_does_not_end_a_live_target) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive(r, 0, "lives", WG_TARGET_READY, 1);
     receive(r, SECOND, "crashed", WG_TARGET_READY, 1);
@@ -151,7 +151,7 @@
 }
 
 /* Only the transition to cold is a change, not the remaining cold time in each heartbeat. */
-START_TEST(a_target_that_turns_cold_has_changed) {
+START_TEST(transition_to_cold_is_a_change) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive_cold(r, 0, 1, 3 * SECOND);
     ck_assert_int_eq(wg_registry_find(r, 1)->cold_until, 3 * SECOND);
@@ -221,7 +221,7 @@
 
 /* Copies that are updated irregularly, and one loaded from a snapshot, match the original even
    after ended records were dropped. */
-START_TEST(copies_follow_past_the_kept_records) {
+START_TEST(copies_match_after_ended_records_are_dropped) {
     for (uint64_t seed = 1; seed <= 20; seed++) {
         wg_registry* r = wg_registry_setup(&(wg_registry_desc){.ended_max = 8});
         wg_registry* copy = wg_registry_setup(&(wg_registry_desc){.ended_max = 8});
@@ -287,7 +287,7 @@
 }
 
 /* A restarted target counts heartbeats from one again; they must not be taken for outdated ones. */
-START_TEST(a_target_that_starts_again_is_another_incarnation) {
+START_TEST(restarted_target_is_another_incarnation) {
     wg_registry* r = wg_registry_setup(&(wg_registry_desc){0});
     receive_incarnation(r, 0, 1000, WG_TARGET_READY, 1);
     receive_incarnation(r, SECOND, 1000, WG_TARGET_READY, 501);
@@ -383,11 +383,11 @@
 
 WG_TEST_MAIN("registry", unchanged_heartbeats_change_nothing,
              late_heartbeat_does_not_revive_a_target, uncommitted_change_is_proposed_again,
-             deregistration_without_a_record_is_kept, a_new_incarnation_ends_the_one_at_its_address,
+             deregistration_without_a_record_is_kept, new_incarnation_ends_the_one_at_its_address,
              unresponsive_target_returns_by_a_newer_heartbeat_only,
-             a_first_heartbeat_that_comes_late_does_not_end_a_live_target,
-             late_heartbeat_does_not_replace_the_replacement, a_target_that_turns_cold_has_changed,
-             evacuated_targets_accept_nothing, copies_follow_past_the_kept_records,
-             a_target_that_starts_again_is_another_incarnation,
+             late_first_heartbeat_does_not_end_a_live_target,
+             late_heartbeat_does_not_replace_the_replacement, transition_to_cold_is_a_change,
+             evacuated_targets_accept_nothing, copies_match_after_ended_records_are_dropped,
+             restarted_target_is_another_incarnation,
              messages_of_a_previous_incarnation_are_ignored, deregistered_target_may_register_again,
              snapshots_distinguish_incarnations, records_of_incarnations_are_bounded)
--- a/tests/test_replaced_hosts.c
+++ b/tests/test_replaced_hosts.c
@@ -71,7 +71,7 @@
                   h->folder);
 }
 
-START_TEST(a_disk_is_lost_after_a_host_was_replaced) {
+START_TEST(disk_is_lost_after_a_host_was_replaced) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -86,7 +86,7 @@
 }
 END_TEST
 
-START_TEST(a_disk_is_lost_after_a_planned_replacement) {
+START_TEST(disk_is_lost_after_a_planned_replacement) {
     struct event_base* base = event_base_new();
     hosts h;
     begin(&h, base);
@@ -102,5 +102,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("replaced_hosts", a_disk_is_lost_after_a_host_was_replaced,
-             a_disk_is_lost_after_a_planned_replacement)
+WG_TEST_MAIN("replaced_hosts", disk_is_lost_after_a_host_was_replaced,
+             disk_is_lost_after_a_planned_replacement)
--- a/tests/test_table.c
+++ b/tests/test_table.c
@@ -21,7 +21,7 @@
     return row;
 }
 
-START_TEST(equal_versions_one_wins) {
+START_TEST(one_of_two_edits_of_a_version_wins) {
     wgt_table* t = wgt_setup(&(wgt_desc){0}, NULL);
     wgt_result result;
     wgt_row row = workspace("a", 10, "");
@@ -46,7 +46,7 @@
 }
 END_TEST
 
-START_TEST(all_rows_or_none) {
+START_TEST(edit_applies_all_rows_or_none) {
     wgt_table* t = wgt_setup(&(wgt_desc){0}, NULL);
     wgt_edit_row rows[2] = {{.row = workspace("a", 10, "")}, {.row = workspace("b", 0, "")}};
     wgt_edit e = {.rows = rows, .rows_num = 2};
@@ -89,7 +89,7 @@
 }
 END_TEST
 
-START_TEST(copy_follows_by_changes_and_never_goes_back) {
+START_TEST(copy_applies_changes_and_never_reverts) {
     wgt_table* t = wgt_setup(&(wgt_desc){0}, NULL);
     wgt_table* copy = wgt_setup(&(wgt_desc){0}, NULL);
     wgt_result result;
@@ -199,7 +199,7 @@
     g_error_free(error);
 }
 
-START_TEST(bad_csv_says_where) {
+START_TEST(csv_errors_name_the_place) {
     static const struct {
         const char* text;
         const char* reason;
@@ -265,7 +265,8 @@
 }
 END_TEST
 
-WG_TEST_MAIN("table", equal_versions_one_wins, all_rows_or_none, references_and_keys_are_checked,
-             copy_follows_by_changes_and_never_goes_back, rows_of_one_edit_stay_together,
-             dropped_tombstones_require_a_reset, snapshot_restores_the_table, bad_csv_says_where,
-             csv_round_trip, full_table_refuses_and_loses_nothing)
+WG_TEST_MAIN("table", one_of_two_edits_of_a_version_wins, edit_applies_all_rows_or_none,
+             references_and_keys_are_checked, copy_applies_changes_and_never_reverts,
+             rows_of_one_edit_stay_together, dropped_tombstones_require_a_reset,
+             snapshot_restores_the_table, csv_errors_name_the_place, csv_round_trip,
+             full_table_refuses_and_loses_nothing)
--- a/tests/test_target_read.c
+++ b/tests/test_target_read.c
@@ -34,7 +34,7 @@
 END_TEST
 
 /* Each field in turn is missing or of another type. Only cold_ms and born may be missing. */
-START_TEST(a_field_that_is_missing_or_of_another_type_is_an_error) {
+START_TEST(missing_field_or_wrong_type_is_an_error) {
     static const char* const fields[] = {"service", "address",  "data_centre", "version", "slots",
                                          "state",   "sequence", "cold_ms",     "born"};
     static const char* const others[] = {"null", "true", "[]", "{}", "-1", "\"\\u00e9?\"", "1.5"};
@@ -100,6 +100,5 @@
 }
 END_TEST
 
-WG_TEST_MAIN("target read", heartbeat_is_parsed,
-             a_field_that_is_missing_or_of_another_type_is_an_error,
+WG_TEST_MAIN("target read", heartbeat_is_parsed, missing_field_or_wrong_type_is_an_error,
              unknown_state_or_invalid_address_is_an_error, deregistration_may_name_the_incarnation)
